--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -6,11 +6,11 @@
 use flamingopost_core::position::Position;
 use tokio::time::timeout;
 
-use crate::back::{self, Outcome};
-use crate::carry::{Carry, Step};
+use crate::caller_state::{CallerState, Step};
 use crate::codec::Codec;
 use crate::message::{Access, Code, Command, Query, Shape};
-use crate::service::Lent;
+use crate::server_connection::{self, Outcome};
+use crate::service::PooledConnection;
 
 /// What is run.
 #[derive(Debug, Clone, Copy)]
@@ -18,11 +18,11 @@
     /// The caller's statement.
     pub query: &'a Query,
     /// What the caller's session carries.
-    pub carry: &'a Carry,
+    pub carry: &'a CallerState,
     /// The prepared statement that it uses, with its arguments.
     pub prepared: Option<(&'a Shape, &'a [u8])>,
     /// What goes around it.
-    pub frame: Frame,
+    pub frame: TransactionFrame,
     /// What the server's log must contain for it to run.
     pub after: Option<Position>,
     /// Up to when what a primary shows by it is known to be current.
@@ -31,90 +31,94 @@
 
 /// What goes around a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Frame {
+pub enum TransactionFrame {
     /// Nothing.
     Bare,
     /// A transaction of its own that is rolled back.
     ///
     /// A server that was replaced as primary still answers plain reads, from data that lack what
     /// its successor has acknowledged. Inside a transaction it refuses.
-    Alone,
+    RolledBack,
     /// A transaction is opened before it and stays open.
     Opens(Access),
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum Ran {
+pub enum RunResult {
     /// The server answered.
     Answered(Outcome),
     /// The server refused what goes before the statement; the statement was not sent.
     Refused(Code),
     /// The connection was lost before the statement was sent.
-    Unsent(back::Error),
+    Unsent(server_connection::Error),
     /// The statement was sent and there is no answer.
-    Unanswered(back::Error),
+    Unanswered(server_connection::Error),
 }
 
 /// Runs `job` on `lent` within `limit`.
-pub async fn run<C: Codec>(lent: &mut Lent<C>, job: &Job<'_>, limit: Duration) -> Ran {
+pub async fn run<C: Codec>(
+    lent: &mut PooledConnection<C>,
+    job: &Job<'_>,
+    limit: Duration,
+) -> RunResult {
     let life = lent.life();
     if life.is_over() {
-        return Ran::Unsent(gone());
+        return RunResult::Unsent(restarted_error());
     }
     let mut sent = false;
     let _awaited = lent.awaits();
     let ran = tokio::select! {
         biased;
         ran = timeout(limit, exchange(lent, job, &mut sent)) => ran,
-        () = life.ended() => Ok(Err(gone())),
+        () = life.ended() => Ok(Err(restarted_error())),
     };
     match ran {
         Ok(Ok(ran)) => ran,
-        Ok(Err(error)) if sent => Ran::Unanswered(error),
-        Ok(Err(error)) => Ran::Unsent(error),
+        Ok(Err(error)) if sent => RunResult::Unanswered(error),
+        Ok(Err(error)) => RunResult::Unsent(error),
         Err(_) => {
-            let error = back::Error::Io(std::io::ErrorKind::TimedOut.into());
+            let error = server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
             match sent {
-                true => Ran::Unanswered(error),
-                false => Ran::Unsent(error),
+                true => RunResult::Unanswered(error),
+                false => RunResult::Unsent(error),
             }
         }
     }
 }
 
 /// The start of the server that a connection leads to is over.
-fn gone() -> back::Error {
-    back::Error::Io(std::io::ErrorKind::ConnectionAborted.into())
+fn restarted_error() -> server_connection::Error {
+    server_connection::Error::Io(std::io::ErrorKind::ConnectionAborted.into())
 }
 
 async fn exchange<C: Codec>(
-    lent: &mut Lent<C>,
+    lent: &mut PooledConnection<C>,
     job: &Job<'_>,
     sent: &mut bool,
-) -> Result<Ran, back::Error> {
-    prepare(lent, job);
-    if let Some(code) = open(lent, job).await? {
-        return Ok(Ran::Refused(code));
+) -> Result<RunResult, server_connection::Error> {
+    prepare_connection(lent, job);
+    if let Some(code) = open_transaction(lent, job).await? {
+        return Ok(RunResult::Refused(code));
     }
-    push(lent, job);
-    if job.frame == Frame::Alone {
+    push_statement(lent, job);
+    if job.frame == TransactionFrame::RolledBack {
         lent.push(&Command::Rollback);
     }
     *sent = true;
     lent.flush().await?;
-    let after = usize::from(job.frame == Frame::Alone);
-    settle(lent, after + 1).await?;
+    let after = usize::from(job.frame == TransactionFrame::RolledBack);
+    drain_answers(lent, after + 1).await?;
     let outcome = lent.outcome().await?;
-    if settle(lent, 0).await.is_err() {
+    if drain_answers(lent, 0).await.is_err() {
         // The caller's answer is complete; only the connection is not to be used again.
         lent.broken = true;
     }
-    Ok(Ran::Answered(outcome))
+    Ok(RunResult::Answered(outcome))
 }
 
 /// Queues what makes the connection fit for the session.
-fn prepare<C: Codec>(lent: &mut Lent<C>, job: &Job<'_>) {
+fn prepare_connection<C: Codec>(lent: &mut PooledConnection<C>, job: &Job<'_>) {
     let shape = job.prepared.map(|(shape, _)| shape);
     for step in lent.mark.steps(job.carry, shape) {
         match &step {
@@ -127,11 +131,14 @@
 
 /// Opens the transaction of `job`, if it has one, and waits for the answer: sent together with
 /// the statement, a refused opening would leave the statement to run outside of it.
-async fn open<C: Codec>(lent: &mut Lent<C>, job: &Job<'_>) -> Result<Option<Code>, back::Error> {
+async fn open_transaction<C: Codec>(
+    lent: &mut PooledConnection<C>,
+    job: &Job<'_>,
+) -> Result<Option<Code>, server_connection::Error> {
     let access = match job.frame {
-        Frame::Bare => return Ok(None),
-        Frame::Alone => Access::Write,
-        Frame::Opens(access) => access,
+        TransactionFrame::Bare => return Ok(None),
+        TransactionFrame::RolledBack => Access::Write,
+        TransactionFrame::Opens(access) => access,
     };
     let after = match access {
         Access::Read => job.after,
@@ -141,7 +148,7 @@
     let service = Rc::clone(lent.service());
     let sent = service.site.now();
     lent.flush().await?;
-    settle(lent, 1).await?;
+    drain_answers(lent, 1).await?;
     let outcome = lent.outcome().await?;
     // Only a primary opens a transaction that may write, and it takes no slot for that: its
     // answer vouches for its data also where the statement is then refused for a full queue.
@@ -160,10 +167,10 @@
     Ok(outcome.end.err().map(|fault| fault.code))
 }
 
-fn push<C: Codec>(lent: &mut Lent<C>, job: &Job<'_>) {
+fn push_statement<C: Codec>(lent: &mut PooledConnection<C>, job: &Job<'_>) {
     let after = match job.frame {
-        Frame::Bare => job.after,
-        Frame::Alone | Frame::Opens(_) => None,
+        TransactionFrame::Bare => job.after,
+        TransactionFrame::RolledBack | TransactionFrame::Opens(_) => None,
     };
     let id = &job.query.id;
     let named = job.prepared.and_then(|(shape, arguments)| {
@@ -187,11 +194,14 @@
 
 /// Reads answers until `left` are outstanding. What went before the statement cannot fail
 /// without the connection being out of step with what it is thought to carry.
-async fn settle<C: Codec>(lent: &mut Lent<C>, left: usize) -> Result<(), back::Error> {
+async fn drain_answers<C: Codec>(
+    lent: &mut PooledConnection<C>,
+    left: usize,
+) -> Result<(), server_connection::Error> {
     while lent.pending() > left {
         let outcome = lent.outcome().await?;
         if let Err(fault) = outcome.end {
-            return Err(back::Error::Refused(fault.code));
+            return Err(server_connection::Error::Refused(fault.code));
         }
     }
     Ok(())
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/caller_connection.rs
@@ -8,12 +8,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::back::Outcome;
 use crate::codec::{self, Codec};
 use crate::message::{Code, Request, Transaction};
+use crate::server_connection::Outcome;
 
 /// Room for one usual statement.
-const BUFFER: usize = 1 << 10;
+const BUFFER_BYTES: usize = 1 << 10;
 
 /// Why a caller's connection ends.
 #[derive(Debug, displaydoc::Display)]
@@ -40,20 +40,20 @@
 
 /// A caller's connection.
 #[derive(Debug)]
-pub struct Front<C> {
+pub struct CallerConnection<C> {
     stream: TcpStream,
     received: BytesMut,
     out: BytesMut,
     codec: PhantomData<C>,
 }
 
-impl<C: Codec> Front<C> {
+impl<C: Codec> CallerConnection<C> {
     /// The caller behind `stream`.
-    pub fn new(stream: TcpStream) -> Front<C> {
-        Front {
+    pub fn new(stream: TcpStream) -> CallerConnection<C> {
+        CallerConnection {
             stream,
-            received: BytesMut::with_capacity(BUFFER),
-            out: BytesMut::with_capacity(BUFFER),
+            received: BytesMut::with_capacity(BUFFER_BYTES),
+            out: BytesMut::with_capacity(BUFFER_BYTES),
             codec: PhantomData,
         }
     }
@@ -140,7 +140,7 @@
 }
 
 /// Longest time that a transaction may stay idle, whatever is configured.
-pub const IDLE_MOST: std::time::Duration = std::time::Duration::from_secs(60);
+pub const MAX_TRANSACTION_IDLE: std::time::Duration = std::time::Duration::from_secs(60);
 
 /// How long a statement may take where no route says so any more.
-pub const TIMEOUT: std::time::Duration = std::time::Duration::from_millis(800);
+pub const DEFAULT_STATEMENT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(800);
--- a/crates/proxy/src/carry.rs
+++ b/crates/proxy/src/caller_state.rs
@@ -8,29 +8,29 @@
 
 /// Prepared statements that a connection keeps before it is cleared: each costs the server
 /// memory, and sessions of one application share a handful of shapes.
-const PREPARED_MOST: usize = 64;
+const MAX_PREPARED: usize = 64;
 
 /// What a caller's session has set and prepared.
 ///
 /// ```
 /// use bytes::Bytes;
-/// use flamingopost_proxy::carry::{Carry, Mark, Step};
+/// use flamingopost_proxy::caller_state::{CallerState, ConnectionState, Step};
 ///
-/// let mut carry = Carry::default();
+/// let mut carry = CallerState::default();
 /// carry.set(Bytes::from("zone"), Bytes::from("garia"));
-/// let mut mark = Mark::default();
+/// let mut mark = ConnectionState::default();
 /// let set = Step::Set(Bytes::from("zone"), Bytes::from("garia"));
 /// assert_eq!(mark.steps(&carry, None), [set]);
 /// assert_eq!(mark.steps(&carry, None), [], "the connection has it now");
-/// assert_eq!(mark.steps(&Carry::default(), None), [Step::Discard]);
+/// assert_eq!(mark.steps(&CallerState::default(), None), [Step::Discard]);
 /// ```
 #[derive(Debug, Default, Clone)]
-pub struct Carry {
+pub struct CallerState {
     values: BTreeMap<Bytes, Bytes>,
     prepared: BTreeMap<Bytes, Shape>,
 }
 
-impl Carry {
+impl CallerState {
     /// Sets a value.
     pub fn set(&mut self, name: Bytes, value: Bytes) {
         self.values.insert(name, value);
@@ -68,19 +68,19 @@
 /// Prepared statements are named by their text, so that callers who prepare the same statement
 /// under different names share it, and the same name of two callers never collides.
 #[derive(Debug, Default)]
-pub struct Mark {
+pub struct ConnectionState {
     values: BTreeMap<Bytes, Bytes>,
     prepared: BTreeMap<Shape, u32>,
     next: u32,
 }
 
-impl Mark {
+impl ConnectionState {
     /// The steps that make the connection fit for a statement of a session with `carry` that
     /// uses `shape`. They are taken as done.
-    pub fn steps(&mut self, carry: &Carry, shape: Option<&Shape>) -> Vec<Step> {
+    pub fn steps(&mut self, carry: &CallerState, shape: Option<&Shape>) -> Vec<Step> {
         let mut steps = Vec::new();
         let kept = |(name, _): (&Bytes, &Bytes)| carry.values.contains_key(name);
-        if !self.values.iter().all(kept) || self.prepared.len() >= PREPARED_MOST {
+        if !self.values.iter().all(kept) || self.prepared.len() >= MAX_PREPARED {
             steps.push(Step::Discard);
             self.clear();
         }
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -16,13 +16,13 @@
 use tokio::sync::Mutex;
 use tokio::time::timeout;
 
-use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::message::Status;
 use crate::peer::{Ended, Socket, Word};
 use crate::platform::{Error, Platform, Promotion, Revision, Token};
+use crate::server_connection::{self, ServerConnection, Target};
 use crate::service::Service;
 use crate::site::Site;
 
@@ -320,7 +320,7 @@
         let sent = self.site.now();
         let asked = timeout(ASK, async {
             let id = self.site.next_id();
-            let mut back = Back::<C>::connect(id, target, &self.site.host).await?;
+            let mut back = ServerConnection::<C>::connect(id, target, &self.site.host).await?;
             let status = back.status().await?;
             let newest = service.term();
             match status.role {
@@ -338,13 +338,17 @@
                 return Probe::Status(status);
             }
             Ok(Err(error)) => error,
-            Err(_) => back::Error::Io(std::io::ErrorKind::TimedOut.into()),
+            Err(_) => server_connection::Error::Io(std::io::ErrorKind::TimedOut.into()),
         };
         service.missed(target.server, &error, sent);
         match error {
-            back::Error::Io(error) if error.kind() == std::io::ErrorKind::TimedOut => Probe::Silent,
-            back::Error::Io(_) => Probe::Refused,
-            back::Error::Codec(_) | back::Error::Refused(_) => Probe::Alive,
+            server_connection::Error::Io(error) if error.kind() == std::io::ErrorKind::TimedOut => {
+                Probe::Silent
+            }
+            server_connection::Error::Io(_) => Probe::Refused,
+            server_connection::Error::Codec(_) | server_connection::Error::Refused(_) => {
+                Probe::Alive
+            }
         }
     }
 
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -11,12 +11,12 @@
 use tokio::time::timeout;
 
 use super::{ASK, Election, STEP};
-use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::Status;
 use crate::peer::Word;
 use crate::platform::Platform;
+use crate::server_connection::{self, ServerConnection, Target};
 use crate::service::Service;
 
 /// A primary that leaves is told to step down this long after the last write was sent there, so
@@ -74,10 +74,14 @@
         target: &Target,
         term: Term,
         effect: &mut Effect,
-    ) -> Result<Term, back::Error> {
-        let timed_out = |_| back::Error::Io(std::io::ErrorKind::TimedOut.into());
+    ) -> Result<Term, server_connection::Error> {
+        let timed_out = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
         let id = self.site.next_id();
-        let back = timeout(ASK, Back::<C>::connect(id, target, &self.site.host)).await;
+        let back = timeout(
+            ASK,
+            ServerConnection::<C>::connect(id, target, &self.site.host),
+        )
+        .await;
         let mut back = back.map_err(timed_out)??;
         loop {
             let asked = self.site.now();
@@ -152,10 +156,14 @@
         target: &Target,
         term: Term,
         at: Duration,
-    ) -> Result<Status, back::Error> {
+    ) -> Result<Status, server_connection::Error> {
         let id = self.site.next_id();
-        let timed_out = |_| back::Error::Io(std::io::ErrorKind::TimedOut.into());
-        let back = timeout(ASK, Back::<C>::connect(id, target, &self.site.host)).await;
+        let timed_out = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
+        let back = timeout(
+            ASK,
+            ServerConnection::<C>::connect(id, target, &self.site.host),
+        )
+        .await;
         let mut back = back.map_err(timed_out)??;
         tokio::time::sleep(at.saturating_sub(self.site.now())).await;
         let status = timeout(ASK, back.step_down(term)).await;
--- a/crates/proxy/src/election/proof.rs
+++ b/crates/proxy/src/election/proof.rs
@@ -10,12 +10,12 @@
 use tokio::time::{sleep, timeout};
 
 use super::{ASK, CLAIM, Election, Probe, STEP, in_time};
-use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::Status;
 use crate::platform::{Platform, Recorded};
-use crate::service::{Missing, Service};
+use crate::server_connection::{self, ServerConnection, Target};
+use crate::service::{MissingEvidence, Service};
 
 /// So many times a primary is asked whether its log is empty; its slots may be busy.
 const QUESTIONS: u32 = 3;
@@ -61,14 +61,14 @@
             let Probe::Status(status) = election.ask(&service, &target).await else {
                 return;
             };
-            if service.missing(target.server, &status) == Missing::Orders {
+            if service.missing(target.server, &status) == MissingEvidence::Orders {
                 election.find_order(&service, &target, &status).await;
                 return;
             }
-            if service.missing(target.server, &status) == Missing::Record {
+            if service.missing(target.server, &status) == MissingEvidence::Record {
                 election.read_record(&service).await;
             }
-            if service.missing(target.server, &status) == Missing::Proof {
+            if service.missing(target.server, &status) == MissingEvidence::Proof {
                 election.prove(&service, &target, status.received).await;
             }
         });
@@ -80,7 +80,7 @@
         if !is_read && self.read_claims().await.is_none() {
             return;
         }
-        if service.missing(target.server, status) == Missing::Orders {
+        if service.missing(target.server, status) == MissingEvidence::Orders {
             service.hold_for_unheard_order();
             self.site.log(&Event::OrderUnheard {
                 service: service.name.clone(),
@@ -103,9 +103,9 @@
         }
     }
 
-    async fn has_entries(&self, target: &Target) -> Result<bool, back::Error> {
+    async fn has_entries(&self, target: &Target) -> Result<bool, server_connection::Error> {
         let id = self.site.next_id();
-        let mut back = Back::<C>::connect(id, target, &self.site.host).await?;
+        let mut back = ServerConnection::<C>::connect(id, target, &self.site.host).await?;
         back.has_entries().await
     }
 
--- a/crates/proxy/src/election/talk.rs
+++ b/crates/proxy/src/election/talk.rs
@@ -14,7 +14,7 @@
 use crate::event::Event;
 use crate::peer::{Ended, Led, Log, Message, Sample, Server, Word};
 use crate::platform::Platform;
-use crate::service::{Meant, Service};
+use crate::service::{ResolvedServer, Service};
 
 /// For how long hosts tell each other of a change of primary: datagrams are lost, and a host that
 /// has heard nothing of it for so long has no lease either.
@@ -155,7 +155,7 @@
             return;
         };
         for it in led {
-            if let Meant::Listed(server) = service.meant(&it.server) {
+            if let ResolvedServer::Listed(server) = service.meant(&it.server) {
                 succession.borrow_mut().told_led(server, it.term());
             }
         }
@@ -384,7 +384,7 @@
                 }
             }
             Word::Short { server } => {
-                if let Meant::Listed(server) = service.meant(&server) {
+                if let ResolvedServer::Listed(server) = service.meant(&server) {
                     service.squeeze(server);
                 }
             }
@@ -402,14 +402,16 @@
     async fn answer(&self, service: Rc<Service<C>>, server: Option<Server>, from: SocketAddr) {
         let meant = match &server {
             Some(server) => service.meant(server),
-            None => service.leader().map_or(Meant::Unknown, Meant::Listed),
+            None => service
+                .leader()
+                .map_or(ResolvedServer::Unknown, ResolvedServer::Listed),
         };
         let reaches = match meant {
-            Meant::Listed(key) => self.reaches(&service, key).await,
+            ResolvedServer::Listed(key) => self.reaches(&service, key).await,
             // A former start is over, whoever answers at its address now.
-            Meant::Former | Meant::Unknown => false,
+            ResolvedServer::Former | ResolvedServer::Unknown => false,
             // Of a start that is not listed here yet, nothing can be said.
-            Meant::Newer => return,
+            ResolvedServer::Newer => return,
         };
         let word = Word::Tell {
             server,
@@ -467,7 +469,7 @@
 /// none is named where nobody does.
 fn is_about_leader<C: Codec>(service: &Rc<Service<C>>, server: Option<&Server>) -> bool {
     match (server.map(|server| service.meant(server)), service.leader()) {
-        (Some(Meant::Listed(server)), Some(leader)) => server == leader,
+        (Some(ResolvedServer::Listed(server)), Some(leader)) => server == leader,
         (None, None) => true,
         _ => false,
     }
--- a/crates/proxy/src/fleet/starts.rs
+++ b/crates/proxy/src/fleet/starts.rs
@@ -51,7 +51,7 @@
                     before: before.incarnation.0,
                     after: backend.incarnation.0,
                 });
-                Some((key, Start::Again(before.key)))
+                Some((key, Start::Restarted(before.key)))
             }
             Sighting::Former(newest) => {
                 self.site.log(&Event::FormerStart {
--- a/crates/proxy/src/host.rs
+++ b/crates/proxy/src/host.rs
@@ -15,15 +15,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
+use crate::caller_connection::{self, CallerConnection};
 use crate::codec::Codec;
 use crate::election::Election;
 use crate::event::Event;
 use crate::fleet::Fleet;
-use crate::front::{self, Front};
 use crate::peer::Socket;
 use crate::platform::{Peer, Platform};
 use crate::probe;
-use crate::session::{Context, Place, Session};
+use crate::session::{Context, RelayPolicy, Session};
 use crate::site::Site;
 use crate::socket;
 use crate::watch::Watch;
@@ -227,9 +227,15 @@
     let open = Rc::new(Cell::new(0));
     let limit = settings.sessions;
     let (peers, counted) = (Rc::clone(&context), Rc::clone(&open));
-    tokio::task::spawn_local(accept(relays, peers, counted, limit, Place::Here));
+    tokio::task::spawn_local(accept(relays, peers, counted, limit, RelayPolicy::Never));
     let counted = Rc::clone(&open);
-    let accepting = tokio::task::spawn_local(accept(callers, context, counted, limit, Place::Any));
+    let accepting = tokio::task::spawn_local(accept(
+        callers,
+        context,
+        counted,
+        limit,
+        RelayPolicy::Allowed,
+    ));
     ended.await;
     Daemon::Draining { daemon: NAME }.log();
     drain(&stop, &open, settings.grace).await;
@@ -301,7 +307,7 @@
     context: Rc<Context<C>>,
     open: Rc<Cell<usize>>,
     most: usize,
-    place: Place,
+    place: RelayPolicy,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -323,14 +329,14 @@
     }
 }
 
-async fn session<C: Codec>(context: Rc<Context<C>>, stream: TcpStream, place: Place) {
+async fn session<C: Codec>(context: Rc<Context<C>>, stream: TcpStream, place: RelayPolicy) {
     let site = Rc::clone(&context.site);
     if socket::guard(&stream, CALLER_SILENCE).is_err() {
         return;
     }
-    let served = Session::serve(context, Front::new(stream), place).await;
+    let served = Session::serve(context, CallerConnection::new(stream), place).await;
     // A caller that went away is no event; one that cannot be understood is.
-    if let Err(front::Error::Codec(error)) = served {
+    if let Err(caller_connection::Error::Codec(error)) = served {
         site.log(&Event::BadCaller {
             error: error.to_string(),
         });
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -9,15 +9,14 @@
 //! threads would only add switches and locks.
 
 pub mod attempt;
-pub mod back;
-pub mod carry;
+pub mod caller_connection;
+pub mod caller_state;
 pub mod codec;
 pub mod election;
 pub mod event;
 pub mod fault;
 pub mod feeds;
 pub mod fleet;
-pub mod front;
 pub mod host;
 pub mod message;
 pub mod meter;
@@ -26,6 +25,7 @@
 pub mod probe;
 pub mod relay;
 pub mod route;
+pub mod server_connection;
 pub mod service;
 pub mod session;
 pub mod site;
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -154,7 +154,7 @@
     /// A statement has run; carries what proves which server ran it.
     Complete(Bytes),
     /// A statement failed.
-    Error(Fault),
+    Error(ErrorMessage),
     /// The server awaits the next statement.
     Ready {
         /// Whether a transaction is open.
@@ -166,7 +166,7 @@
 
 /// An error as it travels.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct ErrorMessage {
     /// What kind it is.
     pub code: Code,
     /// Words for people.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -10,26 +10,26 @@
 
 use flamingopost_core::key::ServerKey;
 
-use crate::back::{self, Back, Outcome, Target};
+use crate::caller_connection::{self, CallerConnection};
 use crate::codec::Codec;
 use crate::event::Event;
-use crate::front::{self, Front};
 use crate::message::{Command, Request, Transaction};
+use crate::server_connection::{self, Outcome, ServerConnection, Target};
 use crate::session::Context;
 
 /// How much longer than the route allows the other host may take for a statement: the way there
 /// and back, and its own load. One that stands still answers nothing while its kernel still does.
-const MARGIN: Duration = Duration::from_millis(300);
+const RELAY_MARGIN: Duration = Duration::from_millis(300);
 
 /// How long connecting to the other host may take before the next one is tried.
-const CONNECT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// A session that another host serves.
 pub struct Relay<C: Codec> {
     context: Rc<Context<C>>,
     database: String,
-    front: Front<C>,
-    back: Back<C>,
+    front: CallerConnection<C>,
+    back: ServerConnection<C>,
     transaction: Transaction,
     moves: u64,
 }
@@ -46,7 +46,7 @@
     context: &Context<C>,
     database: &str,
     address: SocketAddr,
-) -> Option<Back<C>> {
+) -> Option<ServerConnection<C>> {
     let target = Target {
         server: ServerKey::default(),
         address,
@@ -54,8 +54,11 @@
         service: database.to_owned(),
     };
     let id = context.site.next_id();
-    let connecting = Back::connect(id, &target, &context.site.host);
-    tokio::time::timeout(CONNECT, connecting).await.ok()?.ok()
+    let connecting = ServerConnection::connect(id, &target, &context.site.host);
+    tokio::time::timeout(CONNECT_TIMEOUT, connecting)
+        .await
+        .ok()?
+        .ok()
 }
 
 impl<C: Codec> Relay<C> {
@@ -63,8 +66,8 @@
     pub fn new(
         context: Rc<Context<C>>,
         database: String,
-        front: Front<C>,
-        back: Back<C>,
+        front: CallerConnection<C>,
+        back: ServerConnection<C>,
     ) -> Relay<C> {
         let moves = context.stop.moves();
         Relay {
@@ -81,7 +84,7 @@
     ///
     /// # Errors
     /// The caller's connection is lost, or it cannot be understood.
-    pub async fn run(mut self) -> Result<(), front::Error> {
+    pub async fn run(mut self) -> Result<(), caller_connection::Error> {
         loop {
             let request = match self.next().await? {
                 Next::Request(request) => request,
@@ -118,18 +121,18 @@
     }
 
     /// The other host's answer to what is queued.
-    async fn outcome(&mut self) -> Result<Outcome, back::Error> {
+    async fn outcome(&mut self) -> Result<Outcome, server_connection::Error> {
         let allowed = self.context.fleet.timeout(&self.database);
         let allowed = allowed.unwrap_or_default();
-        let answered = tokio::time::timeout(allowed + MARGIN, async {
+        let answered = tokio::time::timeout(allowed + RELAY_MARGIN, async {
             self.back.flush().await?;
             self.back.outcome().await
         });
-        let silent = |_| back::Error::Io(std::io::ErrorKind::TimedOut.into());
+        let silent = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
         answered.await.map_err(silent)?
     }
 
-    async fn next(&mut self) -> Result<Next, front::Error> {
+    async fn next(&mut self) -> Result<Next, caller_connection::Error> {
         let stop = Rc::clone(&self.context.stop);
         let idle = self.transaction != Transaction::Open;
         tokio::select! {
--- a/crates/proxy/src/back.rs
+++ b/crates/proxy/src/server_connection.rs
@@ -12,21 +12,21 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::carry::Mark;
+use crate::caller_state::ConnectionState;
 use crate::codec::{self, Codec};
-use crate::message::{Access, Answer, Code, Command, Fault, Status, Transaction};
+use crate::message::{Access, Answer, Code, Command, ErrorMessage, Status, Transaction};
 use crate::socket;
 
 /// How long connecting may take: several round trips between zones and the server's own work of
 /// tens of milliseconds, queued behind its other requests.
-const CONNECT: Duration = Duration::from_millis(600);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long data may stay unacknowledged by the server's kernel. Far above a round trip between
 /// zones, and within what most requests have left when it ends.
-const SILENCE: Duration = Duration::from_millis(500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Room for one usual answer.
-const BUFFER: usize = 2 << 10;
+const BUFFER_BYTES: usize = 2 << 10;
 
 /// Where a server is and what it is called.
 #[derive(Debug, Clone)]
@@ -72,7 +72,7 @@
     /// Rows of the result.
     pub rows: Vec<Bytes>,
     /// What proves which server ran it, or the error.
-    pub end: Result<Bytes, Fault>,
+    pub end: Result<Bytes, ErrorMessage>,
     /// Whether a transaction is open after it.
     pub transaction: Transaction,
     /// The position that the server's data had reached.
@@ -81,13 +81,13 @@
 
 /// A connection to a backend server.
 #[derive(Debug)]
-pub struct Back<C> {
+pub struct ServerConnection<C> {
     /// Its number, unique within the process.
     pub id: u64,
     /// The server.
     pub server: ServerKey,
     /// What sessions have left on it.
-    pub mark: Mark,
+    pub mark: ConnectionState,
     /// The position that the server's data had reached at its last word.
     pub position: Option<Position>,
     /// What the connection carries is no longer known: it is not to be used again.
@@ -99,27 +99,31 @@
     codec: PhantomData<C>,
 }
 
-impl<C: Codec> Back<C> {
+impl<C: Codec> ServerConnection<C> {
     /// Connects to `target` as `host`.
     ///
     /// # Errors
     /// The server cannot be reached, or refuses.
-    pub async fn connect(id: u64, target: &Target, host: &str) -> Result<Back<C>, Error> {
-        let stream = socket::connect(target.address, CONNECT, SILENCE).await?;
-        let mut back = Back {
+    pub async fn connect(
+        id: u64,
+        target: &Target,
+        host: &str,
+    ) -> Result<ServerConnection<C>, Error> {
+        let stream = socket::connect(target.address, CONNECT_TIMEOUT, TCP_USER_TIMEOUT).await?;
+        let mut back = ServerConnection {
             id,
             server: target.server,
-            mark: Mark::default(),
+            mark: ConnectionState::default(),
             position: None,
             broken: false,
             stream,
-            received: BytesMut::with_capacity(BUFFER),
-            out: BytesMut::with_capacity(BUFFER),
+            received: BytesMut::with_capacity(BUFFER_BYTES),
+            out: BytesMut::with_capacity(BUFFER_BYTES),
             pending: 0,
             codec: PhantomData,
         };
         C::startup(&mut back.out, &target.service, host, &target.id);
-        let greeting = tokio::time::timeout(CONNECT, back.greeting());
+        let greeting = tokio::time::timeout(CONNECT_TIMEOUT, back.greeting());
         greeting
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Queues a command; nothing is sent before [`Back::flush`].
+    /// Queues a command; nothing is sent before [`ServerConnection::flush`].
     pub fn push(&mut self, command: &Command<'_>) {
         C::command(&mut self.out, command);
         self.pending += 1;
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -17,37 +17,37 @@
 use flamingopost_core::vouch::{SPACING, Vouch};
 use tokio::sync::{Notify, oneshot};
 
-use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::Status;
 use crate::peer;
+use crate::server_connection::{self, ServerConnection, Target};
 use crate::site::Site;
 
 mod confirm;
 mod connect;
 mod hold;
-mod lent;
-mod life;
 mod listing;
-mod loss;
-mod proof;
+mod log_loss;
+mod log_proof;
+mod pooled_connection;
 mod queue;
 mod restart;
+mod restart_signal;
 
 use confirm::Confirmation;
-pub use lent::{Awaited, Lent};
-pub use life::Life;
 pub use listing::Source;
-pub use proof::Missing;
-use restart::Check;
-pub use restart::{Meant, Start};
+pub use log_proof::MissingEvidence;
+pub use pooled_connection::{PendingAnswer, PooledConnection};
+use restart::PrimaryCheck;
+pub use restart::{ResolvedServer, Start};
+pub use restart_signal::RestartSignal;
 
 /// Time between two questions to other hosts for a sample, beside those with heartbeats.
 ///
 /// Guards against a storm of datagrams: where the answer does not help the reads that wait, each would
 /// lead to the next question a round trip later.
-const SAMPLE_PAUSE: Duration = Duration::from_millis(50);
+const SAMPLE_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
 /// One service on this host.
 pub struct Service<C: Codec> {
@@ -75,7 +75,7 @@
     leader: Leader,
     /// Since when the service has had a single server.
     alone: Option<Duration>,
-    check: Check,
+    check: PrimaryCheck,
     /// What is held until the primary is checked, which this host did not expect.
     unchecked: Option<dispatch::Hold>,
     /// The primary that was last found to have the service's log.
@@ -85,27 +85,27 @@
     /// Whether an order may be on its way that this host has not heard of.
     orders: Orders,
     absent: Option<Duration>,
-    servers: BTreeMap<ServerKey, Known>,
-    idle: BTreeMap<u64, Back<C>>,
+    servers: BTreeMap<ServerKey, ServerEntry>,
+    idle: BTreeMap<u64, ServerConnection<C>>,
     waiters: BTreeMap<u64, Waiter<C>>,
     allotment: Allotment,
     /// When statements for the primary are held.
     held: Option<dispatch::Hold>,
     replacement: Option<hold::Replacement>,
     /// Servers that were ordered to lead, by identity: as many as there ever were.
-    ordered: BTreeMap<String, hold::Ordered>,
+    ordered: BTreeMap<String, hold::PromotionRecord>,
     store_lease: StoreLease,
     confirmation: Confirmation,
     /// Servers that are at their limit while this host has less than its part.
     short_of: BTreeSet<ServerKey>,
 }
 
-struct Known {
+struct ServerEntry {
     target: Target,
     incarnation: Incarnation,
-    life: Life,
+    life: RestartSignal,
     /// How the server came back, if it is known to have started again.
-    back: Option<restart::Back>,
+    back: Option<restart::RestartRecord>,
     /// Connections to it have broken while it was believed to lead, and it has shown no write since.
     broke: bool,
     /// It was found without a log, and has shown none since.
@@ -119,7 +119,7 @@
 
 struct Waiter<C: Codec> {
     ticket: Ticket,
-    sender: oneshot::Sender<Result<Lent<C>, Unserved>>,
+    sender: oneshot::Sender<Result<PooledConnection<C>, Unserved>>,
 }
 
 /// How many connections this host may have to each server of the service.
@@ -150,7 +150,7 @@
                 extent: Extent::default(),
                 leader: Leader::default(),
                 alone: None,
-                check: Check::default(),
+                check: PrimaryCheck::default(),
                 unchecked: None,
                 proved: None,
                 weighed: None,
@@ -279,7 +279,7 @@
     /// once, rather than with the next heartbeat.
     pub fn want_sample(&self) -> bool {
         let now = self.site.now();
-        let is_due = now >= self.asked_for_sample.get() + SAMPLE_PAUSE;
+        let is_due = now >= self.asked_for_sample.get() + SAMPLE_REQUEST_INTERVAL;
         let is_news = !self.lacks_sample.replace(true);
         if is_due && is_news {
             self.asked_for_sample.set(now);
@@ -340,7 +340,7 @@
 
     /// Another host has seen `server` lead `term`.
     pub fn seen_to_lead(self: &Rc<Self>, server: &peer::Server, term: Term) {
-        let Meant::Listed(server) = self.meant(server) else {
+        let ResolvedServer::Listed(server) = self.meant(server) else {
             return;
         };
         {
@@ -352,18 +352,18 @@
     }
 
     /// Something sent to a server at `sent` came to nothing.
-    pub fn missed(&self, server: ServerKey, error: &back::Error, sent: Duration) {
+    pub fn missed(&self, server: ServerKey, error: &server_connection::Error, sent: Duration) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let Some(known) = state.servers.get_mut(&server) else {
             return;
         };
-        match miss(error) {
-            Miss::Refused => known.contact.refused(now),
-            Miss::Silent => known.contact.silent(sent),
-            Miss::None => known.contact.answered(now),
+        match failure_kind(error) {
+            FailureKind::Refused => known.contact.refused(now),
+            FailureKind::Silent => known.contact.silent(sent),
+            FailureKind::None => known.contact.answered(now),
         }
-        if matches!(miss(error), Miss::Refused) {
+        if matches!(failure_kind(error), FailureKind::Refused) {
             state.broke(server);
         }
         let leads = state.dispatch.leader() == Some(server);
@@ -539,17 +539,21 @@
     }
 }
 
-enum Miss {
+enum FailureKind {
     Refused,
     Silent,
     /// The server answered, so it is there.
     None,
 }
 
-fn miss(error: &back::Error) -> Miss {
+fn failure_kind(error: &server_connection::Error) -> FailureKind {
     match error {
-        back::Error::Io(error) if error.kind() == std::io::ErrorKind::TimedOut => Miss::Silent,
-        back::Error::Io(_) => Miss::Refused,
-        back::Error::Codec(_) | back::Error::Refused(_) => Miss::None,
+        server_connection::Error::Io(error) if error.kind() == std::io::ErrorKind::TimedOut => {
+            FailureKind::Silent
+        }
+        server_connection::Error::Io(_) => FailureKind::Refused,
+        server_connection::Error::Codec(_) | server_connection::Error::Refused(_) => {
+            FailureKind::None
+        }
     }
 }
--- a/crates/proxy/src/service/confirm.rs
+++ b/crates/proxy/src/service/confirm.rs
@@ -9,16 +9,16 @@
 use tokio::time::timeout;
 
 use super::Service;
-use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::message::Status;
+use crate::server_connection::{self, ServerConnection, Target};
 
 /// How long the other servers may take: a connection, a slot and a few round trips.
-const ANSWER: Duration = Duration::from_millis(200);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time between two rounds of questions. Each takes a connection and a slot at each other server,
 /// and one round serves all reads that wait for it.
-const SPACING: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What is known of the other servers' word.
 #[derive(Debug, Default)]
@@ -57,7 +57,7 @@
             } else if begun >= Some(since) {
                 // They were asked after that, and it was not so.
                 return None;
-            } else if let Some(pause) = begun.and_then(|it| (it + SPACING).checked_sub(now))
+            } else if let Some(pause) = begun.and_then(|it| (it + ROUND_INTERVAL).checked_sub(now))
                 && !pause.is_zero()
             {
                 tokio::time::sleep(pause).await;
@@ -113,7 +113,7 @@
 
     async fn follows(self: Rc<Self>, target: Target, asked: Duration) -> bool {
         let server = target.server;
-        let Ok(Ok(status)) = timeout(ANSWER, self.status(&target)).await else {
+        let Ok(Ok(status)) = timeout(ANSWER_TIMEOUT, self.status(&target)).await else {
             return false;
         };
         self.said(server, &status, asked);
@@ -127,9 +127,9 @@
         follows
     }
 
-    async fn status(&self, target: &Target) -> Result<Status, back::Error> {
+    async fn status(&self, target: &Target) -> Result<Status, server_connection::Error> {
         let id = self.site.next_id();
-        let mut back = Back::<C>::connect(id, target, &self.site.host).await?;
+        let mut back = ServerConnection::<C>::connect(id, target, &self.site.host).await?;
         back.status().await
     }
 
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -9,14 +9,14 @@
 use tokio::time::timeout;
 
 use super::Service;
-use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::Code;
 use crate::meter;
+use crate::server_connection::{self, ServerConnection, Target};
 
 /// How long a server may take to say whether its log holds anything: some round trips between zones.
-const EXAMINATION: Duration = Duration::from_millis(200);
+const EXAMINATION_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl<C: Codec> Service<C> {
     pub(super) fn open(self: &Rc<Self>, server: ServerKey) {
@@ -70,22 +70,27 @@
         self: &Rc<Self>,
         id: u64,
         target: &Target,
-    ) -> Result<Back<C>, back::Error> {
-        let mut back = Back::connect(id, target, &self.site.host).await?;
+    ) -> Result<ServerConnection<C>, server_connection::Error> {
+        let mut back = ServerConnection::connect(id, target, &self.site.host).await?;
         let start = back.position.filter(|it| it.log == 0 && self.is_seen());
         let Some(position) = start else {
             return Ok(back);
         };
-        let asked = timeout(EXAMINATION, back.has_entries()).await;
+        let asked = timeout(EXAMINATION_TIMEOUT, back.has_entries()).await;
         let has_entries = asked.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         self.examined(target.server, position, has_entries);
         match back.broken {
-            true => Err(back::Error::Refused(Code::Lagging)),
+            true => Err(server_connection::Error::Refused(Code::Lagging)),
             false => Ok(back),
         }
     }
 
-    fn unconnected(self: &Rc<Self>, server: ServerKey, error: &back::Error, sent: Duration) {
+    fn unconnected(
+        self: &Rc<Self>,
+        server: ServerKey,
+        error: &server_connection::Error,
+        sent: Duration,
+    ) {
         let (connections, waiting) = self.load(server);
         self.site.log(&Event::Unconnected {
             service: self.name.clone(),
@@ -96,7 +101,9 @@
         });
         self.missed(server, error, sent);
         let failure = match error {
-            back::Error::Refused(Code::ConnectionLimit | Code::Busy) => dispatch::Failure::Full,
+            server_connection::Error::Refused(Code::ConnectionLimit | Code::Busy) => {
+                dispatch::Failure::Full
+            }
             _ => dispatch::Failure::Unreachable,
         };
         let now = self.site.now();
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -9,7 +9,7 @@
 use flamingopost_core::succession::Grant;
 use flamingopost_core::term::Term;
 
-use super::{Meant, Service, State};
+use super::{ResolvedServer, Service, State};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::peer::{self, Ended};
@@ -17,10 +17,10 @@
 /// A primary that is about to leave serves until shortly before its successor leads. What it
 /// acknowledges within this time before, its successor might not have received: many times the
 /// way between zones.
-const HANDOVER: Duration = Duration::from_millis(60);
+const HANDOVER_MARGIN: Duration = Duration::from_millis(60);
 
 /// How long nothing is sent to a primary that is being replaced, if no successor shows.
-const HOLD: Duration = Duration::from_millis(1_600);
+const SUCCESSOR_HOLD: Duration = Duration::from_millis(1_600);
 
 /// The newest replacement of a primary that a host has heard of.
 #[derive(Debug)]
@@ -50,14 +50,14 @@
 /// Where a server's log was when it was ordered to lead. Kept for each server, since later orders name
 /// others.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct Ordered {
+pub(super) struct PromotionRecord {
     /// The newest term that was known then.
     before: Term,
     /// How far the server had received the log, by its own word.
     had: Position,
 }
 
-impl Ordered {
+impl PromotionRecord {
     /// Whether the server was ordered to lead `term` without a log: no other had one.
     pub(super) fn was_empty(&self, term: Term) -> bool {
         term.number() == self.before.number() + 1 && self.had.log == 0
@@ -96,7 +96,7 @@
     fn term_began(&mut self, start: &peer::TermStart) {
         let known = self.ordered.entry(start.server.clone()).or_default();
         if known.before <= start.before() {
-            *known = Ordered {
+            *known = PromotionRecord {
                 before: start.before(),
                 had: start.had(),
             };
@@ -122,7 +122,7 @@
     pub fn serves_until_relieved(&self) -> Duration {
         match self.state.borrow().held {
             Some(_) => Duration::ZERO,
-            None => self.site.promotion().saturating_sub(HANDOVER),
+            None => self.site.promotion().saturating_sub(HANDOVER_MARGIN),
         }
     }
 
@@ -135,7 +135,7 @@
             return;
         }
         state.orders.heard();
-        state.hold_for_successor(from, from + HOLD, from);
+        state.hold_for_successor(from, from + SUCCESSOR_HOLD, from);
     }
 
     /// The primary is being replaced, as `ended` says; whether that is news.
@@ -154,7 +154,7 @@
         let from = now + serves;
         let over = match serves.is_zero() {
             true => now,
-            false => from + HANDOVER,
+            false => from + HANDOVER_MARGIN,
         };
         state.replacement = Some(Replacement {
             term: ended.term(),
@@ -173,7 +173,7 @@
         if is_done {
             return true;
         }
-        state.hold_for_successor(from, now + HOLD, now);
+        state.hold_for_successor(from, now + SUCCESSOR_HOLD, now);
         true
     }
 
@@ -263,8 +263,8 @@
 
     fn listed_as(&self, server: &peer::Server) -> Option<ServerKey> {
         match self.meant(server) {
-            Meant::Listed(server) => Some(server),
-            Meant::Former | Meant::Newer | Meant::Unknown => None,
+            ResolvedServer::Listed(server) => Some(server),
+            ResolvedServer::Former | ResolvedServer::Newer | ResolvedServer::Unknown => None,
         }
     }
 
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -8,10 +8,10 @@
 use flamingopost_core::leader::Role;
 use flamingopost_core::succession::Contact;
 
-use super::{Allotment, Known, Life, Service, Start, restart};
-use crate::back::Target;
+use super::{Allotment, RestartSignal, ServerEntry, Service, Start, restart};
 use crate::codec::Codec;
 use crate::platform::Backend;
+use crate::server_connection::Target;
 
 /// Whose word an entry of the list is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,16 +52,16 @@
             };
             let back = match start {
                 Start::Known => None,
-                Start::Again(former) => Some(restart::Back {
+                Start::Restarted(former) => Some(restart::RestartRecord {
                     former,
                     extent: state.extent.furthest(),
                     term: state.vouch.term(),
                 }),
             };
-            let known = state.servers.entry(key).or_insert_with(|| Known {
+            let known = state.servers.entry(key).or_insert_with(|| ServerEntry {
                 target: target.clone(),
                 incarnation: backend.incarnation,
-                life: Life::default(),
+                life: RestartSignal::default(),
                 back,
                 broke: false,
                 blank: false,
--- a/crates/proxy/src/service/loss.rs
+++ b/crates/proxy/src/service/log_loss.rs
@@ -6,7 +6,7 @@
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
 
-use super::{Meant, Service, State};
+use super::{ResolvedServer, Service, State};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::peer;
@@ -58,7 +58,7 @@
     /// primary shows. It answered reads from nothing until the first write there, 340 ms beside three
     /// hosts that knew better. One that has its log shows it with its next write.
     pub fn doubted_elsewhere(self: &Rc<Self>, server: &peer::Server) {
-        let Meant::Listed(server) = self.meant(server) else {
+        let ResolvedServer::Listed(server) = self.meant(server) else {
             return;
         };
         let start = {
--- a/crates/proxy/src/service/proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -14,18 +14,18 @@
 use flamingopost_core::succession::Orders;
 use flamingopost_core::term::Term;
 
-use super::{Known, Service, State};
+use super::{ServerEntry, Service, State};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::Status;
 
 /// Longest time that a host which has just started sends nothing to a primary of which it has to find
 /// out whether its log is empty: a call to the store and some questions to a busy server.
-const PROOF: Duration = Duration::from_secs(1);
+const PROOF_HOLD: Duration = Duration::from_secs(1);
 
 /// What a host has to find out before it believes a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
+pub enum MissingEvidence {
     /// Nothing.
     Nothing,
     /// Whether its successor was ordered before this host started.
@@ -38,11 +38,11 @@
 
 impl<C: Codec> Service<C> {
     /// What has to be found out before `server` is believed to lead, which says `status`.
-    pub fn missing(&self, server: ServerKey, status: &Status) -> Missing {
+    pub fn missing(&self, server: ServerKey, status: &Status) -> MissingEvidence {
         let state = self.state.borrow();
         match state.leader.get() == Some(server) && status.role == Role::Primary {
             true => state.missing(status.received),
-            false => Missing::Nothing,
+            false => MissingEvidence::Nothing,
         }
     }
 
@@ -107,7 +107,7 @@
         if has_entries || was_empty {
             let mut state = self.state.borrow_mut();
             state.proved = Some(server);
-            if state.missing(position) != Missing::Orders {
+            if state.missing(position) != MissingEvidence::Orders {
                 state.end_check();
             }
             return;
@@ -140,20 +140,20 @@
     /// And against the loss of what is written to a primary whose successor is ordered already: all hosts
     /// started anew in the time between, and what the primary acknowledged in its last milliseconds its
     /// successor had not received.
-    pub(super) fn missing(&self, position: Position) -> Missing {
+    pub(super) fn missing(&self, position: Position) -> MissingEvidence {
         if self
             .orders
             .may_replace(self.vouch.term().max(position.term))
         {
-            Missing::Orders
+            MissingEvidence::Orders
         } else if position.log > 0 {
-            Missing::Nothing
+            MissingEvidence::Nothing
         } else if self.extent.is_written() {
-            Missing::Proof
+            MissingEvidence::Proof
         } else if self.lacks_witness() {
-            Missing::Record
+            MissingEvidence::Record
         } else {
-            Missing::Nothing
+            MissingEvidence::Nothing
         }
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// Whether nothing is heard of a server: it cannot be reached, or it leaves.
-    fn is_unheard(&self, key: ServerKey, known: &Known) -> bool {
+    fn is_unheard(&self, key: ServerKey, known: &ServerEntry) -> bool {
         let server = self.dispatch.servers().get(&key);
         let leaves = server.is_none_or(|server| server.standing == Standing::Leaving);
         leaves || known.contact.is_failing()
@@ -193,7 +193,7 @@
         let Some(hold) = self.unchecked else {
             return;
         };
-        let until = hold.until.max(now + PROOF);
+        let until = hold.until.max(now + PROOF_HOLD);
         let longer = Hold { until, ..hold };
         self.unchecked = Some(longer);
         if self.dispatch.held() == Some(hold) {
--- a/crates/proxy/src/service/lent.rs
+++ b/crates/proxy/src/service/pooled_connection.rs
@@ -5,21 +5,21 @@
 
 use flamingopost_core::key::ServerKey;
 
-use super::{Life, Service};
-use crate::back::Back;
+use super::{RestartSignal, Service};
 use crate::codec::Codec;
+use crate::server_connection::ServerConnection;
 
 /// A connection that one request has for itself. Dropped, it is closed: only what is known to be
 /// in order is given back.
-pub struct Lent<C: Codec> {
-    pub(super) back: Option<Back<C>>,
-    pub(super) life: Life,
+pub struct PooledConnection<C: Codec> {
+    pub(super) back: Option<ServerConnection<C>>,
+    pub(super) life: RestartSignal,
     pub(super) service: Rc<Service<C>>,
     pub(super) rests: bool,
     pub(super) long: bool,
 }
 
-impl<C: Codec> Lent<C> {
+impl<C: Codec> PooledConnection<C> {
     /// Notes whether the connection rests inside a transaction while its caller thinks.
     pub fn rest(&mut self, rests: bool) {
         if self.rests == rests {
@@ -36,7 +36,7 @@
     }
 
     /// The life of the start of its server that it leads to.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> RestartSignal {
         self.life.clone()
     }
 
@@ -46,14 +46,14 @@
     }
 
     /// Something is sent now; the guard stands for the answer that is awaited.
-    pub fn awaits(&self) -> Awaited<C> {
+    pub fn awaits(&self) -> PendingAnswer<C> {
         let service = Rc::clone(&self.service);
         let (server, id) = (self.server, service.site.next_id());
         let now = service.site.now();
         if let Some(known) = service.state.borrow_mut().servers.get_mut(&server) {
             known.outstanding.insert(id, now);
         }
-        Awaited {
+        PendingAnswer {
             service,
             server,
             id,
@@ -90,7 +90,7 @@
     }
 }
 
-impl<C: Codec> Drop for Lent<C> {
+impl<C: Codec> Drop for PooledConnection<C> {
     fn drop(&mut self) {
         if self.back.is_some() {
             self.release();
@@ -108,18 +108,18 @@
     }
 }
 
-impl<C: Codec> Deref for Lent<C> {
-    type Target = Back<C>;
+impl<C: Codec> Deref for PooledConnection<C> {
+    type Target = ServerConnection<C>;
 
-    fn deref(&self) -> &Back<C> {
+    fn deref(&self) -> &ServerConnection<C> {
         self.back
             .as_ref()
             .expect("a lent connection is there until it is given back")
     }
 }
 
-impl<C: Codec> DerefMut for Lent<C> {
-    fn deref_mut(&mut self) -> &mut Back<C> {
+impl<C: Codec> DerefMut for PooledConnection<C> {
+    fn deref_mut(&mut self) -> &mut ServerConnection<C> {
         self.back
             .as_mut()
             .expect("a lent connection is there until it is given back")
@@ -127,13 +127,13 @@
 }
 
 /// Stands for an answer that is awaited.
-pub struct Awaited<C: Codec> {
+pub struct PendingAnswer<C: Codec> {
     service: Rc<Service<C>>,
     server: ServerKey,
     id: u64,
 }
 
-impl<C: Codec> Drop for Awaited<C> {
+impl<C: Codec> Drop for PendingAnswer<C> {
     fn drop(&mut self) {
         let mut state = self.service.state.borrow_mut();
         if let Some(known) = state.servers.get_mut(&self.server) {
--- a/crates/proxy/src/service/queue.rs
+++ b/crates/proxy/src/service/queue.rs
@@ -7,7 +7,7 @@
 use flamingopost_core::key::ServerKey;
 use tokio::sync::oneshot;
 
-use super::{Lent, Service, Waiter};
+use super::{PooledConnection, Service, Waiter};
 use crate::codec::Codec;
 
 impl<C: Codec> Service<C> {
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// Why there was none before the ticket's deadline.
-    pub async fn acquire(self: &Rc<Self>, ticket: Ticket) -> Result<Lent<C>, Unserved> {
+    pub async fn acquire(self: &Rc<Self>, ticket: Ticket) -> Result<PooledConnection<C>, Unserved> {
         let now = self.site.now();
         let id = ticket.id;
         let (sender, receiver) = oneshot::channel();
@@ -68,7 +68,7 @@
         match (waiter, back) {
             (Some(waiter), Some(back)) if !back.is_over() => {
                 drop(state);
-                let lent = Lent {
+                let lent = PooledConnection {
                     back: Some(back),
                     life,
                     service: Rc::clone(self),
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -11,10 +11,10 @@
 use flamingopost_core::succession::RETURN;
 use flamingopost_core::term::Term;
 
-use super::{Known, Missing, Service, State};
-use crate::back::Target;
+use super::{MissingEvidence, ServerEntry, Service, State};
 use crate::codec::Codec;
 use crate::peer;
+use crate::server_connection::Target;
 
 /// Which start of a server is listed, as far as this host knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,12 +22,12 @@
     /// The one that it has heard of, or the first.
     Known,
     /// A newer one than the one under this key.
-    Again(ServerKey),
+    Restarted(ServerKey),
 }
 
 /// How a server came back.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Back {
+pub(super) struct RestartRecord {
     /// Its former start.
     pub former: ServerKey,
     /// How far the service's log was seen to reach at that moment.
@@ -38,7 +38,7 @@
 
 /// Which server another host means, as far as this one knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Meant {
+pub enum ResolvedServer {
     /// The start that is listed here.
     Listed(ServerKey),
     /// One before that, which is over.
@@ -52,15 +52,15 @@
 /// How long after a server is believed to lead it is asked what it is, at the latest: as soon as each
 /// other server has shown, on a connection of its own, what it has. That takes a few round trips between
 /// zones, and the tens of milliseconds that a server takes for a new connection.
-const LOOK_AGAIN: Duration = Duration::from_millis(150);
+const CHECK_DELAY: Duration = Duration::from_millis(150);
 
 /// Longest time that a host sends nothing to a server that it believes to lead and has not checked: until
 /// the check, and as much again for its answer.
-const UNCHECKED: Duration = Duration::from_millis(350);
+const CHECK_HOLD: Duration = Duration::from_millis(350);
 
 /// What a host checks once of a server that it believes to lead.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) enum Check {
+pub(super) enum PrimaryCheck {
     /// Whether it has the service's log, from this moment on.
     Due(Duration),
     /// The same, and it was asked.
@@ -81,7 +81,7 @@
     pub(super) fn weigh(self: &Rc<Self>, server: ServerKey, position: Position, sent: Duration) {
         let mut state = self.state.borrow_mut();
         if state.dispatch.leader() == Some(server)
-            && let Check::Due(due) | Check::Asked(due) = state.check
+            && let PrimaryCheck::Due(due) | PrimaryCheck::Asked(due) = state.check
             && sent >= due
         {
             state.checked(position, self.site.now());
@@ -112,7 +112,7 @@
     pub fn take_unchecked(&self) -> Option<Target> {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
-        let Check::Due(due) = state.check else {
+        let PrimaryCheck::Due(due) = state.check else {
             return None;
         };
         let known = state.servers.get(&state.dispatch.leader()?)?;
@@ -120,7 +120,7 @@
         if now < due && !state.all_shown() {
             return None;
         }
-        state.check = Check::Asked(due.min(now));
+        state.check = PrimaryCheck::Asked(due.min(now));
         Some(target)
     }
 
@@ -166,7 +166,7 @@
         state.vouch.saw_term(position.term);
         state.extent.showed(position, now);
         if !was_written && state.extent.is_written() && state.dispatch.leader().is_some() {
-            state.check = Check::Due(now);
+            state.check = PrimaryCheck::Due(now);
             self.alarm.notify_one();
         }
     }
@@ -180,16 +180,16 @@
     }
 
     /// The server that another host means.
-    pub fn meant(&self, server: &peer::Server) -> Meant {
+    pub fn meant(&self, server: &peer::Server) -> ResolvedServer {
         let Some(key) = self.find(&server.id) else {
-            return Meant::Unknown;
+            return ResolvedServer::Unknown;
         };
         let state = self.state.borrow();
         let listed = state.servers.get(&key).map(|known| known.incarnation);
         match listed.cmp(&Some(server.incarnation())) {
-            Ordering::Less => Meant::Newer,
-            Ordering::Equal => Meant::Listed(key),
-            Ordering::Greater => Meant::Former,
+            Ordering::Less => ResolvedServer::Newer,
+            Ordering::Equal => ResolvedServer::Listed(key),
+            Ordering::Greater => ResolvedServer::Former,
         }
     }
 
@@ -199,10 +199,10 @@
     }
 }
 
-impl Check {
+impl PrimaryCheck {
     /// Another server is believed to lead from `now` on.
-    pub(super) fn after(now: Duration) -> Check {
-        Check::Due(now + LOOK_AGAIN)
+    pub(super) fn after(now: Duration) -> PrimaryCheck {
+        PrimaryCheck::Due(now + CHECK_DELAY)
     }
 }
 
@@ -224,7 +224,7 @@
 
     /// Whether the check that is due later can be made now: nothing more will be shown.
     pub(super) fn may_check(&self) -> bool {
-        matches!(self.check, Check::Due(_)) && self.all_shown()
+        matches!(self.check, PrimaryCheck::Due(_)) && self.all_shown()
     }
 
     /// Whether each other server has shown what it has since this one was believed to lead.
@@ -235,7 +235,7 @@
     }
 
     /// The servers beside the one that is believed to lead.
-    pub(super) fn others(&self) -> impl Iterator<Item = (ServerKey, &Known)> {
+    pub(super) fn others(&self) -> impl Iterator<Item = (ServerKey, &ServerEntry)> {
         let leader = self.dispatch.leader();
         let servers = self.servers.iter().map(|(key, known)| (*key, known));
         servers.filter(move |(key, _)| Some(*key) != leader)
@@ -248,7 +248,7 @@
     /// not expect waits for the check. Reads of some age as well: they may need no more than the start of its
     /// term, which servers take every log to contain.
     pub(super) fn check_leader(&mut self, now: Duration) {
-        self.check = Check::after(now);
+        self.check = PrimaryCheck::after(now);
         self.weighed = None;
         self.servers
             .values_mut()
@@ -260,7 +260,7 @@
             return;
         }
         if self.may_hold_for_check() {
-            let until = now + UNCHECKED;
+            let until = now + CHECK_HOLD;
             let hold = Hold { from: now, until };
             self.unchecked = Some(hold);
             self.dispatch.hold_with_reads(hold);
@@ -307,9 +307,9 @@
             return;
         };
         match self.missing(position) {
-            Missing::Nothing => self.checked(position, now),
-            Missing::Orders => {}
-            Missing::Record | Missing::Proof => self.check = Check::Due(now),
+            MissingEvidence::Nothing => self.checked(position, now),
+            MissingEvidence::Orders => {}
+            MissingEvidence::Record | MissingEvidence::Proof => self.check = PrimaryCheck::Due(now),
         }
     }
 
@@ -317,18 +317,18 @@
     fn checked(&mut self, position: Position, now: Duration) {
         self.weighed = Some(position);
         match (self.missing(position), self.check) {
-            (Missing::Nothing, _) => {
-                self.check = Check::Done;
+            (MissingEvidence::Nothing, _) => {
+                self.check = PrimaryCheck::Done;
                 self.weighed = None;
                 self.proved = self.dispatch.leader();
                 self.end_check();
             }
             // Who has asked goes on to find out the rest.
-            (_, Check::Asked(_)) => {
-                self.check = Check::Done;
+            (_, PrimaryCheck::Asked(_)) => {
+                self.check = PrimaryCheck::Done;
                 self.wait_for_proof(now);
             }
-            (_, Check::Due(_) | Check::Done) => {}
+            (_, PrimaryCheck::Due(_) | PrimaryCheck::Done) => {}
         }
     }
 
@@ -347,7 +347,7 @@
         let leader = self.dispatch.leader();
         let by_other = leader.is_some_and(|leader| leader != server);
         if !was_seen && self.extent.is_seen() && by_other && position.term < self.vouch.term() {
-            self.check = Check::Due(now);
+            self.check = PrimaryCheck::Due(now);
         }
     }
 
--- a/crates/proxy/src/service/life.rs
+++ b/crates/proxy/src/service/restart_signal.rs
@@ -11,7 +11,7 @@
 /// with it, nothing comes back on its connections, not even that they have ended, and a statement
 /// would wait until its time is over.
 #[derive(Debug, Clone, Default)]
-pub struct Life {
+pub struct RestartSignal {
     state: Rc<State>,
 }
 
@@ -21,7 +21,7 @@
     ended: Notify,
 }
 
-impl Life {
+impl RestartSignal {
     /// It is over from now on.
     pub fn end(&self) {
         self.state.over.set(true);
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -8,24 +8,24 @@
 use flamingopost_core::position::Position;
 use flamingopost_core::retry::budget::Budget;
 
-use crate::attempt::Frame;
-use crate::back::Back;
-use crate::carry::Carry;
+use crate::attempt::TransactionFrame;
+use crate::caller_connection::{self, CallerConnection};
+use crate::caller_state::CallerState;
 use crate::codec::Codec;
 use crate::fleet::{Fleet, Home};
-use crate::front::{self, Front};
 use crate::host::Stop;
 use crate::message::{Access, Code, Query, Request, Shape, Statement, Transaction};
 use crate::meter::End;
 use crate::relay::{self, Relay};
+use crate::server_connection::ServerConnection;
 use crate::site::Site;
 
-mod place;
-mod tell;
+mod placement;
+mod respond;
 mod transaction;
 
-use place::{Answered, Plan, Served};
-use transaction::Open;
+use placement::{Answered, Plan, StatementResult};
+use transaction::OpenTransaction;
 
 /// Told while most other hosts are silent: the primary may be about to be replaced without this
 /// host hearing of it, and what it acknowledges then is lost.
@@ -38,7 +38,7 @@
 const LOG_LOST: &str = "the primary that answered has lost its log";
 
 /// How long a caller may take to say which database it wants.
-const STARTUP: Duration = Duration::from_secs(5);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What sessions share.
 pub struct Context<C: Codec> {
@@ -53,28 +53,28 @@
 /// One caller's session.
 pub struct Session<C: Codec> {
     context: Rc<Context<C>>,
-    front: Front<C>,
+    front: CallerConnection<C>,
     database: String,
-    carry: Carry,
+    carry: CallerState,
     /// What the session has written or seen, by service.
     seen: BTreeMap<String, Position>,
-    transaction: State<C>,
+    transaction: TransactionState<C>,
     retries: Budget,
     /// How often sessions had been asked to move when this one began.
     moves: u64,
 }
 
-enum State<C: Codec> {
+enum TransactionState<C: Codec> {
     Idle,
     /// Opened by the caller; no server knows of it yet.
-    Begun(Begun),
-    Open(Box<Open<C>>),
+    Begun(PendingTransaction),
+    Open(Box<OpenTransaction<C>>),
     /// It failed: only its end is left.
     Failed,
 }
 
 #[derive(Debug, Clone)]
-struct Begun {
+struct PendingTransaction {
     access: Access,
     /// When the caller's `BEGIN` was read.
     at: Duration,
@@ -82,11 +82,11 @@
 
 /// Where a session may be served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum RelayPolicy {
     /// Here, or by another host of the zone.
-    Any,
+    Allowed,
     /// Here: another host has passed it on.
-    Here,
+    Never,
 }
 
 /// Whether a session goes on.
@@ -109,10 +109,10 @@
     /// The caller's connection is lost, or it cannot be understood.
     pub async fn serve(
         context: Rc<Context<C>>,
-        mut front: Front<C>,
-        place: Place,
-    ) -> Result<(), front::Error> {
-        let started = tokio::time::timeout(STARTUP, front.request()).await;
+        mut front: CallerConnection<C>,
+        place: RelayPolicy,
+    ) -> Result<(), caller_connection::Error> {
+        let started = tokio::time::timeout(STARTUP_TIMEOUT, front.request()).await;
         let database = match started {
             Ok(Ok(Some(Request::Startup { database }))) => database,
             Ok(Ok(None)) | Err(_) => return Ok(()),
@@ -132,7 +132,7 @@
             front.error(Code::NoDatabase, b"there is no such database");
             return front.close().await;
         }
-        if place == Place::Any
+        if place == RelayPolicy::Allowed
             && let Some(back) = elsewhere(&context, &database).await
         {
             front.ready(Transaction::Idle, None);
@@ -148,15 +148,15 @@
             context,
             front,
             database,
-            carry: Carry::default(),
+            carry: CallerState::default(),
             seen: BTreeMap::new(),
-            transaction: State::Idle,
+            transaction: TransactionState::Idle,
             retries: Budget::retries(),
         };
         session.run().await
     }
 
-    async fn run(mut self) -> Result<(), front::Error> {
+    async fn run(mut self) -> Result<(), caller_connection::Error> {
         loop {
             let incoming = match self.next().await {
                 Ok(incoming) => incoming,
@@ -186,11 +186,11 @@
         self.front.close().await
     }
 
-    async fn next(&mut self) -> Result<Incoming, front::Error> {
+    async fn next(&mut self) -> Result<Incoming, caller_connection::Error> {
         let stop = Rc::clone(&self.context.stop);
         let open = match self.transaction {
-            State::Idle | State::Failed => false,
-            State::Begun(_) | State::Open(_) => true,
+            TransactionState::Idle | TransactionState::Failed => false,
+            TransactionState::Begun(_) | TransactionState::Open(_) => true,
         };
         let idle = self.context.fleet.configuration();
         let idle = idle.map_or(Duration::MAX, |it| it.transaction_idle);
@@ -198,7 +198,7 @@
             return tokio::select! {
                 biased;
                 request = self.front.request() => Ok(Incoming::Request(request?)),
-                () = tokio::time::sleep(idle.min(front::IDLE_MOST)) => Ok(Incoming::Idle),
+                () = tokio::time::sleep(idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => Ok(Incoming::Idle),
                 () = stop.transactions() => Ok(Incoming::Stop),
             };
         }
@@ -209,7 +209,7 @@
         }
     }
 
-    async fn query(&mut self, query: &Query) -> Result<Flow, front::Error> {
+    async fn query(&mut self, query: &Query) -> Result<Flow, caller_connection::Error> {
         match &query.statement {
             Statement::Begin(access) => self.begin(*access),
             Statement::Commit => self.commit(query).await,
@@ -242,9 +242,9 @@
 
     fn begin(&mut self, access: Access) {
         match self.transaction {
-            State::Idle => {
+            TransactionState::Idle => {
                 let at = self.context.site.now();
-                self.transaction = State::Begun(Begun { access, at });
+                self.transaction = TransactionState::Begun(PendingTransaction { access, at });
                 self.acknowledge();
             }
             _ => self.refuse(Code::Malformed, b"a transaction is open already"),
@@ -252,10 +252,10 @@
     }
 
     fn rollback(&mut self) {
-        match std::mem::replace(&mut self.transaction, State::Idle) {
-            State::Idle => self.refuse(Code::Malformed, b"no transaction is open"),
-            State::Begun(_) | State::Failed => self.acknowledge(),
-            State::Open(open) => {
+        match std::mem::replace(&mut self.transaction, TransactionState::Idle) {
+            TransactionState::Idle => self.refuse(Code::Malformed, b"no transaction is open"),
+            TransactionState::Begun(_) | TransactionState::Failed => self.acknowledge(),
+            TransactionState::Open(open) => {
                 open.roll_back();
                 self.acknowledge();
             }
@@ -263,15 +263,17 @@
     }
 
     async fn commit(&mut self, query: &Query) {
-        match std::mem::replace(&mut self.transaction, State::Idle) {
-            State::Idle => self.refuse(Code::Malformed, b"no transaction is open"),
-            State::Failed => self.refuse(Code::Aborted, b"the transaction was rolled back"),
-            State::Begun(begun) => {
+        match std::mem::replace(&mut self.transaction, TransactionState::Idle) {
+            TransactionState::Idle => self.refuse(Code::Malformed, b"no transaction is open"),
+            TransactionState::Failed => {
+                self.refuse(Code::Aborted, b"the transaction was rolled back")
+            }
+            TransactionState::Begun(begun) => {
                 self.first(query, begun, Access::Read, None).await;
                 // An error has closed the transaction, and success has committed it.
-                self.transaction = State::Idle;
+                self.transaction = TransactionState::Idle;
             }
-            State::Open(open) => self.commit_open(query, open).await,
+            TransactionState::Open(open) => self.commit_open(query, open).await,
         }
     }
 
@@ -281,12 +283,12 @@
         access: Access,
         prepared: Option<(&Shape, &Bytes)>,
     ) {
-        match std::mem::replace(&mut self.transaction, State::Idle) {
-            State::Idle => self.single(query, access, prepared).await,
-            State::Begun(begun) => self.first(query, begun, access, prepared).await,
-            State::Open(open) => self.further(query, open, access, prepared).await,
-            State::Failed => {
-                self.transaction = State::Failed;
+        match std::mem::replace(&mut self.transaction, TransactionState::Idle) {
+            TransactionState::Idle => self.single(query, access, prepared).await,
+            TransactionState::Begun(begun) => self.first(query, begun, access, prepared).await,
+            TransactionState::Open(open) => self.further(query, open, access, prepared).await,
+            TransactionState::Failed => {
+                self.transaction = TransactionState::Failed;
                 self.refuse(Code::Malformed, b"the transaction has failed");
             }
         }
@@ -301,13 +303,13 @@
         };
         let plan = Plan {
             access,
-            frame: Frame::Bare,
+            frame: TransactionFrame::Bare,
             since: arrived,
             arrived,
             deadline: arrived + route.timeout,
         };
         match self.place(query, &plan, prepared).await {
-            Served::Answered(answered) => {
+            StatementResult::Answered(answered) => {
                 let Answered {
                     outcome,
                     lent,
@@ -325,8 +327,8 @@
                 self.deliver(&outcome, Transaction::Idle, end, arrived);
                 lent.give_back();
             }
-            Served::NotRun(code, reason) => self.tell(query, code, &reason, arrived),
-            Served::InDoubt(code, reason) => {
+            StatementResult::NotRun(code, reason) => self.tell(query, code, &reason, arrived),
+            StatementResult::InDoubt(code, reason) => {
                 let code = match access {
                     Access::Read => code,
                     Access::Write => Code::InDoubt,
@@ -338,16 +340,16 @@
 
     /// Ends the open transaction on this host's own account.
     fn abandon(&mut self) {
-        match std::mem::replace(&mut self.transaction, State::Failed) {
-            State::Idle => self.transaction = State::Idle,
-            State::Begun(_) | State::Failed => {}
-            State::Open(open) => open.roll_back(),
+        match std::mem::replace(&mut self.transaction, TransactionState::Failed) {
+            TransactionState::Idle => self.transaction = TransactionState::Idle,
+            TransactionState::Begun(_) | TransactionState::Failed => {}
+            TransactionState::Open(open) => open.roll_back(),
         }
     }
 }
 
 /// A session at a host that serves `database` for this one, if there is one that can be reached.
-async fn elsewhere<C: Codec>(context: &Context<C>, database: &str) -> Option<Back<C>> {
+async fn elsewhere<C: Codec>(context: &Context<C>, database: &str) -> Option<ServerConnection<C>> {
     let (route, _) = context.fleet.route(database)?;
     let homes = context.fleet.homes(&route.service)?;
     if homes.contains(&Home::Here) {
--- a/crates/proxy/src/session/place.rs
+++ b/crates/proxy/src/session/placement.rs
@@ -11,34 +11,34 @@
 use flamingopost_core::retry::budget::Budget;
 use flamingopost_core::retry::{self, Attempt};
 
-use super::tell::text;
+use super::respond::text;
 use super::{LOG_LOST, OUT_OF_TOUCH, REPLACED, Session};
-use crate::attempt::{self, Frame, Job, Ran};
-use crate::back::Outcome;
+use crate::attempt::{self, Job, RunResult, TransactionFrame};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::{Access, Code, Query, Shape, Transaction};
 use crate::route::Route;
-use crate::service::{Lent, Service};
+use crate::server_connection::Outcome;
+use crate::service::{PooledConnection, Service};
 
 /// Further attempts at a statement that did not run. Each takes a round trip, and the deadline
 /// of the statement ends them before the count does.
-const RETRIES: u8 = 6;
+const MAX_RETRIES: u8 = 6;
 
 /// Taken off the age that a read accepts: what passes between a caller's first byte and the
 /// moment at which this host reads it, under load.
 const AGE_MARGIN: Duration = Duration::from_millis(20);
 
 /// A statement that takes this many times the average has probably lost its answer.
-const OVERDUE: u32 = 8;
+const OVERDUE_FACTOR: u32 = 8;
 
 /// No answer is overdue before this: longer than a full queue of usual statements takes.
-const OVERDUE_LEAST: Duration = Duration::from_millis(250);
+const MIN_OVERDUE: Duration = Duration::from_millis(250);
 
 /// Where a statement may run, and what surrounds it.
 pub(super) struct Plan {
     pub access: Access,
-    pub frame: Frame,
+    pub frame: TransactionFrame,
     /// When its caller's operation was first read.
     pub since: Duration,
     /// When the statement was read.
@@ -47,13 +47,13 @@
 }
 
 /// How one attempt ended.
-enum Tried<C: Codec> {
-    Served(Served<C>),
-    Failed(Failed<C>),
+enum AttemptResult<C: Codec> {
+    Final(StatementResult<C>),
+    Failed(FailedAttempt<C>),
 }
 
 /// An attempt that failed.
-struct Failed<C: Codec> {
+struct FailedAttempt<C: Codec> {
     service: Rc<Service<C>>,
     server: ServerKey,
     need: Need,
@@ -64,10 +64,10 @@
 }
 
 /// How an attempt was made.
-struct Sending<C: Codec> {
+struct AttemptContext<C: Codec> {
     service: Rc<Service<C>>,
     need: Need,
-    frame: Frame,
+    frame: TransactionFrame,
     repeatable: bool,
     sent: Duration,
     /// Up to when what it shows of a primary is known to be current.
@@ -78,12 +78,12 @@
 impl Plan {
     /// Whether it is a write outside of any transaction, which is kept as soon as it has run.
     fn writes_alone(&self) -> bool {
-        self.access == Access::Write && self.frame == Frame::Bare
+        self.access == Access::Write && self.frame == TransactionFrame::Bare
     }
 }
 
 /// How a statement ended that runs on a connection of its own choice.
-pub(super) enum Served<C: Codec> {
+pub(super) enum StatementResult<C: Codec> {
     Answered(Box<Answered<C>>),
     /// It did not run.
     NotRun(Code, String),
@@ -93,7 +93,7 @@
 
 pub(super) struct Answered<C: Codec> {
     pub outcome: Outcome,
-    pub lent: Lent<C>,
+    pub lent: PooledConnection<C>,
     pub service: Rc<Service<C>>,
     pub led: bool,
 }
@@ -105,15 +105,15 @@
         query: &Query,
         plan: &Plan,
         prepared: Option<(&Shape, &Bytes)>,
-    ) -> Served<C> {
+    ) -> StatementResult<C> {
         self.retries.fill();
         let mut avoid = None;
         let mut count = 0;
         loop {
             count += 1;
             let failed = match self.attempt(query, plan, prepared, avoid, count).await {
-                Tried::Served(served) => return served,
-                Tried::Failed(failed) => failed,
+                AttemptResult::Final(served) => return served,
+                AttemptResult::Failed(failed) => failed,
             };
             let now = self.context.site.now();
             let retry::Next::Again(wait) = self.again(plan, count, &failed, now) else {
@@ -143,21 +143,21 @@
         prepared: Option<(&Shape, &Bytes)>,
         avoid: Option<ServerKey>,
         count: u8,
-    ) -> Tried<C> {
+    ) -> AttemptResult<C> {
         // The configuration may change while a statement waits for its next attempt.
         let Some((route, service)) = self.context.fleet.route(&self.database) else {
             let reason = "there is no such database any more".to_owned();
-            return Tried::Served(Served::NotRun(Code::NoDatabase, reason));
+            return AttemptResult::Final(StatementResult::NotRun(Code::NoDatabase, reason));
         };
         let (need, mut lent) = match self.acquire(plan, &route, &service, avoid).await {
             Ok(acquired) => acquired,
-            Err(served) => return Tried::Served(served),
+            Err(served) => return AttemptResult::Final(served),
         };
         let frame = fence(plan.frame, plan.access, need);
         // A lease may have run out while the statement waited.
         let Some(current) = self.current_at(plan, need, &service).await else {
             lent.give_back();
-            return Tried::Served(out_of_touch());
+            return AttemptResult::Final(out_of_touch());
         };
         let job = Job {
             query,
@@ -176,10 +176,10 @@
                 millis: sent.saturating_sub(current).as_millis(),
             });
         }
-        let repeatable = plan.access == Access::Read || matches!(frame, Frame::Opens(_));
+        let repeatable = plan.access == Access::Read || matches!(frame, TransactionFrame::Opens(_));
         let limit = self.limit(plan, repeatable, service.average(lent.server), sent);
         let ran = attempt::run(&mut lent, &job, limit).await;
-        let sending = Sending {
+        let sending = AttemptContext {
             service,
             need,
             frame,
@@ -203,7 +203,7 @@
         route: &Route,
         service: &Rc<Service<C>>,
         avoid: Option<ServerKey>,
-    ) -> Result<(Need, Lent<C>), Served<C>> {
+    ) -> Result<(Need, PooledConnection<C>), StatementResult<C>> {
         loop {
             let vouched = service.vouched.notified();
             let need = self.need(plan, route, service);
@@ -214,7 +214,7 @@
                 id: self.context.site.next_id(),
                 need,
                 priority: route.priority,
-                long: matches!(plan.frame, Frame::Opens(_)),
+                long: matches!(plan.frame, TransactionFrame::Opens(_)),
                 arrived: plan.arrived,
                 goal: plan.since + route.goal,
                 deadline: plan.deadline,
@@ -250,12 +250,12 @@
         &self,
         query: &Query,
         plan: &Plan,
-        lent: Lent<C>,
-        ran: Ran,
-        sending: Sending<C>,
-    ) -> Tried<C> {
+        lent: PooledConnection<C>,
+        ran: RunResult,
+        sending: AttemptContext<C>,
+    ) -> AttemptResult<C> {
         let server = lent.server;
-        let Sending {
+        let AttemptContext {
             service,
             need,
             frame,
@@ -265,7 +265,7 @@
             count,
         } = sending;
         let (code, run, error) = match ran {
-            Ran::Answered(outcome) => {
+            RunResult::Answered(outcome) => {
                 let led = need == Need::Lead;
                 let refuted = led && service.is_refuted(server, outcome.position, sent);
                 let code = outcome.end.as_ref().err().map(|fault| fault.code);
@@ -283,20 +283,25 @@
                 {
                     lent.give_back();
                     self.doubt(query, &service, server, reason, plan.arrived);
-                    return Tried::Served(Served::InDoubt(Code::InDoubt, reason.to_owned()));
+                    return AttemptResult::Final(StatementResult::InDoubt(
+                        Code::InDoubt,
+                        reason.to_owned(),
+                    ));
                 }
                 let final_failure =
                     |code: Code| !code.did_not_run() && (plan.access == Access::Write || count > 1);
                 let Some(code) = code.filter(|code| !final_failure(*code)) else {
                     service.took(server, self.context.site.now().saturating_sub(sent));
-                    return Tried::Served(Served::Answered(Box::new(Answered {
+                    return AttemptResult::Final(StatementResult::Answered(Box::new(Answered {
                         outcome,
                         lent,
                         service,
                         led,
                     })));
                 };
-                match outcome.transaction == Transaction::Idle || frame == Frame::Alone {
+                match outcome.transaction == Transaction::Idle
+                    || frame == TransactionFrame::RolledBack
+                {
                     true => lent.give_back(),
                     false => drop(lent),
                 }
@@ -307,16 +312,16 @@
                 };
                 (code, run, None)
             }
-            Ran::Refused(code) => {
+            RunResult::Refused(code) => {
                 service.heard(server, None, sent, false);
                 lent.give_back();
                 (code, Run::No, None)
             }
-            Ran::Unsent(error) => {
+            RunResult::Unsent(error) => {
                 service.missed(server, &error, sent);
                 (Code::Busy, Run::No, Some(error))
             }
-            Ran::Unanswered(error) => {
+            RunResult::Unanswered(error) => {
                 service.missed(server, &error, sent);
                 (Code::Timeout, Run::Unknown, Some(error))
             }
@@ -331,7 +336,7 @@
             Some(error) => error.to_string(),
             None => format!("{code:?}"),
         };
-        Tried::Failed(Failed {
+        AttemptResult::Failed(FailedAttempt {
             service,
             server,
             need,
@@ -343,8 +348,8 @@
     }
 
     /// What a statement ends with after its last attempt.
-    fn given_up(&self, query: &Query, plan: &Plan, failed: Failed<C>) -> Served<C> {
-        let Failed {
+    fn given_up(&self, query: &Query, plan: &Plan, failed: FailedAttempt<C>) -> StatementResult<C> {
+        let FailedAttempt {
             service,
             server,
             code,
@@ -353,15 +358,21 @@
             ..
         } = failed;
         match run {
-            Run::No => Served::NotRun(code, reason),
+            Run::No => StatementResult::NotRun(code, reason),
             Run::Unknown | Run::Yes => {
                 self.doubt(query, &service, server, &reason, plan.arrived);
-                Served::InDoubt(code, reason)
+                StatementResult::InDoubt(code, reason)
             }
         }
     }
 
-    fn again(&mut self, plan: &Plan, count: u8, failed: &Failed<C>, now: Duration) -> retry::Next {
+    fn again(
+        &mut self,
+        plan: &Plan,
+        count: u8,
+        failed: &FailedAttempt<C>,
+        now: Duration,
+    ) -> retry::Next {
         let failure = match failed.code {
             Code::Malformed | Code::NoDatabase | Code::Misrouted => retry::Failure::Always,
             Code::Busy => retry::Failure::Everywhere,
@@ -377,7 +388,7 @@
             failure,
             ran,
             repeatable: failed.repeatable,
-            retries: RETRIES,
+            retries: MAX_RETRIES,
             deadline: plan.deadline,
             expected: Duration::ZERO,
             dice: rand::random(),
@@ -450,7 +461,7 @@
 
 /// After which time without an answer a statement is asked of another server, or again.
 fn overdue(average: Duration) -> Duration {
-    (average * OVERDUE).max(OVERDUE_LEAST)
+    (average * OVERDUE_FACTOR).max(MIN_OVERDUE)
 }
 
 /// What goes around a statement that needs `need`.
@@ -458,27 +469,29 @@
 /// A server that was replaced as primary, and has not heard of it or has only just, goes on
 /// answering reads outside of transactions that may write. Data that it lacks then show as an
 /// answer that is too old. So whatever relies on a server's lead runs in such a transaction.
-fn fence(frame: Frame, access: Access, need: Need) -> Frame {
+fn fence(frame: TransactionFrame, access: Access, need: Need) -> TransactionFrame {
     match (frame, access, need) {
-        (Frame::Bare, Access::Read, Need::Lead) => Frame::Alone,
-        (Frame::Opens(_), _, Need::Lead) => Frame::Opens(Access::Write),
+        (TransactionFrame::Bare, Access::Read, Need::Lead) => TransactionFrame::RolledBack,
+        (TransactionFrame::Opens(_), _, Need::Lead) => TransactionFrame::Opens(Access::Write),
         (frame, _, _) => frame,
     }
 }
 
 /// A statement needs a primary, and this host has no lease.
-fn out_of_touch<C: Codec>() -> Served<C> {
-    Served::NotRun(Code::Busy, OUT_OF_TOUCH.to_owned())
+fn out_of_touch<C: Codec>() -> StatementResult<C> {
+    StatementResult::NotRun(Code::Busy, OUT_OF_TOUCH.to_owned())
 }
 
-fn unserved_as<C: Codec>(unserved: Unserved) -> Served<C> {
+fn unserved_as<C: Codec>(unserved: Unserved) -> StatementResult<C> {
     match unserved {
-        Unserved::Busy => Served::NotRun(Code::Busy, "no connection was free in time".to_owned()),
-        Unserved::NoPrimary => Served::NotRun(
+        Unserved::Busy => {
+            StatementResult::NotRun(Code::Busy, "no connection was free in time".to_owned())
+        }
+        Unserved::NoPrimary => StatementResult::NotRun(
             Code::Busy,
             "the service has no primary at the moment".to_owned(),
         ),
-        Unserved::Lagging => Served::NotRun(
+        Unserved::Lagging => StatementResult::NotRun(
             Code::Lagging,
             "no server that can be reached has data young enough".to_owned(),
         ),
--- a/crates/proxy/src/session/tell.rs
+++ b/crates/proxy/src/session/respond.rs
@@ -5,13 +5,13 @@
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
 
-use super::{Session, State};
-use crate::back::Outcome;
+use super::{Session, TransactionState};
+use crate::caller_connection;
 use crate::codec::Codec;
 use crate::event::Event;
-use crate::front;
 use crate::message::{Code, Query, Transaction};
 use crate::meter::{self, End};
+use crate::server_connection::Outcome;
 use crate::service::Service;
 
 impl<C: Codec> Session<C> {
@@ -24,7 +24,7 @@
 
     pub(super) fn timeout(&self) -> Duration {
         let timeout = self.context.fleet.timeout(&self.database);
-        timeout.unwrap_or(front::TIMEOUT)
+        timeout.unwrap_or(caller_connection::DEFAULT_STATEMENT_TIMEOUT)
     }
 
     pub(super) fn deliver(
@@ -108,9 +108,9 @@
     /// Whether a transaction is open, as the caller is told.
     pub(super) fn told(&self) -> Transaction {
         match self.transaction {
-            State::Idle => Transaction::Idle,
-            State::Begun(_) | State::Open(_) => Transaction::Open,
-            State::Failed => Transaction::Failed,
+            TransactionState::Idle => Transaction::Idle,
+            TransactionState::Begun(_) | TransactionState::Open(_) => Transaction::Open,
+            TransactionState::Failed => Transaction::Failed,
         }
     }
 }
--- a/crates/proxy/src/session/transaction.rs
+++ b/crates/proxy/src/session/transaction.rs
@@ -5,25 +5,25 @@
 
 use bytes::Bytes;
 
-use super::place::{Answered, Plan, Served};
-use super::{Begun, LOG_LOST, Session, State};
-use crate::attempt::{self, Frame, Job, Ran};
-use crate::back::Outcome;
+use super::placement::{Answered, Plan, StatementResult};
+use super::{LOG_LOST, PendingTransaction, Session, TransactionState};
+use crate::attempt::{self, Job, RunResult, TransactionFrame};
 use crate::codec::Codec;
 use crate::message::{Access, Code, Command, Query, Shape, Transaction};
 use crate::meter::End;
 use crate::route::Consistency;
-use crate::service::{Lent, Service};
+use crate::server_connection::Outcome;
+use crate::service::{PooledConnection, Service};
 
 /// Pause before a statement of an open transaction is sent again to a server without room.
-const FULL_PAUSE: Duration = Duration::from_millis(10);
+const BUSY_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long the end of a transaction that its caller has left may take at the server.
-const ROLLBACK: Duration = Duration::from_millis(500);
+const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A transaction that is open at a server.
-pub(super) struct Open<C: Codec> {
-    pub lent: Lent<C>,
+pub(super) struct OpenTransaction<C: Codec> {
+    pub lent: PooledConnection<C>,
     pub service: Rc<Service<C>>,
     pub wrote: bool,
     /// Only a server that leads answers within it.
@@ -35,13 +35,13 @@
     pub(super) async fn first(
         &mut self,
         query: &Query,
-        begun: Begun,
+        begun: PendingTransaction,
         access: Access,
         prepared: Option<(&Shape, &Bytes)>,
     ) {
         let arrived = self.context.site.now();
         let Some((route, _)) = self.context.fleet.route(&self.database) else {
-            self.transaction = State::Failed;
+            self.transaction = TransactionState::Failed;
             self.refuse(Code::NoDatabase, b"there is no such database any more");
             return;
         };
@@ -53,13 +53,13 @@
         };
         let plan = Plan {
             access: opens.max(access.min(begun.access)),
-            frame: Frame::Opens(opens),
+            frame: TransactionFrame::Opens(opens),
             since: begun.at,
             arrived,
             deadline: arrived + route.timeout,
         };
         match self.place(query, &plan, prepared).await {
-            Served::Answered(answered) => {
+            StatementResult::Answered(answered) => {
                 let Answered {
                     outcome,
                     mut lent,
@@ -72,11 +72,11 @@
                 self.transaction = match transaction {
                     Transaction::Idle => {
                         lent.give_back();
-                        State::Idle
+                        TransactionState::Idle
                     }
                     Transaction::Open | Transaction::Failed => {
                         lent.rest(true);
-                        State::Open(Box::new(Open {
+                        TransactionState::Open(Box::new(OpenTransaction {
                             lent,
                             service,
                             wrote,
@@ -87,8 +87,8 @@
                 self.deliver(&outcome, transaction, end, arrived);
             }
             // Without its end, nothing of a transaction is kept.
-            Served::NotRun(code, reason) | Served::InDoubt(code, reason) => {
-                self.transaction = State::Failed;
+            StatementResult::NotRun(code, reason) | StatementResult::InDoubt(code, reason) => {
+                self.transaction = TransactionState::Failed;
                 let code = match code.did_not_run() {
                     true => code,
                     false => Code::Aborted,
@@ -102,7 +102,7 @@
     pub(super) async fn further(
         &mut self,
         query: &Query,
-        mut open: Box<Open<C>>,
+        mut open: Box<OpenTransaction<C>>,
         access: Access,
         prepared: Option<(&Shape, &Bytes)>,
     ) {
@@ -112,7 +112,7 @@
             query,
             carry: &self.carry,
             prepared: prepared.map(|(shape, arguments)| (shape, &arguments[..])),
-            frame: Frame::Bare,
+            frame: TransactionFrame::Bare,
             after: None,
             current: arrived,
         };
@@ -120,7 +120,7 @@
         open.lent.rest(false);
         let ran = insist(&mut open, &job, self.timeout()).await;
         match ran {
-            Ran::Answered(outcome) => {
+            RunResult::Answered(outcome) => {
                 let is_past = open.service.is_past(open.lent.server);
                 let led = open.led && holds_lease && !is_past && outcome.end.is_ok();
                 open.heard(&outcome, arrived, led);
@@ -129,34 +129,34 @@
                 self.transaction = match transaction {
                     Transaction::Idle => {
                         open.lent.give_back();
-                        State::Failed
+                        TransactionState::Failed
                     }
                     Transaction::Open | Transaction::Failed => {
                         open.lent.rest(true);
-                        State::Open(open)
+                        TransactionState::Open(open)
                     }
                 };
                 let told = match self.transaction {
-                    State::Failed => Transaction::Failed,
+                    TransactionState::Failed => Transaction::Failed,
                     _ => transaction,
                 };
                 self.deliver(&outcome, told, end, arrived);
             }
-            Ran::Refused(code) => {
-                self.transaction = State::Failed;
+            RunResult::Refused(code) => {
+                self.transaction = TransactionState::Failed;
                 self.tell(query, code, "the server refused", arrived);
             }
-            Ran::Unsent(error) | Ran::Unanswered(error) => {
+            RunResult::Unsent(error) | RunResult::Unanswered(error) => {
                 let server = open.lent.server;
                 open.service.missed(server, &error, arrived);
                 self.lost(query, &open.service, server, &error.to_string());
-                self.transaction = State::Failed;
+                self.transaction = TransactionState::Failed;
                 self.tell(query, Code::Aborted, "its connection is lost", arrived);
             }
         }
     }
 
-    pub(super) async fn commit_open(&mut self, query: &Query, mut open: Box<Open<C>>) {
+    pub(super) async fn commit_open(&mut self, query: &Query, mut open: Box<OpenTransaction<C>>) {
         let arrived = self.context.site.now();
         if open.wrote
             && let Some(reason) = self.unacknowledged(&open.service, open.lent.server)
@@ -169,7 +169,7 @@
             query,
             carry: &self.carry,
             prepared: None,
-            frame: Frame::Bare,
+            frame: TransactionFrame::Bare,
             after: None,
             current: arrived,
         };
@@ -177,7 +177,7 @@
         let ran = insist(&mut open, &job, self.timeout()).await;
         let server = open.lent.server;
         match ran {
-            Ran::Answered(outcome) => {
+            RunResult::Answered(outcome) => {
                 let refuted =
                     open.led && open.service.is_refuted(server, outcome.position, arrived);
                 if open.wrote
@@ -204,12 +204,12 @@
                     open.lent.give_back();
                 }
             }
-            Ran::Refused(code) => self.tell(query, code, "the server refused", arrived),
-            Ran::Unsent(error) => {
+            RunResult::Refused(code) => self.tell(query, code, "the server refused", arrived),
+            RunResult::Unsent(error) => {
                 open.service.missed(server, &error, arrived);
                 self.tell(query, Code::Aborted, "its connection is lost", arrived);
             }
-            Ran::Unanswered(error) => {
+            RunResult::Unanswered(error) => {
                 open.service.missed(server, &error, arrived);
                 self.lost(query, &open.service, server, &error.to_string());
                 let code = match open.wrote {
@@ -228,7 +228,7 @@
     }
 }
 
-impl<C: Codec> Open<C> {
+impl<C: Codec> OpenTransaction<C> {
     /// Takes in what the server's answer to something sent at `sent` shows of it.
     fn heard(&self, outcome: &Outcome, sent: Duration, led: bool) {
         let server = self.lent.server;
@@ -248,7 +248,7 @@
         }
         tokio::task::spawn_local(async move {
             lent.push(&Command::Rollback);
-            let ended = tokio::time::timeout(ROLLBACK, async {
+            let ended = tokio::time::timeout(ROLLBACK_TIMEOUT, async {
                 lent.flush().await?;
                 lent.outcome().await
             });
@@ -262,23 +262,27 @@
 }
 
 /// Runs a statement of an open transaction, again while the server has no room for it.
-async fn insist<C: Codec>(open: &mut Open<C>, job: &Job<'_>, limit: Duration) -> Ran {
+async fn insist<C: Codec>(
+    open: &mut OpenTransaction<C>,
+    job: &Job<'_>,
+    limit: Duration,
+) -> RunResult {
     let site = Rc::clone(&open.service.site);
     let deadline = site.now() + limit;
     loop {
         let left = deadline.saturating_sub(site.now());
         let ran = attempt::run(&mut open.lent, job, left).await;
         let full = match &ran {
-            Ran::Answered(outcome) => {
+            RunResult::Answered(outcome) => {
                 let busy = matches!(&outcome.end, Err(fault) if fault.code == Code::Busy);
                 busy && outcome.transaction == Transaction::Open
             }
             _ => false,
         };
-        if !full || left < FULL_PAUSE * 2 {
+        if !full || left < BUSY_RETRY_INTERVAL * 2 {
             return ran;
         }
         open.service.full(open.lent.server);
-        tokio::time::sleep(FULL_PAUSE).await;
+        tokio::time::sleep(BUSY_RETRY_INTERVAL).await;
     }
 }
