--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -18,7 +18,7 @@
     /// The caller's statement.
     pub query: &'a Query,
     /// What the caller's session carries.
-    pub carry: &'a CallerState,
+    pub caller_state: &'a CallerState,
     /// The prepared statement that it uses, with its arguments.
     pub prepared: Option<(&'a Shape, &'a [u8])>,
     /// What goes around it.
@@ -26,7 +26,7 @@
     /// What the server's log must contain for it to run.
     pub after: Option<Position>,
     /// Up to when what a primary shows by it is known to be current.
-    pub current: Duration,
+    pub confirmed_at: Duration,
 }
 
 /// What goes around a statement.
@@ -58,20 +58,20 @@
 
 /// Runs `job` on `lent` within `limit`.
 pub async fn run<C: Codec>(
-    lent: &mut PooledConnection<C>,
+    connection: &mut PooledConnection<C>,
     job: &Job<'_>,
     limit: Duration,
 ) -> RunResult {
-    let life = lent.life();
-    if life.is_over() {
+    let restart_signal = connection.restart_signal();
+    if restart_signal.is_raised() {
         return RunResult::Unsent(restarted_error());
     }
     let mut sent = false;
-    let _awaited = lent.awaits();
+    let _pending_answer = connection.track_answer();
     let ran = tokio::select! {
         biased;
-        ran = timeout(limit, exchange(lent, job, &mut sent)) => ran,
-        () = life.ended() => Ok(Err(restarted_error())),
+        ran = timeout(limit, exchange(connection, job, &mut sent)) => ran,
+        () = restart_signal.raised() => Ok(Err(restarted_error())),
     };
     match ran {
         Ok(Ok(ran)) => ran,
@@ -93,38 +93,38 @@
 }
 
 async fn exchange<C: Codec>(
-    lent: &mut PooledConnection<C>,
+    connection: &mut PooledConnection<C>,
     job: &Job<'_>,
     sent: &mut bool,
 ) -> Result<RunResult, server_connection::Error> {
-    prepare_connection(lent, job);
-    if let Some(code) = open_transaction(lent, job).await? {
+    prepare_connection(connection, job);
+    if let Some(code) = open_transaction(connection, job).await? {
         return Ok(RunResult::Refused(code));
     }
-    push_statement(lent, job);
+    push_statement(connection, job);
     if job.frame == TransactionFrame::RolledBack {
-        lent.push(&Command::Rollback);
+        connection.push(&Command::Rollback);
     }
     *sent = true;
-    lent.flush().await?;
+    connection.flush().await?;
     let after = usize::from(job.frame == TransactionFrame::RolledBack);
-    drain_answers(lent, after + 1).await?;
-    let outcome = lent.outcome().await?;
-    if drain_answers(lent, 0).await.is_err() {
+    drain_answers(connection, after + 1).await?;
+    let outcome = connection.outcome().await?;
+    if drain_answers(connection, 0).await.is_err() {
         // The caller's answer is complete; only the connection is not to be used again.
-        lent.broken = true;
+        connection.broken = true;
     }
     Ok(RunResult::Answered(outcome))
 }
 
 /// Queues what makes the connection fit for the session.
-fn prepare_connection<C: Codec>(lent: &mut PooledConnection<C>, job: &Job<'_>) {
+fn prepare_connection<C: Codec>(connection: &mut PooledConnection<C>, job: &Job<'_>) {
     let shape = job.prepared.map(|(shape, _)| shape);
-    for step in lent.mark.steps(job.carry, shape) {
+    for step in connection.connection_state.steps(job.caller_state, shape) {
         match &step {
-            Step::Discard => lent.push(&Command::Discard),
-            Step::Set(name, value) => lent.push(&Command::Set { name, value }),
-            Step::Prepare(name, shape) => lent.push(&Command::Prepare { name, shape }),
+            Step::Discard => connection.push(&Command::Discard),
+            Step::Set(name, value) => connection.push(&Command::Set { name, value }),
+            Step::Prepare(name, shape) => connection.push(&Command::Prepare { name, shape }),
         }
     }
 }
@@ -132,7 +132,7 @@
 /// Opens the transaction of `job`, if it has one, and waits for the answer: sent together with
 /// the statement, a refused opening would leave the statement to run outside of it.
 async fn open_transaction<C: Codec>(
-    lent: &mut PooledConnection<C>,
+    connection: &mut PooledConnection<C>,
     job: &Job<'_>,
 ) -> Result<Option<Code>, server_connection::Error> {
     let access = match job.frame {
@@ -144,47 +144,52 @@
         Access::Read => job.after,
         Access::Write => None,
     };
-    lent.push(&Command::Begin { access, after });
-    let service = Rc::clone(lent.service());
+    connection.push(&Command::Begin { access, after });
+    let service = Rc::clone(connection.service());
     let sent = service.site.now();
-    lent.flush().await?;
-    drain_answers(lent, 1).await?;
-    let outcome = lent.outcome().await?;
+    connection.flush().await?;
+    drain_answers(connection, 1).await?;
+    let outcome = connection.outcome().await?;
     // Only a primary opens a transaction that may write, and it takes no slot for that: its
     // answer vouches for its data also where the statement is then refused for a full queue.
     // Without it a crowded primary refused the very reads that would have shown this host how
     // fresh the replicas are, and all of them went on asking the primary: 5% of the requests of
     // a day with 65 hosts, for good, after its replicas had been behind for six seconds.
-    let led = access == Access::Write && outcome.end.is_ok();
-    let refuted = led && service.is_refuted(lent.server, outcome.position, sent);
-    service.heard(lent.server, outcome.position, job.current, led && !refuted);
+    let by_primary = access == Access::Write && outcome.end.is_ok();
+    let refuted = by_primary && service.is_refuted(connection.server, outcome.position, sent);
+    service.record_answer(
+        connection.server,
+        outcome.position,
+        job.confirmed_at,
+        by_primary && !refuted,
+    );
     if refuted {
         // It goes on leading a term that is over, or without its log. The statement is not sent
         // there, and the connection is closed, since the transaction is open on it.
-        lent.broken = true;
+        connection.broken = true;
         return Ok(Some(Code::ReadOnly));
     }
-    Ok(outcome.end.err().map(|fault| fault.code))
+    Ok(outcome.end.err().map(|error| error.code))
 }
 
-fn push_statement<C: Codec>(lent: &mut PooledConnection<C>, job: &Job<'_>) {
+fn push_statement<C: Codec>(connection: &mut PooledConnection<C>, job: &Job<'_>) {
     let after = match job.frame {
         TransactionFrame::Bare => job.after,
         TransactionFrame::RolledBack | TransactionFrame::Opens(_) => None,
     };
     let id = &job.query.id;
     let named = job.prepared.and_then(|(shape, arguments)| {
-        let name = lent.mark.name(shape)?;
+        let name = connection.connection_state.name(shape)?;
         Some((name, arguments))
     });
     match named {
-        Some((name, arguments)) => lent.push(&Command::Execute {
+        Some((name, arguments)) => connection.push(&Command::Execute {
             id,
             name: &name,
             arguments,
             after,
         }),
-        None => lent.push(&Command::Run {
+        None => connection.push(&Command::Run {
             id,
             text: &job.query.text,
             after,
@@ -195,13 +200,13 @@
 /// Reads answers until `left` are outstanding. What went before the statement cannot fail
 /// without the connection being out of step with what it is thought to carry.
 async fn drain_answers<C: Codec>(
-    lent: &mut PooledConnection<C>,
+    connection: &mut PooledConnection<C>,
     left: usize,
 ) -> Result<(), server_connection::Error> {
-    while lent.pending() > left {
-        let outcome = lent.outcome().await?;
-        if let Err(fault) = outcome.end {
-            return Err(server_connection::Error::Refused(fault.code));
+    while connection.pending() > left {
+        let outcome = connection.outcome().await?;
+        if let Err(error) = outcome.end {
+            return Err(server_connection::Error::Refused(error.code));
         }
     }
     Ok(())
--- a/crates/proxy/src/caller_connection.rs
+++ b/crates/proxy/src/caller_connection.rs
@@ -80,7 +80,7 @@
         }
         match &outcome.end {
             Ok(proof) => self.complete(Some(proof)),
-            Err(fault) => self.error(fault.code, &fault.text),
+            Err(error) => self.error(error.code, &error.text),
         }
         self.ready(transaction, outcome.position);
     }
--- a/crates/proxy/src/caller_state.rs
+++ b/crates/proxy/src/caller_state.rs
@@ -16,13 +16,13 @@
 /// use bytes::Bytes;
 /// use flamingopost_proxy::caller_state::{CallerState, ConnectionState, Step};
 ///
-/// let mut carry = CallerState::default();
-/// carry.set(Bytes::from("zone"), Bytes::from("garia"));
-/// let mut mark = ConnectionState::default();
+/// let mut caller = CallerState::default();
+/// caller.set(Bytes::from("zone"), Bytes::from("garia"));
+/// let mut connection = ConnectionState::default();
 /// let set = Step::Set(Bytes::from("zone"), Bytes::from("garia"));
-/// assert_eq!(mark.steps(&carry, None), [set]);
-/// assert_eq!(mark.steps(&carry, None), [], "the connection has it now");
-/// assert_eq!(mark.steps(&CallerState::default(), None), [Step::Discard]);
+/// assert_eq!(connection.steps(&caller, None), [set]);
+/// assert_eq!(connection.steps(&caller, None), [], "the connection has it now");
+/// assert_eq!(connection.steps(&CallerState::default(), None), [Step::Discard]);
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct CallerState {
@@ -77,14 +77,14 @@
 impl ConnectionState {
     /// The steps that make the connection fit for a statement of a session with `carry` that
     /// uses `shape`. They are taken as done.
-    pub fn steps(&mut self, carry: &CallerState, shape: Option<&Shape>) -> Vec<Step> {
+    pub fn steps(&mut self, caller: &CallerState, shape: Option<&Shape>) -> Vec<Step> {
         let mut steps = Vec::new();
-        let kept = |(name, _): (&Bytes, &Bytes)| carry.values.contains_key(name);
+        let kept = |(name, _): (&Bytes, &Bytes)| caller.values.contains_key(name);
         if !self.values.iter().all(kept) || self.prepared.len() >= MAX_PREPARED {
             steps.push(Step::Discard);
             self.clear();
         }
-        for (name, value) in &carry.values {
+        for (name, value) in &caller.values {
             if self.values.get(name) != Some(value) {
                 steps.push(Step::Set(name.clone(), value.clone()));
                 self.values.insert(name.clone(), value.clone());
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -183,14 +183,14 @@
                 pleaded = now;
                 self.plead(&service);
             }
-            if let Some((target, since)) = service.doubt()
+            if let Some((target, since)) = service.overdue_statement()
                 && now >= doubted + ASK
             {
                 doubted = now;
                 self.try_primary(&service, target, since);
             }
             if self.fleet.serves(&service.name)
-                && let Some(target) = service.take_unchecked()
+                && let Some(target) = service.take_due_check()
             {
                 self.check(&service, target);
             }
@@ -208,7 +208,7 @@
                 self.act(&service, &succession, next, &view);
             }
             // Another change of the service's state ends the pause early.
-            let _ = timeout(pause, service.alarm.notified()).await;
+            let _ = timeout(pause, service.failover_notify.notified()).await;
         }
     }
 
@@ -218,7 +218,7 @@
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
             if let Probe::Silent = election.ask(&service, &target).await {
-                service.silent(target.server, since);
+                service.record_silence(target.server, since);
             }
         });
     }
@@ -280,8 +280,10 @@
                 servers: view.candidates.len(),
             });
         }
-        let server = view.leader.and_then(|leader| service.named(leader));
-        let furthest = service.furthest().into();
+        let server = view
+            .leader
+            .and_then(|leader| service.to_peer_server(leader));
+        let furthest = service.furthest_position().into();
         for (_, peer) in self.fleet.electors() {
             let server = server.clone();
             self.send(service, Word::Ask { server, furthest }, peer.address);
@@ -310,7 +312,7 @@
                     received: status.received,
                 };
                 succession.borrow_mut().report(target.server, report);
-                service.alarm.notify_one();
+                service.failover_notify.notify_one();
             });
         }
     }
@@ -322,11 +324,11 @@
             let id = self.site.next_id();
             let mut back = ServerConnection::<C>::connect(id, target, &self.site.host).await?;
             let status = back.status().await?;
-            let newest = service.term();
+            let newest = service.newest_term();
             match status.role {
                 // It comes back, or is reached again, after it was replaced.
                 Role::Primary if status.term < newest => {
-                    service.said(target.server, &status, sent);
+                    service.record_status(target.server, &status, sent);
                     back.step_down(newest).await
                 }
                 Role::Primary | Role::Replica => Ok(status),
@@ -334,13 +336,13 @@
         });
         let error = match asked.await {
             Ok(Ok(status)) => {
-                service.said(target.server, &status, sent);
+                service.record_status(target.server, &status, sent);
                 return Probe::Status(status);
             }
             Ok(Err(error)) => error,
             Err(_) => server_connection::Error::Io(std::io::ErrorKind::TimedOut.into()),
         };
-        service.missed(target.server, &error, sent);
+        service.record_failure(target.server, &error, sent);
         match error {
             server_connection::Error::Io(error) if error.kind() == std::io::ErrorKind::TimedOut => {
                 Probe::Silent
@@ -361,12 +363,12 @@
     ) {
         let id = service.name_of(Some(server));
         let serves = match self.trouble(&service) {
-            Some(Trouble::Leaving) => service.serves_until_relieved(),
+            Some(Trouble::Leaving) => service.remaining_service_time(),
             _ => Duration::ZERO,
         };
         let replaced = service.leader().and_then(|leader| target(&service, leader));
-        let term = service.term();
-        if let Some(named) = service.named(server) {
+        let term = service.newest_term();
+        if let Some(named) = service.to_peer_server(server) {
             let successor = (named, succession.borrow().received());
             let ended = Ended::new(service.name.clone(), term, grant.0, successor, serves);
             service.end_term(&ended);
@@ -416,7 +418,7 @@
             outcome: format!("{order:?}"),
             millis: now.saturating_sub(sent).as_millis(),
         });
-        service.alarm.notify_one();
+        service.failover_notify.notify_one();
     }
 
     /// Whether no other host announces an order under a higher token in the same moment.
@@ -450,7 +452,7 @@
             .filter(|(_, standing)| synchronous || *standing == Standing::Serving);
         View {
             leader: service.leader(),
-            term: service.term(),
+            term: service.newest_term(),
             led: service.term_led(),
             led_by: service.led_by(),
             trouble,
@@ -466,9 +468,9 @@
             quiet_at: quiet_at.max(orders_from),
             rank: self.fleet.rank(&service.name),
             synchronous,
-            newest: service.newest(),
-            marks: service.marks(),
-            former: service.former(),
+            newest: service.newest_position(),
+            marks: service.required_positions(),
+            former: service.former_starts(),
             doubted: service.doubted(),
         }
     }
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -82,7 +82,7 @@
             attempt,
             outcome,
         });
-        service.alarm.notify_one();
+        service.failover_notify.notify_one();
     }
 
     /// Claims a change, or takes the claim over from a holder that has not acted on it: one that
@@ -104,7 +104,7 @@
             return Ok(claim);
         }
         if self.trouble(service) == Some(Trouble::Leaving) {
-            service.hold_for_unheard_order();
+            service.hold_for_unknown_order();
         }
         let over = Some(*revision);
         self.platform.claim(name, attempt, host, over).await
@@ -159,9 +159,9 @@
     /// Tells `service` what is known of orders that were given before this host started.
     pub(super) fn tell_of_orders(&self, service: &Service<C>) {
         if self.orders_heard.get() {
-            service.told_of_orders();
+            service.record_orders_known();
         } else if let Some(claimed) = &*self.claimed_terms.borrow() {
-            service.told_of_claims(claimed.get(&service.name).copied());
+            service.record_claims(claimed.get(&service.name).copied());
         }
     }
 
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -87,7 +87,7 @@
             let asked = self.site.now();
             let status = timeout(ASK, back.status()).await;
             let status = status.map_err(timed_out)??;
-            service.said(target.server, &status, asked);
+            service.record_status(target.server, &status, asked);
             if status.role == Role::Primary && status.term > term {
                 return Ok(status.term);
             }
@@ -106,7 +106,7 @@
         if let Some(took) = took {
             self.site.promoted(took);
         }
-        let Some(server) = service.named(server) else {
+        let Some(server) = service.to_peer_server(server) else {
             return;
         };
         for (_, peer) in self.fleet.peers() {
@@ -139,7 +139,7 @@
                     tokio::time::sleep(ASK).await;
                     continue;
                 };
-                service.said(target.server, &status, election.site.now());
+                service.record_status(target.server, &status, election.site.now());
                 election.site.log(&Event::SteppedDown {
                     service: service.name.clone(),
                     server: target.id.clone(),
--- a/crates/proxy/src/election/holder.rs
+++ b/crates/proxy/src/election/holder.rs
@@ -42,7 +42,7 @@
                 None => Some(false),
             };
             if is_heard == Some(false) && election.trouble(&service) == Some(Trouble::Leaving) {
-                service.hold_for_unheard_order();
+                service.hold_for_unknown_order();
             }
         });
     }
--- a/crates/proxy/src/election/proof.rs
+++ b/crates/proxy/src/election/proof.rs
@@ -61,14 +61,14 @@
             let Probe::Status(status) = election.ask(&service, &target).await else {
                 return;
             };
-            if service.missing(target.server, &status) == MissingEvidence::Orders {
+            if service.missing_evidence(target.server, &status) == MissingEvidence::Orders {
                 election.find_order(&service, &target, &status).await;
                 return;
             }
-            if service.missing(target.server, &status) == MissingEvidence::Record {
+            if service.missing_evidence(target.server, &status) == MissingEvidence::Record {
                 election.read_record(&service).await;
             }
-            if service.missing(target.server, &status) == MissingEvidence::Proof {
+            if service.missing_evidence(target.server, &status) == MissingEvidence::Proof {
                 election.prove(&service, &target, status.received).await;
             }
         });
@@ -80,8 +80,8 @@
         if !is_read && self.read_claims().await.is_none() {
             return;
         }
-        if service.missing(target.server, status) == MissingEvidence::Orders {
-            service.hold_for_unheard_order();
+        if service.missing_evidence(target.server, status) == MissingEvidence::Orders {
+            service.hold_for_unknown_order();
             self.site.log(&Event::OrderUnheard {
                 service: service.name.clone(),
                 term: status.term.number(),
@@ -94,7 +94,7 @@
         for _ in 0..QUESTIONS {
             match timeout(ASK, self.has_entries(target)).await {
                 Ok(Ok(has_entries)) => {
-                    service.proved(target.server, position, has_entries);
+                    service.record_log_check(target.server, position, has_entries);
                     return;
                 }
                 Ok(Err(_)) => sleep(STEP).await,
@@ -112,7 +112,7 @@
     async fn read_record(&self, service: &Rc<Service<C>>) {
         // Where the store does not tell, what it knows of the servers is no newer either.
         if let Ok(Some(is_written)) = timeout(CLAIM, self.is_recorded(&service.name)).await {
-            service.recorded(is_written);
+            service.apply_store_record(is_written);
         }
     }
 
@@ -139,7 +139,7 @@
         let (epoch, now) = (self.epoch(), self.site.now());
         let name = &service.name;
         let is_due = self.records.borrow().is_due(name, epoch, now);
-        if !is_due || !service.is_seen() {
+        if !is_due || !service.has_seen_entries() {
             return;
         }
         let mut records = self.records.borrow_mut();
--- a/crates/proxy/src/election/talk.rs
+++ b/crates/proxy/src/election/talk.rs
@@ -120,11 +120,13 @@
     /// Tells `to` how far this host has seen logs reach.
     fn tell_logs(&self, to: SocketAddr) {
         let services = self.fleet.services();
-        let logs = services.iter().filter(|service| service.furthest().log > 0);
+        let logs = services
+            .iter()
+            .filter(|service| service.furthest_position().log > 0);
         let logs: Vec<Log> = logs
             .map(|service| Log {
                 service: service.name.clone(),
-                furthest: service.furthest().into(),
+                furthest: service.furthest_position().into(),
                 term_start: service.newest_term_start(),
                 doubted: service.doubted_servers(),
                 led: self.led(service),
@@ -144,7 +146,7 @@
         };
         let succession = succession.borrow();
         let led = succession.led().iter();
-        led.filter_map(|(server, term)| Some(Led::new(service.named(*server)?, *term)))
+        led.filter_map(|(server, term)| Some(Led::new(service.to_peer_server(*server)?, *term)))
             .collect()
     }
 
@@ -155,7 +157,7 @@
             return;
         };
         for it in led {
-            if let ResolvedServer::Listed(server) = service.meant(&it.server) {
+            if let ResolvedServer::Listed(server) = service.resolve_server(&it.server) {
                 succession.borrow_mut().told_led(server, it.term());
             }
         }
@@ -165,11 +167,13 @@
     fn take_logs(&self, logs: &[Log]) {
         for log in logs {
             if let Some(service) = self.fleet.named(&log.service) {
-                service.told(log.furthest.into());
-                log.term_start.iter().for_each(|it| service.term_began(it));
+                service.record_peer_position(log.furthest.into());
+                log.term_start
+                    .iter()
+                    .for_each(|it| service.record_term_start(it));
                 log.doubted
                     .iter()
-                    .for_each(|it| service.doubted_elsewhere(it));
+                    .for_each(|it| service.record_peer_doubt(it));
                 self.take_led(&service, &log.led);
             }
         }
@@ -236,7 +240,7 @@
         for sample in samples {
             if let Some(service) = self.fleet.named(&sample.service) {
                 let age = Duration::from_millis(u64::from(sample.age));
-                service.told_sample(sample.position.into(), sent.saturating_sub(age));
+                service.record_peer_sample(sample.position.into(), sent.saturating_sub(age));
             }
         }
     }
@@ -247,7 +251,9 @@
     /// cut off meanwhile hears none. What keeps a lease alive tells of the change as well.
     fn ended(&self, age: Duration) -> Vec<Ended> {
         let services = self.fleet.services();
-        let ended = services.iter().filter_map(|service| service.ended(age));
+        let ended = services
+            .iter()
+            .filter_map(|service| service.recent_replacement(age));
         ended.take(ENDED_MOST).collect()
     }
 
@@ -289,9 +295,9 @@
                 return;
             }
             for service in election.fleet.services() {
-                let attempt = service.term().number().unsigned_abs();
+                let attempt = service.newest_term().number().unsigned_abs();
                 if !claims.contains(&(service.name.clone(), attempt)) {
-                    service.unclaimed(sent);
+                    service.record_no_claims(sent);
                 }
             }
         });
@@ -362,7 +368,7 @@
             // They are about no service.
             Word::Look | Word::Logs { .. } => {}
             Word::Ask { server, furthest } => {
-                service.told(furthest.into());
+                service.record_peer_position(furthest.into());
                 let election = Rc::clone(self);
                 tokio::task::spawn_local(async move {
                     election.answer(service, server, from).await;
@@ -373,26 +379,26 @@
                 furthest,
                 reaches,
             } => {
-                service.told(furthest.into());
+                service.record_peer_position(furthest.into());
                 let host = self.fleet.peer(&message.host);
                 if let (Some(succession), Some(host)) = (succession, host)
                     && is_about_leader(&service, server.as_ref())
                 {
                     let opinion = Word::opinion(reaches);
                     succession.borrow_mut().opinion(host, opinion);
-                    service.alarm.notify_one();
+                    service.failover_notify.notify_one();
                 }
             }
             Word::Short { server } => {
-                if let ResolvedServer::Listed(server) = service.meant(&server) {
-                    service.squeeze(server);
+                if let ResolvedServer::Listed(server) = service.resolve_server(&server) {
+                    service.yield_connections(server);
                 }
             }
             Word::Leads { server, term, took } => {
                 if let Some(took) = took {
                     self.site.promoted(Duration::from_millis(u64::from(took)));
                 }
-                service.seen_to_lead(&server, Term::from_number(term));
+                service.record_peer_leader(&server, Term::from_number(term));
             }
             Word::Acting { ended } => self.take_ended(&message.host, &ended),
         }
@@ -401,7 +407,7 @@
     /// Tells whether this host reaches `server`, which it tries first.
     async fn answer(&self, service: Rc<Service<C>>, server: Option<Server>, from: SocketAddr) {
         let meant = match &server {
-            Some(server) => service.meant(server),
+            Some(server) => service.resolve_server(server),
             None => service
                 .leader()
                 .map_or(ResolvedServer::Unknown, ResolvedServer::Listed),
@@ -415,7 +421,7 @@
         };
         let word = Word::Tell {
             server,
-            furthest: service.furthest().into(),
+            furthest: service.furthest_position().into(),
             reaches,
         };
         self.send(&service, word, from);
@@ -441,8 +447,11 @@
 
     /// Tells the other hosts of which servers this one lacks connections.
     pub(super) fn plead(&self, service: &Rc<Service<C>>) {
-        let short = service.take_short();
-        for server in short.into_iter().filter_map(|it| service.named(it)) {
+        let short = service.take_connection_shortages();
+        for server in short
+            .into_iter()
+            .filter_map(|it| service.to_peer_server(it))
+        {
             for (_, peer) in self.fleet.peers() {
                 let server = server.clone();
                 self.send(service, Word::Short { server }, peer.address);
@@ -468,7 +477,10 @@
 /// Whether `server`, of which another host tells, is the one that leads as far as this host knows;
 /// none is named where nobody does.
 fn is_about_leader<C: Codec>(service: &Rc<Service<C>>, server: Option<&Server>) -> bool {
-    match (server.map(|server| service.meant(server)), service.leader()) {
+    match (
+        server.map(|server| service.resolve_server(server)),
+        service.leader(),
+    ) {
         (Some(ResolvedServer::Listed(server)), Some(leader)) => server == leader,
         (None, None) => true,
         _ => false,
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -318,7 +318,7 @@
 
     /// Reads of `service` wait for a sample of how far its primary is: the other hosts are asked at once.
     pub fn ask_for_sample(&self, service: &Service<C>) {
-        if service.want_sample() {
+        if service.request_sample() {
             self.contact_due.notify_one();
         }
     }
@@ -419,7 +419,7 @@
     /// others yet has asked none of them what it may have missed.
     pub fn holds_lease(&self, service: &Service<C>) -> bool {
         let quorum = self.quorum.borrow();
-        quorum.holds_lease(self.site.now()) || quorum.knows_hosts() && service.is_unclaimed()
+        quorum.holds_lease(self.site.now()) || quorum.knows_hosts() && service.holds_store_lease()
     }
 
     /// Whether commits of `service` are acknowledged only when a replica has received them.
--- a/crates/proxy/src/host.rs
+++ b/crates/proxy/src/host.rs
@@ -307,7 +307,7 @@
     context: Rc<Context<C>>,
     open: Rc<Cell<usize>>,
     most: usize,
-    place: RelayPolicy,
+    relay_policy: RelayPolicy,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -323,18 +323,18 @@
         open.set(open.get() + 1);
         let (context, open) = (Rc::clone(&context), Rc::clone(&open));
         tokio::task::spawn_local(async move {
-            session(context, stream, place).await;
+            session(context, stream, relay_policy).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-async fn session<C: Codec>(context: Rc<Context<C>>, stream: TcpStream, place: RelayPolicy) {
+async fn session<C: Codec>(context: Rc<Context<C>>, stream: TcpStream, relay_policy: RelayPolicy) {
     let site = Rc::clone(&context.site);
     if socket::guard(&stream, CALLER_SILENCE).is_err() {
         return;
     }
-    let served = Session::serve(context, CallerConnection::new(stream), place).await;
+    let served = Session::serve(context, CallerConnection::new(stream), relay_policy).await;
     // A caller that went away is no event; one that cannot be understood is.
     if let Err(caller_connection::Error::Codec(error)) = served {
         site.log(&Event::BadCaller {
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -28,14 +28,14 @@
 pub struct Relay<C: Codec> {
     context: Rc<Context<C>>,
     database: String,
-    front: CallerConnection<C>,
-    back: ServerConnection<C>,
+    caller: CallerConnection<C>,
+    peer: ServerConnection<C>,
     transaction: Transaction,
     moves: u64,
 }
 
 /// What comes next.
-enum Next {
+enum RelayEvent {
     Request(Option<Request>),
     /// The other host has ended the session, or this one has to.
     End,
@@ -66,15 +66,15 @@
     pub fn new(
         context: Rc<Context<C>>,
         database: String,
-        front: CallerConnection<C>,
-        back: ServerConnection<C>,
+        caller: CallerConnection<C>,
+        peer: ServerConnection<C>,
     ) -> Relay<C> {
         let moves = context.stop.moves();
         Relay {
             context,
             database,
-            front,
-            back,
+            caller,
+            peer,
             transaction: Transaction::Idle,
             moves,
         }
@@ -86,14 +86,14 @@
     /// The caller's connection is lost, or it cannot be understood.
     pub async fn run(mut self) -> Result<(), caller_connection::Error> {
         loop {
-            let request = match self.next().await? {
-                Next::Request(request) => request,
-                Next::End => break,
+            let request = match self.next_event().await? {
+                RelayEvent::Request(request) => request,
+                RelayEvent::End => break,
             };
             let Some(Request::Query(query)) = request else {
                 break;
             };
-            self.back.push(&Command::Run {
+            self.peer.push(&Command::Run {
                 id: &query.id,
                 text: &query.text,
                 after: None,
@@ -114,10 +114,10 @@
                 }
             };
             self.transaction = outcome.transaction;
-            self.front.answer(&outcome, outcome.transaction);
-            self.front.flush().await?;
+            self.caller.answer(&outcome, outcome.transaction);
+            self.caller.flush().await?;
         }
-        self.front.close().await
+        self.caller.close().await
     }
 
     /// The other host's answer to what is queued.
@@ -125,22 +125,22 @@
         let allowed = self.context.fleet.timeout(&self.database);
         let allowed = allowed.unwrap_or_default();
         let answered = tokio::time::timeout(allowed + RELAY_MARGIN, async {
-            self.back.flush().await?;
-            self.back.outcome().await
+            self.peer.flush().await?;
+            self.peer.outcome().await
         });
         let silent = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
         answered.await.map_err(silent)?
     }
 
-    async fn next(&mut self) -> Result<Next, caller_connection::Error> {
+    async fn next_event(&mut self) -> Result<RelayEvent, caller_connection::Error> {
         let stop = Rc::clone(&self.context.stop);
         let idle = self.transaction != Transaction::Open;
         tokio::select! {
             biased;
-            request = self.front.request() => Ok(Next::Request(request?)),
-            () = self.back.ended() => Ok(Next::End),
-            () = stop.sessions(self.moves), if idle => Ok(Next::End),
-            () = stop.transactions(), if !idle => Ok(Next::End),
+            request = self.caller.request() => Ok(RelayEvent::Request(request?)),
+            () = self.peer.wait_closed() => Ok(RelayEvent::End),
+            () = stop.sessions(self.moves), if idle => Ok(RelayEvent::End),
+            () = stop.transactions(), if !idle => Ok(RelayEvent::End),
         }
     }
 }
--- a/crates/proxy/src/server_connection.rs
+++ b/crates/proxy/src/server_connection.rs
@@ -87,7 +87,7 @@
     /// The server.
     pub server: ServerKey,
     /// What sessions have left on it.
-    pub mark: ConnectionState,
+    pub connection_state: ConnectionState,
     /// The position that the server's data had reached at its last word.
     pub position: Option<Position>,
     /// What the connection carries is no longer known: it is not to be used again.
@@ -110,10 +110,10 @@
         host: &str,
     ) -> Result<ServerConnection<C>, Error> {
         let stream = socket::connect(target.address, CONNECT_TIMEOUT, TCP_USER_TIMEOUT).await?;
-        let mut back = ServerConnection {
+        let mut connection = ServerConnection {
             id,
             server: target.server,
-            mark: ConnectionState::default(),
+            connection_state: ConnectionState::default(),
             position: None,
             broken: false,
             stream,
@@ -122,22 +122,22 @@
             pending: 0,
             codec: PhantomData,
         };
-        C::startup(&mut back.out, &target.service, host, &target.id);
-        let greeting = tokio::time::timeout(CONNECT_TIMEOUT, back.greeting());
+        C::startup(&mut connection.out, &target.service, host, &target.id);
+        let greeting = tokio::time::timeout(CONNECT_TIMEOUT, connection.read_greeting());
         greeting
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        Ok(back)
+        Ok(connection)
     }
 
-    async fn greeting(&mut self) -> Result<(), Error> {
+    async fn read_greeting(&mut self) -> Result<(), Error> {
         self.flush().await?;
-        match self.next().await? {
+        match self.read_answer().await? {
             Answer::Ready { position, .. } => {
                 self.position = position;
                 Ok(())
             }
-            Answer::Error(fault) => Err(Error::Refused(fault.code)),
+            Answer::Error(error) => Err(Error::Refused(error.code)),
             Answer::Row(_) | Answer::Complete(_) => Err(codec::Error::BadField.into()),
         }
     }
@@ -171,10 +171,10 @@
         let mut rows = Vec::new();
         let mut end = None;
         loop {
-            match self.next().await? {
+            match self.read_answer().await? {
                 Answer::Row(row) => rows.push(row),
                 Answer::Complete(proof) => end = Some(Ok(proof)),
-                Answer::Error(fault) => end = Some(Err(fault)),
+                Answer::Error(error) => end = Some(Err(error)),
                 Answer::Ready {
                     transaction,
                     position,
@@ -198,7 +198,7 @@
     /// # Errors
     /// The connection is lost, or the server does not answer the question.
     pub async fn status(&mut self) -> Result<Status, Error> {
-        self.told(&Command::Status).await
+        self.request_status(&Command::Status).await
     }
 
     /// Makes the server a replica, if it leads a term before `term`.
@@ -206,7 +206,7 @@
     /// # Errors
     /// The connection is lost, or the server does not do it.
     pub async fn step_down(&mut self, term: Term) -> Result<Status, Error> {
-        self.told(&Command::StepDown { term }).await
+        self.request_status(&Command::StepDown { term }).await
     }
 
     /// Whether the server's log holds anything, whatever it says of its term.
@@ -227,8 +227,8 @@
         self.broken |= outcome.end.is_err() && outcome.transaction != Transaction::Idle;
         match outcome.end {
             Ok(_) => {}
-            Err(fault) if fault.code == Code::Lagging => return Ok(false),
-            Err(fault) => return Err(Error::Refused(fault.code)),
+            Err(error) if error.code == Code::Lagging => return Ok(false),
+            Err(error) => return Err(Error::Refused(error.code)),
         }
         self.push(&Command::Rollback);
         self.flush().await?;
@@ -237,29 +237,29 @@
     }
 
     /// Sends a command that the server answers with what it is then.
-    async fn told(&mut self, command: &Command<'_>) -> Result<Status, Error> {
+    async fn request_status(&mut self, command: &Command<'_>) -> Result<Status, Error> {
         self.push(command);
         self.flush().await?;
         let outcome = self.outcome().await?;
         match (&outcome.end, outcome.rows.first()) {
             (Ok(_), Some(row)) => Ok(C::status(row)?),
-            (Err(fault), _) => Err(Error::Refused(fault.code)),
+            (Err(error), _) => Err(Error::Refused(error.code)),
             (Ok(_), None) => Err(codec::Error::MissingField.into()),
         }
     }
 
     /// Returns when the server has closed the connection, or sent what nobody asked for.
-    pub async fn ended(&mut self) {
+    pub async fn wait_closed(&mut self) {
         // Whatever comes, data or the end: nothing is expected while no command is outstanding.
         let _ = self.stream.readable().await;
     }
 
     /// Whether the server has closed the connection while it was idle.
-    pub fn is_over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         !self.received.is_empty() || socket::is_over(&self.stream)
     }
 
-    async fn next(&mut self) -> Result<Answer, Error> {
+    async fn read_answer(&mut self) -> Result<Answer, Error> {
         loop {
             if let Some(answer) = C::answer(&mut self.received)? {
                 return Ok(answer);
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -56,15 +56,15 @@
     /// What all parts share.
     pub site: Rc<Site>,
     /// Something happened that may call for another primary.
-    pub alarm: Notify,
+    pub failover_notify: Notify,
     /// A primary has shown how far its log reaches.
-    pub vouched: Notify,
+    pub sample_notify: Notify,
     /// Whether reads wait for the primary for want of a sample of how far it is.
     pub lacks_sample: Cell<bool>,
     /// When other hosts were last asked for one.
-    asked_for_sample: Cell<Duration>,
+    sample_requested_at: Cell<Duration>,
     /// A round of questions to the other servers has ended.
-    confirmed: Notify,
+    confirmation_notify: Notify,
     state: RefCell<State<C>>,
 }
 
@@ -74,44 +74,44 @@
     extent: Extent,
     leader: Leader,
     /// Since when the service has had a single server.
-    alone: Option<Duration>,
+    single_server_since: Option<Duration>,
     check: PrimaryCheck,
     /// What is held until the primary is checked, which this host did not expect.
-    unchecked: Option<dispatch::Hold>,
+    check_hold: Option<dispatch::Hold>,
     /// The primary that was last found to have the service's log.
-    proved: Option<ServerKey>,
+    proven_primary: Option<ServerKey>,
     /// How far the log of the server that is believed to lead was last seen to reach.
-    weighed: Option<Position>,
+    primary_position: Option<Position>,
     /// Whether an order may be on its way that this host has not heard of.
     orders: Orders,
-    absent: Option<Duration>,
+    no_primary_since: Option<Duration>,
     servers: BTreeMap<ServerKey, ServerEntry>,
     idle: BTreeMap<u64, ServerConnection<C>>,
     waiters: BTreeMap<u64, Waiter<C>>,
     allotment: Allotment,
     /// When statements for the primary are held.
-    held: Option<dispatch::Hold>,
+    successor_hold: Option<dispatch::Hold>,
     replacement: Option<hold::Replacement>,
     /// Servers that were ordered to lead, by identity: as many as there ever were.
-    ordered: BTreeMap<String, hold::PromotionRecord>,
+    promotions: BTreeMap<String, hold::PromotionRecord>,
     store_lease: StoreLease,
     confirmation: Confirmation,
     /// Servers that are at their limit while this host has less than its part.
-    short_of: BTreeSet<ServerKey>,
+    connection_shortages: BTreeSet<ServerKey>,
 }
 
 struct ServerEntry {
     target: Target,
     incarnation: Incarnation,
-    life: RestartSignal,
+    restart_signal: RestartSignal,
     /// How the server came back, if it is known to have started again.
-    back: Option<restart::RestartRecord>,
+    restart: Option<restart::RestartRecord>,
     /// Connections to it have broken while it was believed to lead, and it has shown no write since.
-    broke: bool,
+    connections_broke: bool,
     /// It was found without a log, and has shown none since.
-    blank: bool,
+    found_empty: bool,
     /// It has shown how far its log reaches since the primary was last another one.
-    shown: bool,
+    has_shown_position: bool,
     contact: Contact,
     /// When statements were sent that have no answer yet.
     outstanding: BTreeMap<u64, Duration>,
@@ -139,23 +139,23 @@
         Service {
             name,
             site,
-            alarm: Notify::new(),
-            vouched: Notify::new(),
+            failover_notify: Notify::new(),
+            sample_notify: Notify::new(),
             lacks_sample: Cell::new(false),
-            asked_for_sample: Cell::default(),
-            confirmed: Notify::new(),
+            sample_requested_at: Cell::default(),
+            confirmation_notify: Notify::new(),
             state: RefCell::new(State {
                 dispatch: Dispatch::default(),
                 vouch: Vouch::default(),
                 extent: Extent::default(),
                 leader: Leader::default(),
-                alone: None,
+                single_server_since: None,
                 check: PrimaryCheck::default(),
-                unchecked: None,
-                proved: None,
-                weighed: None,
+                check_hold: None,
+                proven_primary: None,
+                primary_position: None,
                 orders: Orders::default(),
-                absent: Some(Duration::ZERO),
+                no_primary_since: Some(Duration::ZERO),
                 servers: BTreeMap::new(),
                 idle: BTreeMap::new(),
                 waiters: BTreeMap::new(),
@@ -164,12 +164,12 @@
                     fair: 1,
                     most: 1,
                 },
-                held: None,
+                successor_hold: None,
                 replacement: None,
-                ordered: BTreeMap::new(),
+                promotions: BTreeMap::new(),
                 store_lease: StoreLease::default(),
                 confirmation: Confirmation::default(),
-                short_of: BTreeSet::new(),
+                connection_shortages: BTreeSet::new(),
             }),
         }
     }
@@ -177,14 +177,14 @@
     /// Runs what is due by time alone.
     pub fn tick(self: &Rc<Self>) {
         let now = self.site.now();
-        self.refresh();
+        self.refresh_leader();
         self.tick_hold(now);
         self.tick_dispatch(now);
-        self.sweep();
+        self.close_ended_connections();
     }
 
     /// How long a request takes at a server.
-    pub fn average(&self, server: ServerKey) -> Duration {
+    pub fn average_latency(&self, server: ServerKey) -> Duration {
         let state = self.state.borrow();
         let server = state.dispatch.servers().get(&server);
         server.map_or(Duration::ZERO, dispatch::Server::average)
@@ -198,13 +198,13 @@
     /// Name of a server, for logs.
     pub fn name_of(&self, server: Option<ServerKey>) -> String {
         let state = self.state.borrow();
-        let known = server.and_then(|server| state.servers.get(&server));
-        known.map_or_else(|| "nobody".to_owned(), |known| known.target.id.clone())
+        let entry = server.and_then(|server| state.servers.get(&server));
+        entry.map_or_else(|| "nobody".to_owned(), |entry| entry.target.id.clone())
     }
 
     /// A server answered at `position` to what was sent at `sent`. With `led`, it could only
     /// answer because it led, and this host had a lease when it asked.
-    pub fn heard(
+    pub fn record_answer(
         self: &Rc<Self>,
         server: ServerKey,
         position: Option<Position>,
@@ -213,36 +213,36 @@
     ) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
-        if let Some(known) = state.servers.get_mut(&server) {
-            known.contact.answered(now);
-            known.shown |= position.is_some();
+        if let Some(entry) = state.servers.get_mut(&server) {
+            entry.contact.answered(now);
+            entry.has_shown_position |= position.is_some();
         }
         let Some(position) = position else {
             return;
         };
-        if state.may_check() {
-            self.alarm.notify_one();
+        if state.can_check_now() {
+            self.failover_notify.notify_one();
         }
         let passed = state.vouch.passed(position);
-        let holds = state.holds(server, position);
+        let proven = state.proven_position(server, position);
         if let Some(server) = state.dispatch.server_mut(server) {
-            server.saw(holds, passed, now);
+            server.saw(proven, passed, now);
         }
         state.vouch.saw_term(position.term);
         state.leader.saw_term(server, position.term);
         if led && !state.extent.lacks(position, sent) {
             state.vouch.led(position, sent);
             state.leader.led(server, position.term);
-            self.has_sample();
+            self.sample_arrived();
         }
         // What is written to an empty log would look like the proof of a whole one.
         if !state.leader.is_doubted(server) {
-            state.showed(server, position, now);
+            state.record_position(server, position, now);
         }
     }
 
     /// A request took `took` at a server.
-    pub fn took(&self, server: ServerKey, took: Duration) {
+    pub fn record_latency(&self, server: ServerKey, took: Duration) {
         let now = self.site.now();
         if let Some(server) = self.state.borrow_mut().dispatch.server_mut(server) {
             server.took(took, now);
@@ -250,19 +250,19 @@
     }
 
     /// A server's queue was full.
-    pub fn full(&self, server: ServerKey) {
+    pub fn record_busy(&self, server: ServerKey) {
         let now = self.site.now();
         self.state.borrow_mut().dispatch.refused(server, now);
     }
 
     /// A server refused a request because it does not lead.
-    pub fn does_not_lead(self: &Rc<Self>, server: ServerKey) {
+    pub fn record_not_primary(self: &Rc<Self>, server: ServerKey) {
         self.state.borrow_mut().leader.refused(server);
-        self.refresh();
+        self.refresh_leader();
     }
 
     /// A server refused a read because it lacks a position that a primary had at `at`.
-    pub fn lags(&self, server: ServerKey, at: Duration) {
+    pub fn record_lagging(&self, server: ServerKey, at: Duration) {
         let now = self.site.now();
         self.state.borrow_mut().dispatch.lagged(server, at, now);
     }
@@ -277,18 +277,18 @@
 
     /// Reads wait for a sample of how far the primary is. Returns whether the other hosts are to be asked at
     /// once, rather than with the next heartbeat.
-    pub fn want_sample(&self) -> bool {
+    pub fn request_sample(&self) -> bool {
         let now = self.site.now();
-        let is_due = now >= self.asked_for_sample.get() + SAMPLE_REQUEST_INTERVAL;
-        let is_news = !self.lacks_sample.replace(true);
-        if is_due && is_news {
-            self.asked_for_sample.set(now);
+        let is_due = now >= self.sample_requested_at.get() + SAMPLE_REQUEST_INTERVAL;
+        let is_new = !self.lacks_sample.replace(true);
+        if is_due && is_new {
+            self.sample_requested_at.set(now);
         }
-        is_due && is_news
+        is_due && is_new
     }
 
     /// Another host vouches that the primary still led at `at`, or later, and its log reached `position`.
-    pub fn told_sample(&self, position: Position, at: Duration) {
+    pub fn record_peer_sample(&self, position: Position, at: Duration) {
         let mut state = self.state.borrow_mut();
         // Samples that are closer together are one: acted on, an answer would lead to the next question.
         let is_known = state
@@ -300,13 +300,13 @@
         }
         state.vouch.led(position, at);
         drop(state);
-        self.has_sample();
+        self.sample_arrived();
     }
 
     /// A sample of how far the primary is has come: reads that wait for one are placed anew.
-    fn has_sample(&self) {
+    fn sample_arrived(&self) {
         self.lacks_sample.set(false);
-        self.vouched.notify_waiters();
+        self.sample_notify.notify_waiters();
     }
 
     /// What a read needs that has to see everything acknowledged before `since`, and `seen`.
@@ -322,25 +322,25 @@
     }
 
     /// A server that was asked at `sent` said what it is.
-    pub fn said(self: &Rc<Self>, server: ServerKey, status: &Status, sent: Duration) {
+    pub fn record_status(self: &Rc<Self>, server: ServerKey, status: &Status, sent: Duration) {
         let now = self.site.now();
         {
             let mut state = self.state.borrow_mut();
-            if let Some(known) = state.servers.get_mut(&server) {
-                known.contact.answered(now);
+            if let Some(entry) = state.servers.get_mut(&server) {
+                entry.contact.answered(now);
             }
             state.leader.said(server, status.role, status.term);
             if status.role == Role::Primary {
                 state.vouch.saw_term(status.term);
             }
         }
-        self.weigh(server, status.received, sent);
-        self.refresh();
+        self.check_log(server, status.received, sent);
+        self.refresh_leader();
     }
 
     /// Another host has seen `server` lead `term`.
-    pub fn seen_to_lead(self: &Rc<Self>, server: &peer::Server, term: Term) {
-        let ResolvedServer::Listed(server) = self.meant(server) else {
+    pub fn record_peer_leader(self: &Rc<Self>, server: &peer::Server, term: Term) {
+        let ResolvedServer::Listed(server) = self.resolve_server(server) else {
             return;
         };
         {
@@ -348,52 +348,57 @@
             state.vouch.saw_term(term);
             state.leader.said(server, Role::Primary, term);
         }
-        self.refresh();
+        self.refresh_leader();
     }
 
     /// Something sent to a server at `sent` came to nothing.
-    pub fn missed(&self, server: ServerKey, error: &server_connection::Error, sent: Duration) {
+    pub fn record_failure(
+        &self,
+        server: ServerKey,
+        error: &server_connection::Error,
+        sent: Duration,
+    ) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
-        let Some(known) = state.servers.get_mut(&server) else {
+        let Some(entry) = state.servers.get_mut(&server) else {
             return;
         };
         match failure_kind(error) {
-            FailureKind::Refused => known.contact.refused(now),
-            FailureKind::Silent => known.contact.silent(sent),
-            FailureKind::None => known.contact.answered(now),
+            FailureKind::Refused => entry.contact.refused(now),
+            FailureKind::Silent => entry.contact.silent(sent),
+            FailureKind::None => entry.contact.answered(now),
         }
         if matches!(failure_kind(error), FailureKind::Refused) {
-            state.broke(server);
+            state.record_broken_connection(server);
         }
         let leads = state.dispatch.leader() == Some(server);
         drop(state);
         if leads {
-            self.alarm.notify_one();
+            self.failover_notify.notify_one();
         }
     }
 
     /// A server has answered nothing that was sent since `since`, and not on another connection.
-    pub fn silent(&self, server: ServerKey, since: Duration) {
-        if let Some(known) = self.state.borrow_mut().servers.get_mut(&server) {
-            known.contact.silent(since);
+    pub fn record_silence(&self, server: ServerKey, since: Duration) {
+        if let Some(entry) = self.state.borrow_mut().servers.get_mut(&server) {
+            entry.contact.silent(since);
         }
-        self.alarm.notify_one();
+        self.failover_notify.notify_one();
     }
 
     /// How this host's own connections to a server fare.
     pub fn contact(&self, server: ServerKey) -> Option<Contact> {
         let state = self.state.borrow();
-        state.servers.get(&server).map(|known| known.contact)
+        state.servers.get(&server).map(|entry| entry.contact)
     }
 
     /// Takes the servers of which this host lacks connections since the last call.
-    pub fn take_short(&self) -> BTreeSet<ServerKey> {
-        std::mem::take(&mut self.state.borrow_mut().short_of)
+    pub fn take_connection_shortages(&self) -> BTreeSet<ServerKey> {
+        std::mem::take(&mut self.state.borrow_mut().connection_shortages)
     }
 
     /// Another host lacks connections to a server.
-    pub fn squeeze(self: &Rc<Self>, server: ServerKey) {
+    pub fn yield_connections(self: &Rc<Self>, server: ServerKey) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         if let Some(server) = state.dispatch.server_mut(server) {
@@ -403,13 +408,13 @@
 
     /// When the oldest statement was sent that the primary should have answered by now, if it has
     /// answered nothing since.
-    pub fn doubt(&self) -> Option<(Target, Duration)> {
+    pub fn overdue_statement(&self) -> Option<(Target, Duration)> {
         let now = self.site.now();
         let state = self.state.borrow();
-        let known = state.servers.get(&state.dispatch.leader()?)?;
-        let oldest = known.outstanding.values().min().copied()?;
-        let doubtful = known.contact.waits(oldest, now);
-        doubtful.then(|| (known.target.clone(), oldest))
+        let entry = state.servers.get(&state.dispatch.leader()?)?;
+        let oldest = entry.outstanding.values().min().copied()?;
+        let doubtful = entry.contact.waits(oldest, now);
+        doubtful.then(|| (entry.target.clone(), oldest))
     }
 
     /// What is wrong with the primary.
@@ -417,10 +422,10 @@
         let now = self.site.now();
         let state = self.state.borrow();
         let Some(leader) = state.dispatch.leader() else {
-            let since = state.absent.unwrap_or(now);
+            let since = state.no_primary_since.unwrap_or(now);
             return Some(Trouble::Absent { since });
         };
-        let contact = state.servers.get(&leader).map(|known| known.contact);
+        let contact = state.servers.get(&leader).map(|entry| entry.contact);
         let trouble = contact.and_then(|contact| contact.trouble(now));
         if trouble.is_some() {
             return trouble;
@@ -440,7 +445,7 @@
         state
             .servers
             .iter()
-            .map(|(key, known)| (known.target.clone(), standing(key)))
+            .map(|(key, entry)| (entry.target.clone(), standing(key)))
             .collect()
     }
 
@@ -452,11 +457,11 @@
     }
 
     /// The server called `id`.
-    pub fn find(&self, id: &str) -> Option<ServerKey> {
+    pub fn find_server(&self, id: &str) -> Option<ServerKey> {
         let state = self.state.borrow();
-        let mut known = state.servers.iter();
-        known
-            .find(|(_, known)| known.target.id == id)
+        let mut entries = state.servers.iter();
+        entries
+            .find(|(_, entry)| entry.target.id == id)
             .map(|(key, _)| *key)
     }
 
@@ -474,33 +479,33 @@
     }
 
     /// The newest position of a primary's log that this host has heard of.
-    pub fn newest(&self) -> Position {
+    pub fn newest_position(&self) -> Position {
         self.state.borrow().vouch.newest()
     }
 
     /// The newest term that is known to have begun.
-    pub fn term(&self) -> Term {
+    pub fn newest_term(&self) -> Term {
         self.state.borrow().vouch.term()
     }
 
-    fn refresh(self: &Rc<Self>) {
+    fn refresh_leader(self: &Rc<Self>) {
         let now = self.site.now();
         let (change, succeeds) = {
             let mut state = self.state.borrow_mut();
-            state.trust_the_last(now);
+            state.trust_only_server(now);
             let newest = state.vouch.term();
             state.leader.began(newest);
             let Some(change) = state.leader.refresh(now) else {
                 return;
             };
-            let succeeds = state.succeeds(change.after);
+            let succeeds = state.is_successor(change.after);
             let hold = state.dispatch.held().filter(|_| !succeeds);
             state.dispatch.lead(change.after);
             if let Some(hold) = hold {
                 state.dispatch.hold(hold);
             }
-            state.check_leader(now);
-            state.absent = change.after.is_none().then_some(now);
+            state.schedule_leader_check(now);
+            state.no_primary_since = change.after.is_none().then_some(now);
             (change, succeeds)
         };
         self.site.log(&Event::Leads {
@@ -512,7 +517,7 @@
         if succeeds {
             self.end_hold("a server is seen to lead");
         }
-        self.alarm.notify_one();
+        self.failover_notify.notify_one();
         self.tick_dispatch(now);
     }
 
@@ -522,18 +527,18 @@
     }
 
     /// Closes idle connections that their server has ended, before a request is sent there.
-    fn sweep(self: &Rc<Self>) {
+    fn close_ended_connections(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
-        let over: Vec<u64> = state
+        let closed: Vec<u64> = state
             .idle
             .iter()
-            .filter(|(_, back)| back.is_over())
+            .filter(|(_, connection)| connection.is_closed())
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
-            if let Some(back) = state.idle.remove(&id) {
-                state.broke(back.server);
-                state.dispatch.ended(back.server, id);
+        for id in closed {
+            if let Some(connection) = state.idle.remove(&id) {
+                state.record_broken_connection(connection.server);
+                state.dispatch.ended(connection.server, id);
             }
         }
     }
--- a/crates/proxy/src/service/confirm.rs
+++ b/crates/proxy/src/service/confirm.rs
@@ -24,11 +24,11 @@
 #[derive(Debug, Default)]
 pub(super) struct Confirmation {
     /// When they were last asked and all of them followed the primary.
-    confirmed: Option<Duration>,
+    confirmed_at: Option<Duration>,
     /// When a round of questions was last begun.
-    begun: Option<Duration>,
+    round_started_at: Option<Duration>,
     /// A round is under way.
-    asking: bool,
+    in_progress: bool,
 }
 
 impl<C: Codec> Service<C> {
@@ -41,19 +41,19 @@
     /// and for what they show of the data's age. A write may be lost to an order that is on its
     /// way, and is not acknowledged on this word. Where a split had two thirds of 74 hosts in that
     /// situation for six seconds, 4.2% of the day's requests were refused with it, 8.6% without.
-    pub async fn confirm(self: &Rc<Self>, since: Duration) -> Option<Duration> {
+    pub async fn confirm_primary(self: &Rc<Self>, since: Duration) -> Option<Duration> {
         loop {
             let now = self.site.now();
             let (confirmed, begun, asking) = {
                 let state = self.state.borrow();
                 let it = &state.confirmation;
-                (it.confirmed, it.begun, it.asking)
+                (it.confirmed_at, it.round_started_at, it.in_progress)
             };
             if confirmed >= Some(since) {
                 return confirmed;
             }
             if asking {
-                self.confirmed.notified().await;
+                self.confirmation_notify.notified().await;
             } else if begun >= Some(since) {
                 // They were asked after that, and it was not so.
                 return None;
@@ -62,28 +62,28 @@
             {
                 tokio::time::sleep(pause).await;
             } else {
-                self.begin_confirmation(now);
+                self.start_round(now);
             }
         }
     }
 
-    fn begin_confirmation(self: &Rc<Self>, now: Duration) {
+    fn start_round(self: &Rc<Self>, now: Duration) {
         {
             let mut state = self.state.borrow_mut();
-            state.confirmation.begun = Some(now);
-            state.confirmation.asking = true;
+            state.confirmation.round_started_at = Some(now);
+            state.confirmation.in_progress = true;
         }
         let service = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let follow = service.others_follow(now).await;
             {
                 let mut state = service.state.borrow_mut();
-                state.confirmation.asking = false;
+                state.confirmation.in_progress = false;
                 if follow {
-                    state.confirmation.confirmed = Some(now);
+                    state.confirmation.confirmed_at = Some(now);
                 }
             }
-            service.confirmed.notify_waiters();
+            service.confirmation_notify.notify_waiters();
         });
     }
 
@@ -116,8 +116,8 @@
         let Ok(Ok(status)) = timeout(ANSWER_TIMEOUT, self.status(&target)).await else {
             return false;
         };
-        self.said(server, &status, asked);
-        let follows = status.role == Role::Replica && status.term <= self.term_of_leader(server);
+        self.record_status(server, &status, asked);
+        let follows = status.role == Role::Replica && status.term <= self.leader_term(server);
         if follows {
             // The primary has that too. Where it has lost its log, this host may have nothing else to
             // tell it by: it was out of touch when the log got so far.
@@ -129,12 +129,12 @@
 
     async fn status(&self, target: &Target) -> Result<Status, server_connection::Error> {
         let id = self.site.next_id();
-        let mut back = ServerConnection::<C>::connect(id, target, &self.site.host).await?;
-        back.status().await
+        let mut connection = ServerConnection::<C>::connect(id, target, &self.site.host).await?;
+        connection.status().await
     }
 
     /// The term of the primary that is believed in, where it is not `server`.
-    fn term_of_leader(&self, server: ServerKey) -> Term {
+    fn leader_term(&self, server: ServerKey) -> Term {
         match self.leader() {
             Some(leader) if leader != server => self.term_led(),
             _ => Term::default(),
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -28,7 +28,7 @@
         let now = self.site.now();
         let target = {
             let state = self.state.borrow();
-            state.servers.get(&server).map(|known| known.target.clone())
+            state.servers.get(&server).map(|entry| entry.target.clone())
         };
         let Some(target) = target else {
             let failure = dispatch::Failure::Unreachable;
@@ -41,23 +41,23 @@
             return;
         };
         let id = self.site.next_id();
-        match self.connect_examined(id, &target).await {
-            Ok(back) => {
+        match self.connect_and_examine(id, &target).await {
+            Ok(connection) => {
                 meter::connected(&self.name);
-                self.heard(server, back.position, now, false);
-                if let Some(position) = back.position {
-                    self.weigh(server, position, now);
-                    self.refresh();
+                self.record_answer(server, connection.position, now, false);
+                if let Some(position) = connection.position {
+                    self.check_log(server, position, now);
+                    self.refresh_leader();
                 }
                 let now = self.site.now();
                 let next = {
                     let mut state = self.state.borrow_mut();
-                    state.idle.insert(id, back);
+                    state.idle.insert(id, connection);
                     state.dispatch.opened(server, id, now)
                 };
                 self.apply(next);
             }
-            Err(error) => self.unconnected(server, &error, now),
+            Err(error) => self.connection_failed(server, &error, now),
         }
     }
 
@@ -66,32 +66,34 @@
     /// Guards against a successor that lost its log before it was seen to lead: it shows the start of its
     /// term with its log or without, and hosts expect it to lead. A connection that is kept shows that the
     /// process which was asked is still there.
-    async fn connect_examined(
+    async fn connect_and_examine(
         self: &Rc<Self>,
         id: u64,
         target: &Target,
     ) -> Result<ServerConnection<C>, server_connection::Error> {
-        let mut back = ServerConnection::connect(id, target, &self.site.host).await?;
-        let start = back.position.filter(|it| it.log == 0 && self.is_seen());
+        let mut connection = ServerConnection::connect(id, target, &self.site.host).await?;
+        let start = connection
+            .position
+            .filter(|it| it.log == 0 && self.has_seen_entries());
         let Some(position) = start else {
-            return Ok(back);
+            return Ok(connection);
         };
-        let asked = timeout(EXAMINATION_TIMEOUT, back.has_entries()).await;
+        let asked = timeout(EXAMINATION_TIMEOUT, connection.has_entries()).await;
         let has_entries = asked.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        self.examined(target.server, position, has_entries);
-        match back.broken {
+        self.record_examination(target.server, position, has_entries);
+        match connection.broken {
             true => Err(server_connection::Error::Refused(Code::Lagging)),
-            false => Ok(back),
+            false => Ok(connection),
         }
     }
 
-    fn unconnected(
+    fn connection_failed(
         self: &Rc<Self>,
         server: ServerKey,
         error: &server_connection::Error,
         sent: Duration,
     ) {
-        let (connections, waiting) = self.load(server);
+        let (connections, waiting) = self.connection_load(server);
         self.site.log(&Event::Unconnected {
             service: self.name.clone(),
             server: self.name_of(Some(server)),
@@ -99,7 +101,7 @@
             connections,
             waiting,
         });
-        self.missed(server, error, sent);
+        self.record_failure(server, error, sent);
         let failure = match error {
             server_connection::Error::Refused(Code::ConnectionLimit | Code::Busy) => {
                 dispatch::Failure::Full
@@ -110,9 +112,9 @@
         let next = {
             let mut state = self.state.borrow_mut();
             let next = state.dispatch.failed(server, failure, now);
-            let known = state.dispatch.servers().get(&server);
-            if known.is_some_and(dispatch::Server::is_short) && failure == dispatch::Failure::Full {
-                state.short_of.insert(server);
+            let entry = state.dispatch.servers().get(&server);
+            if entry.is_some_and(dispatch::Server::is_short) && failure == dispatch::Failure::Full {
+                state.connection_shortages.insert(server);
             }
             next
         };
@@ -120,10 +122,10 @@
     }
 
     /// Connections to a server, and requests of the service that wait for one.
-    fn load(&self, server: ServerKey) -> (u16, usize) {
+    fn connection_load(&self, server: ServerKey) -> (u16, usize) {
         let state = self.state.borrow();
-        let known = state.dispatch.servers().get(&server);
-        let connections = known.map_or(0, dispatch::Server::connections);
+        let entry = state.dispatch.servers().get(&server);
+        let connections = entry.map_or(0, dispatch::Server::connections);
         (connections, state.dispatch.waiting())
     }
 }
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -27,17 +27,17 @@
 pub(super) struct Replacement {
     /// The newest term that was known when it was ordered; no primary of that term or one before
     /// is relied on any more.
-    term: Term,
+    ended_term: Term,
     /// Token of the order.
     token: u64,
     successor: peer::Server,
     /// How far that one had received the log, by its own word.
-    had: Position,
+    successor_position: Position,
     /// From when on nothing is sent to the primary.
-    from: Duration,
+    hold_from: Duration,
     /// From when on nothing that it answers counts.
-    over: Duration,
-    heard: Duration,
+    ignore_from: Duration,
+    heard_at: Duration,
 }
 
 impl Replacement {
@@ -52,28 +52,28 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct PromotionRecord {
     /// The newest term that was known then.
-    before: Term,
+    previous_term: Term,
     /// How far the server had received the log, by its own word.
-    had: Position,
+    received: Position,
 }
 
 impl PromotionRecord {
     /// Whether the server was ordered to lead `term` without a log: no other had one.
     pub(super) fn was_empty(&self, term: Term) -> bool {
-        term.number() == self.before.number() + 1 && self.had.log == 0
+        term.number() == self.previous_term.number() + 1 && self.received.log == 0
     }
 
     /// Whether a log that reaches `position` cannot be that of the server in the term that it was
     /// ordered to lead: it had received more before, and numbers go on across terms.
-    pub(super) fn is_short(&self, position: Position) -> bool {
-        let ordered = position.term.number() == self.before.number() + 1;
-        ordered && position.log > 0 && position.log <= self.had.log
+    pub(super) fn is_behind_promotion(&self, position: Position) -> bool {
+        let ordered = position.term.number() == self.previous_term.number() + 1;
+        ordered && position.log > 0 && position.log <= self.received.log
     }
 }
 
 impl<C: Codec> State<C> {
     /// Whether another server is believed to lead a term that is not over.
-    fn is_succeeded(&self, server: ServerKey) -> bool {
+    fn has_successor(&self, server: ServerKey) -> bool {
         let leader = self.dispatch.leader().filter(|leader| *leader != server);
         leader.is_some_and(|leader| !self.leader.is_over(leader))
     }
@@ -83,22 +83,22 @@
     /// What is held for the check of the primary goes on being held, reads of some age as well: a host that is
     /// told of an order before the check would otherwise read at a primary that may have lost its log.
     fn hold_for_successor(&mut self, from: Duration, until: Duration, now: Duration) {
-        let unchecked = self.unchecked.take().filter(|it| now < it.until);
+        let unchecked = self.check_hold.take().filter(|it| now < it.until);
         let from = unchecked.map_or(from, |unchecked| unchecked.from);
         let hold = dispatch::Hold { from, until };
         match unchecked {
             Some(_) => self.dispatch.hold_with_reads(hold),
             None => self.dispatch.hold(hold),
         }
-        self.held = Some(hold);
+        self.successor_hold = Some(hold);
     }
 
-    fn term_began(&mut self, start: &peer::TermStart) {
-        let known = self.ordered.entry(start.server.clone()).or_default();
-        if known.before <= start.before() {
-            *known = PromotionRecord {
-                before: start.before(),
-                had: start.had(),
+    fn record_term_start(&mut self, start: &peer::TermStart) {
+        let promotion = self.promotions.entry(start.server.clone()).or_default();
+        if promotion.previous_term <= start.before() {
+            *promotion = PromotionRecord {
+                previous_term: start.before(),
+                received: start.had(),
             };
         }
     }
@@ -106,21 +106,24 @@
 
 impl<C: Codec> Service<C> {
     /// Another host says where a term began.
-    pub fn term_began(&self, start: &peer::TermStart) {
-        self.state.borrow_mut().term_began(start);
+    pub fn record_term_start(&self, start: &peer::TermStart) {
+        self.state.borrow_mut().record_term_start(start);
     }
 
     /// Where the newest term began that was ordered, as far as is known.
     pub fn newest_term_start(&self) -> Option<peer::TermStart> {
         let state = self.state.borrow();
-        let newest = state.ordered.iter().max_by_key(|(_, it)| it.before);
-        newest.map(|(id, it)| peer::TermStart::new(id.clone(), it.before, it.had))
+        let newest = state
+            .promotions
+            .iter()
+            .max_by_key(|(_, it)| it.previous_term);
+        newest.map(|(id, it)| peer::TermStart::new(id.clone(), it.previous_term, it.received))
     }
 
     /// For how long a primary still serves whose successor is ordered now, if it is alive and about
     /// to leave: no longer where another order may be out.
-    pub fn serves_until_relieved(&self) -> Duration {
-        match self.state.borrow().held {
+    pub fn remaining_service_time(&self) -> Duration {
+        match self.state.borrow().successor_hold {
             Some(_) => Duration::ZERO,
             None => self.site.promotion().saturating_sub(HANDOVER_MARGIN),
         }
@@ -128,10 +131,10 @@
 
     /// The primary's successor may be ordered without this host's knowledge: what needs the primary is held
     /// until a server is seen to lead.
-    pub fn hold_for_unheard_order(&self) {
+    pub fn hold_for_unknown_order(&self) {
         let from = self.site.now();
         let mut state = self.state.borrow_mut();
-        if state.held.is_some() {
+        if state.successor_hold.is_some() {
             return;
         }
         state.orders.heard();
@@ -144,52 +147,55 @@
     /// leads the term that has ended, however well it looks: the order may be carried out late.
     pub fn end_term(&self, ended: &Ended) -> bool {
         let now = self.site.now();
-        let successor = self.listed_as(&ended.successor);
+        let successor = self.resolve_listed(&ended.successor);
         let mut state = self.state.borrow_mut();
-        let known = state.replacement.as_ref();
-        if known.is_some_and(|it| (it.term, it.token) >= (ended.term(), ended.token)) {
+        let replacement = state.replacement.as_ref();
+        if replacement.is_some_and(|it| (it.ended_term, it.token) >= (ended.term(), ended.token)) {
             return false;
         }
         let serves = ended.serves();
-        let from = now + serves;
-        let over = match serves.is_zero() {
+        let hold_from = now + serves;
+        let ignore_from = match serves.is_zero() {
             true => now,
-            false => from + HANDOVER_MARGIN,
+            false => hold_from + HANDOVER_MARGIN,
         };
         state.replacement = Some(Replacement {
-            term: ended.term(),
+            ended_term: ended.term(),
             token: ended.token,
             successor: ended.successor.clone(),
-            had: ended.had(),
-            from,
-            over,
-            heard: now,
+            successor_position: ended.had(),
+            hold_from,
+            ignore_from,
+            heard_at: now,
         });
         let id = ended.successor.id.clone();
-        state.term_began(&peer::TermStart::new(id, ended.term(), ended.had()));
+        state.record_term_start(&peer::TermStart::new(id, ended.term(), ended.had()));
         state.leader.end(ended.term(), successor);
         let leads = state.dispatch.leader();
         let is_done = state.vouch.term() > ended.term() || leads.is_some() && leads == successor;
         if is_done {
             return true;
         }
-        state.hold_for_successor(from, now + SUCCESSOR_HOLD, now);
+        state.hold_for_successor(hold_from, now + SUCCESSOR_HOLD, now);
         true
     }
 
     /// The newest replacement of the primary, for hosts that may not have heard of it, if this host
     /// has heard of it within `age`.
-    pub fn ended(&self, age: Duration) -> Option<Ended> {
+    pub fn recent_replacement(&self, age: Duration) -> Option<Ended> {
         let now = self.site.now();
         let state = self.state.borrow();
-        let known = state.replacement.as_ref()?;
-        let serves = known.from.saturating_sub(now);
-        (now <= known.heard + age).then(|| {
-            let successor = (known.successor.clone(), known.had);
+        let replacement = state.replacement.as_ref()?;
+        let serves = replacement.hold_from.saturating_sub(now);
+        (now <= replacement.heard_at + age).then(|| {
+            let successor = (
+                replacement.successor.clone(),
+                replacement.successor_position,
+            );
             Ended::new(
                 self.name.clone(),
-                known.term,
-                known.token,
+                replacement.ended_term,
+                replacement.token,
                 successor,
                 serves,
             )
@@ -197,12 +203,12 @@
     }
 
     /// The store has answered what was sent at `sent`: nobody has claimed to replace the primary.
-    pub fn unclaimed(&self, sent: Duration) {
+    pub fn record_no_claims(&self, sent: Duration) {
         self.state.borrow_mut().store_lease.asked(sent);
     }
 
     /// Whether this host may rely on the primary for what the store has said.
-    pub fn is_unclaimed(&self) -> bool {
+    pub fn holds_store_lease(&self) -> bool {
         let now = self.site.now();
         self.state.borrow().store_lease.holds_lease(now)
     }
@@ -210,7 +216,10 @@
     /// The newest token under which an order for the service was given, as far as is known.
     pub fn newest_order(&self) -> Option<Grant> {
         let state = self.state.borrow();
-        state.replacement.as_ref().map(|known| Grant(known.token))
+        state
+            .replacement
+            .as_ref()
+            .map(|replacement| Grant(replacement.token))
     }
 
     /// Whether what `server` answers as a primary does not count: its term is over.
@@ -220,21 +229,21 @@
     /// promoted shows one of the old term until it has caught up with its own log. A primary that is
     /// about to leave may serve on for a while; its successor may lead before that is over, by an order
     /// that this host has not heard of.
-    pub fn is_past(&self, server: ServerKey) -> bool {
+    pub fn is_superseded(&self, server: ServerKey) -> bool {
         let now = self.site.now();
         let state = self.state.borrow();
-        let known = state.replacement.as_ref();
-        let relieved = known.is_some_and(|known| now >= known.over);
-        let succeeded = state.is_succeeded(server);
+        let replacement = state.replacement.as_ref();
+        let replaced = replacement.is_some_and(|replacement| now >= replacement.ignore_from);
+        let succeeded = state.has_successor(server);
         let led = state.leader.term_led(server);
-        state.leader.is_over(server) && (relieved || succeeded || led < state.vouch.term())
+        state.leader.is_over(server) && (replaced || succeeded || led < state.vouch.term())
     }
 
     /// A write was acknowledged; it is logged if the primary is being replaced meanwhile.
-    pub fn acknowledged(&self, id: &[u8], position: Option<Position>) {
+    pub fn record_acknowledgement(&self, id: &[u8], position: Option<Position>) {
         let now = self.site.now();
-        let held = self.state.borrow().held;
-        if held.is_none_or(|hold| now < hold.from) {
+        let hold = self.state.borrow().successor_hold;
+        if hold.is_none_or(|hold| now < hold.from) {
             return;
         }
         self.site.log(&Event::AcknowledgedDuring {
@@ -246,23 +255,23 @@
 
     /// Notes the end of a hold whose time is over.
     pub(super) fn tick_hold(self: &Rc<Self>, now: Duration) {
-        let held = self.state.borrow().held;
-        if held.is_some_and(|hold| now >= hold.until) {
+        let hold = self.state.borrow().successor_hold;
+        if hold.is_some_and(|hold| now >= hold.until) {
             self.end_hold("its time is over");
-            self.disown();
+            self.disown_primary();
         }
     }
 
     /// No successor has shown. The old primary is not relied on again all the same: the order may
     /// still be carried out. With nobody left that leads, hosts look for the successor and order
     /// one again.
-    fn disown(self: &Rc<Self>) {
+    fn disown_primary(self: &Rc<Self>) {
         self.state.borrow_mut().leader.disown();
-        self.refresh();
+        self.refresh_leader();
     }
 
-    fn listed_as(&self, server: &peer::Server) -> Option<ServerKey> {
-        match self.meant(server) {
+    fn resolve_listed(&self, server: &peer::Server) -> Option<ServerKey> {
+        match self.resolve_server(server) {
             ResolvedServer::Listed(server) => Some(server),
             ResolvedServer::Former | ResolvedServer::Newer | ResolvedServer::Unknown => None,
         }
@@ -270,7 +279,7 @@
 
     /// Notes that statements for the primary are held no longer, and `why`.
     pub(super) fn end_hold(&self, why: &'static str) {
-        let Some(hold) = self.state.borrow_mut().held.take() else {
+        let Some(hold) = self.state.borrow_mut().successor_hold.take() else {
             return;
         };
         self.site.log(&Event::HoldEnded {
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -50,37 +50,37 @@
                 id: backend.id.clone(),
                 service: self.name.clone(),
             };
-            let back = match start {
+            let restart = match start {
                 Start::Known => None,
-                Start::Restarted(former) => Some(restart::RestartRecord {
-                    former,
-                    extent: state.extent.furthest(),
+                Start::Restarted(former_key) => Some(restart::RestartRecord {
+                    former_key,
+                    log_extent: state.extent.furthest(),
                     term: state.vouch.term(),
                 }),
             };
-            let known = state.servers.entry(key).or_insert_with(|| ServerEntry {
+            let entry = state.servers.entry(key).or_insert_with(|| ServerEntry {
                 target: target.clone(),
                 incarnation: backend.incarnation,
-                life: RestartSignal::default(),
-                back,
-                broke: false,
-                blank: false,
-                shown: false,
+                restart_signal: RestartSignal::default(),
+                restart,
+                connections_broke: false,
+                found_empty: false,
+                has_shown_position: false,
                 contact: Contact::default(),
                 outstanding: BTreeMap::new(),
             });
-            known.target = target;
+            entry.target = target;
             if start != Start::Known && backend.role == Role::Primary {
                 state.leader.doubt(key);
             }
         }
-        self.refresh();
+        self.refresh_leader();
     }
 
     /// The server under `key` has started again: what is on its way there gets no answer any more.
     pub fn restarted(self: &Rc<Self>, key: ServerKey) {
-        if let Some(known) = self.state.borrow().servers.get(&key) {
-            known.life.end();
+        if let Some(entry) = self.state.borrow().servers.get(&key) {
+            entry.restart_signal.raise();
         }
         self.unlisted(key);
     }
@@ -95,7 +95,7 @@
             state.dispatch.remove(key)
         };
         self.apply(next);
-        self.refresh();
+        self.refresh_leader();
     }
 
     /// The connections that this host may have have changed.
--- a/crates/proxy/src/service/log_loss.rs
+++ b/crates/proxy/src/service/log_loss.rs
@@ -26,7 +26,7 @@
         position: Option<Position>,
         sent: Duration,
     ) -> bool {
-        if self.is_past(server) {
+        if self.is_superseded(server) {
             return true;
         }
         let Some(position) = position else {
@@ -36,11 +36,13 @@
             let state = self.state.borrow();
             let led = state.leader.term_led(server);
             let newest = position.term == led && led >= state.vouch.term();
-            newest && (state.extent.lacks(position, sent) || state.is_short(server, position))
+            newest
+                && (state.extent.lacks(position, sent)
+                    || state.lacks_received_entries(server, position))
         };
         if lost {
             self.doubt_log(server, position);
-            self.refresh();
+            self.refresh_leader();
         }
         lost
     }
@@ -48,7 +50,9 @@
     /// Servers whose claims to lead are not believed, as other hosts are told of them.
     pub fn doubted_servers(&self) -> Vec<peer::Server> {
         let doubted = self.doubted().into_iter();
-        doubted.filter_map(|server| self.named(server)).collect()
+        doubted
+            .filter_map(|server| self.to_peer_server(server))
+            .collect()
     }
 
     /// Another host does not believe that `server` leads.
@@ -57,8 +61,8 @@
     /// started since: it has seen no connection break, and the start of the term is all that the
     /// primary shows. It answered reads from nothing until the first write there, 340 ms beside three
     /// hosts that knew better. One that has its log shows it with its next write.
-    pub fn doubted_elsewhere(self: &Rc<Self>, server: &peer::Server) {
-        let ResolvedServer::Listed(server) = self.meant(server) else {
+    pub fn record_peer_doubt(self: &Rc<Self>, server: &peer::Server) {
+        let ResolvedServer::Listed(server) = self.resolve_server(server) else {
             return;
         };
         let start = {
@@ -69,7 +73,7 @@
         };
         if let Some(start) = start {
             self.doubt_log(server, start);
-            self.refresh();
+            self.refresh_leader();
         }
     }
 
@@ -111,10 +115,13 @@
     /// the proof of its log: 17 to 93 acknowledged writes were gone in five of six runs. One that has
     /// its log, or whose connections were only reset, is replaced for nothing unless somebody else
     /// writes there, which costs the time of a promotion.
-    pub(super) fn may_be_empty(&self, server: ServerKey, position: Position) -> bool {
-        let broke = self.servers.get(&server).is_some_and(|known| known.broke);
+    pub(super) fn may_have_lost_log(&self, server: ServerKey, position: Position) -> bool {
+        let broke = self
+            .servers
+            .get(&server)
+            .is_some_and(|entry| entry.connections_broke);
         let shows_none = position.log == 0 && self.extent.is_written();
-        broke && shows_none && !self.was_ordered_empty(server)
+        broke && shows_none && !self.was_promoted_empty(server)
     }
 
     /// Whether a server that has been promoted shows less than it had received before that.
@@ -122,28 +129,28 @@
     /// Guards against one that has started again without its log before anything was written in its
     /// term: the number of the first write there is the only thing that tells. Hosts that had not seen
     /// its process end went on writing to it.
-    pub(super) fn is_short(&self, server: ServerKey, position: Position) -> bool {
-        let Some(known) = self.servers.get(&server) else {
+    pub(super) fn lacks_received_entries(&self, server: ServerKey, position: Position) -> bool {
+        let Some(entry) = self.servers.get(&server) else {
             return false;
         };
-        let ordered = self.ordered.get(&known.target.id);
-        ordered.is_some_and(|ordered| ordered.is_short(position))
+        let promotion = self.promotions.get(&entry.target.id);
+        promotion.is_some_and(|promotion| promotion.is_behind_promotion(position))
     }
 
     /// A connection to `server` has broken.
-    pub(super) fn broke(&mut self, server: ServerKey) {
+    pub(super) fn record_broken_connection(&mut self, server: ServerKey) {
         if self.dispatch.leader() != Some(server) {
             return;
         }
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.broke = true;
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.connections_broke = true;
         }
     }
 
     /// `server` has shown a write of its own term: what broke before says nothing of its log any more.
-    pub(super) fn has_written(&mut self, server: ServerKey) {
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.broke = false;
+    pub(super) fn record_own_write(&mut self, server: ServerKey) {
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.connections_broke = false;
         }
     }
 }
--- a/crates/proxy/src/service/log_proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -38,52 +38,52 @@
 
 impl<C: Codec> Service<C> {
     /// What has to be found out before `server` is believed to lead, which says `status`.
-    pub fn missing(&self, server: ServerKey, status: &Status) -> MissingEvidence {
+    pub fn missing_evidence(&self, server: ServerKey, status: &Status) -> MissingEvidence {
         let state = self.state.borrow();
         match state.leader.get() == Some(server) && status.role == Role::Primary {
-            true => state.missing(status.received),
+            true => state.missing_evidence(status.received),
             false => MissingEvidence::Nothing,
         }
     }
 
     /// A host that would know of an order has told this one what it knows.
-    pub fn told_of_orders(&self) {
+    pub fn record_orders_known(&self) {
         let mut state = self.state.borrow_mut();
         if state.orders == Orders::Heard {
             return;
         }
         state.orders.heard();
-        state.weigh_again(self.site.now());
-        self.alarm.notify_one();
+        state.recheck_leader(self.site.now());
+        self.failover_notify.notify_one();
     }
 
     /// The newest term for the change of whose primary the store has a claim, if any.
-    pub fn told_of_claims(&self, newest: Option<Term>) {
+    pub fn record_claims(&self, newest: Option<Term>) {
         let mut state = self.state.borrow_mut();
         if state.orders != Orders::Unknown {
             return;
         }
         state.orders.claimed(newest);
-        state.weigh_again(self.site.now());
-        self.alarm.notify_one();
+        state.recheck_leader(self.site.now());
+        self.failover_notify.notify_one();
     }
 
     /// Whether some server was seen to hold anything.
-    pub fn is_seen(&self) -> bool {
+    pub fn has_seen_entries(&self) -> bool {
         self.state.borrow().extent.is_seen()
     }
 
     /// The store's record says whether something was ever written.
-    pub fn recorded(&self, is_written: bool) {
+    pub fn apply_store_record(&self, is_written: bool) {
         let mut state = self.state.borrow_mut();
         match is_written {
             true => state.extent.record(),
-            false => state.end_check(),
+            false => state.end_check_hold(),
         }
     }
 
     /// `server` was asked on a new connection whether its log holds anything, which shows `position`.
-    pub(super) fn examined(
+    pub(super) fn record_examination(
         self: &Rc<Self>,
         server: ServerKey,
         position: Position,
@@ -91,24 +91,29 @@
     ) {
         let leads = {
             let mut state = self.state.borrow_mut();
-            if let Some(known) = state.servers.get_mut(&server) {
-                known.blank = !has_entries;
+            if let Some(entry) = state.servers.get_mut(&server) {
+                entry.found_empty = !has_entries;
             }
             state.leader.get() == Some(server)
         };
         if leads {
-            self.proved(server, position, has_entries);
+            self.record_log_check(server, position, has_entries);
         }
     }
 
     /// `server`, which claims to lead at `position`, was asked whether its log holds anything.
-    pub fn proved(self: &Rc<Self>, server: ServerKey, position: Position, has_entries: bool) {
-        let was_empty = self.state.borrow().was_ordered_empty(server);
+    pub fn record_log_check(
+        self: &Rc<Self>,
+        server: ServerKey,
+        position: Position,
+        has_entries: bool,
+    ) {
+        let was_empty = self.state.borrow().was_promoted_empty(server);
         if has_entries || was_empty {
             let mut state = self.state.borrow_mut();
-            state.proved = Some(server);
-            if state.missing(position) != MissingEvidence::Orders {
-                state.end_check();
+            state.proven_primary = Some(server);
+            if state.missing_evidence(position) != MissingEvidence::Orders {
+                state.end_check_hold();
             }
             return;
         }
@@ -126,7 +131,7 @@
                 false => "the store's record says that it was written to",
             },
         });
-        self.refresh();
+        self.refresh_leader();
     }
 }
 
@@ -140,7 +145,7 @@
     /// And against the loss of what is written to a primary whose successor is ordered already: all hosts
     /// started anew in the time between, and what the primary acknowledged in its last milliseconds its
     /// successor had not received.
-    pub(super) fn missing(&self, position: Position) -> MissingEvidence {
+    pub(super) fn missing_evidence(&self, position: Position) -> MissingEvidence {
         if self
             .orders
             .may_replace(self.vouch.term().max(position.term))
@@ -161,13 +166,13 @@
     ///
     /// Guards against a service without a primary for good where all servers have lost their logs: each one that
     /// is ordered would be found empty and replaced by the next.
-    pub(super) fn was_ordered_empty(&self, server: ServerKey) -> bool {
-        let Some(known) = self.servers.get(&server) else {
+    pub(super) fn was_promoted_empty(&self, server: ServerKey) -> bool {
+        let Some(entry) = self.servers.get(&server) else {
             return false;
         };
-        let ordered = self.ordered.get(&known.target.id);
+        let promotion = self.promotions.get(&entry.target.id);
         let led = self.leader.term_led(server);
-        ordered.is_some_and(|ordered| ordered.was_empty(led))
+        promotion.is_some_and(|promotion| promotion.was_empty(led))
     }
 
     /// Whether a server that is not heard may hold what the primary lacks: it cannot be reached, or is not
@@ -178,24 +183,26 @@
     fn lacks_witness(&self) -> bool {
         let mut others = self.others().peekable();
         let is_alone = others.peek().is_none();
-        is_alone || others.any(|(key, known)| !known.shown && self.is_unheard(key, known))
+        is_alone
+            || others
+                .any(|(key, entry)| !entry.has_shown_position && self.is_unavailable(key, entry))
     }
 
     /// Whether nothing is heard of a server: it cannot be reached, or it leaves.
-    fn is_unheard(&self, key: ServerKey, known: &ServerEntry) -> bool {
+    fn is_unavailable(&self, key: ServerKey, entry: &ServerEntry) -> bool {
         let server = self.dispatch.servers().get(&key);
         let leaves = server.is_none_or(|server| server.standing == Standing::Leaving);
-        leaves || known.contact.is_failing()
+        leaves || entry.contact.is_failing()
     }
 
     /// What needs a primary that this host did not expect waits until it is known to have a log.
     pub(super) fn wait_for_proof(&mut self, now: Duration) {
-        let Some(hold) = self.unchecked else {
+        let Some(hold) = self.check_hold else {
             return;
         };
         let until = hold.until.max(now + PROOF_HOLD);
         let longer = Hold { until, ..hold };
-        self.unchecked = Some(longer);
+        self.check_hold = Some(longer);
         if self.dispatch.held() == Some(hold) {
             self.dispatch.hold_with_reads(longer);
         }
--- a/crates/proxy/src/service/pooled_connection.rs
+++ b/crates/proxy/src/service/pooled_connection.rs
@@ -12,32 +12,32 @@
 /// A connection that one request has for itself. Dropped, it is closed: only what is known to be
 /// in order is given back.
 pub struct PooledConnection<C: Codec> {
-    pub(super) back: Option<ServerConnection<C>>,
-    pub(super) life: RestartSignal,
+    pub(super) connection: Option<ServerConnection<C>>,
+    pub(super) restart_signal: RestartSignal,
     pub(super) service: Rc<Service<C>>,
-    pub(super) rests: bool,
-    pub(super) long: bool,
+    pub(super) idle_in_transaction: bool,
+    pub(super) is_long: bool,
 }
 
 impl<C: Codec> PooledConnection<C> {
     /// Notes whether the connection rests inside a transaction while its caller thinks.
-    pub fn rest(&mut self, rests: bool) {
-        if self.rests == rests {
+    pub fn set_idle_in_transaction(&mut self, idle: bool) {
+        if self.idle_in_transaction == idle {
             return;
         }
-        self.rests = rests;
+        self.idle_in_transaction = idle;
         let now = self.service.site.now();
         let server = self.server;
         let next = {
             let mut state = self.service.state.borrow_mut();
-            state.dispatch.rest(server, rests, now)
+            state.dispatch.rest(server, idle, now)
         };
         self.service.apply(next);
     }
 
     /// The life of the start of its server that it leads to.
-    pub fn life(&self) -> RestartSignal {
-        self.life.clone()
+    pub fn restart_signal(&self) -> RestartSignal {
+        self.restart_signal.clone()
     }
 
     /// The service that its server belongs to.
@@ -46,12 +46,12 @@
     }
 
     /// Something is sent now; the guard stands for the answer that is awaited.
-    pub fn awaits(&self) -> PendingAnswer<C> {
+    pub fn track_answer(&self) -> PendingAnswer<C> {
         let service = Rc::clone(&self.service);
         let (server, id) = (self.server, service.site.next_id());
         let now = service.site.now();
-        if let Some(known) = service.state.borrow_mut().servers.get_mut(&server) {
-            known.outstanding.insert(id, now);
+        if let Some(entry) = service.state.borrow_mut().servers.get_mut(&server) {
+            entry.outstanding.insert(id, now);
         }
         PendingAnswer {
             service,
@@ -61,9 +61,9 @@
     }
 
     /// Takes back what was counted for it beside the connection itself.
-    fn release(&mut self) {
-        self.rest(false);
-        if std::mem::take(&mut self.long) {
+    fn release_counts(&mut self) {
+        self.set_idle_in_transaction(false);
+        if std::mem::take(&mut self.is_long) {
             let server = self.server;
             self.service.state.borrow_mut().dispatch.ended_long(server);
         }
@@ -71,19 +71,19 @@
 
     /// Gives the connection back; no transaction may be open there. One that is out of order or
     /// has answers outstanding is closed.
-    pub fn give_back(mut self) {
+    pub fn return_to_pool(mut self) {
         if self.broken || self.pending() > 0 {
             return;
         }
-        self.release();
-        let Some(back) = self.back.take() else {
+        self.release_counts();
+        let Some(connection) = self.connection.take() else {
             return;
         };
-        let (server, id) = (back.server, back.id);
+        let (server, id) = (connection.server, connection.id);
         let now = self.service.site.now();
         let next = {
             let mut state = self.service.state.borrow_mut();
-            state.idle.insert(id, back);
+            state.idle.insert(id, connection);
             state.dispatch.returned(server, id, now)
         };
         self.service.apply(next);
@@ -92,18 +92,18 @@
 
 impl<C: Codec> Drop for PooledConnection<C> {
     fn drop(&mut self) {
-        if self.back.is_some() {
-            self.release();
+        if self.connection.is_some() {
+            self.release_counts();
         }
-        let Some(back) = self.back.take() else {
+        let Some(connection) = self.connection.take() else {
             return;
         };
         let now = self.service.site.now();
         let next = {
             let mut state = self.service.state.borrow_mut();
-            state.dispatch.lost(back.server, now)
+            state.dispatch.lost(connection.server, now)
         };
-        drop(back);
+        drop(connection);
         self.service.apply(next);
     }
 }
@@ -112,7 +112,7 @@
     type Target = ServerConnection<C>;
 
     fn deref(&self) -> &ServerConnection<C> {
-        self.back
+        self.connection
             .as_ref()
             .expect("a lent connection is there until it is given back")
     }
@@ -120,7 +120,7 @@
 
 impl<C: Codec> DerefMut for PooledConnection<C> {
     fn deref_mut(&mut self) -> &mut ServerConnection<C> {
-        self.back
+        self.connection
             .as_mut()
             .expect("a lent connection is there until it is given back")
     }
@@ -136,8 +136,8 @@
 impl<C: Codec> Drop for PendingAnswer<C> {
     fn drop(&mut self) {
         let mut state = self.service.state.borrow_mut();
-        if let Some(known) = state.servers.get_mut(&self.server) {
-            known.outstanding.remove(&self.id);
+        if let Some(entry) = state.servers.get_mut(&self.server) {
+            entry.outstanding.remove(&self.id);
         }
     }
 }
--- a/crates/proxy/src/service/queue.rs
+++ b/crates/proxy/src/service/queue.rs
@@ -62,28 +62,30 @@
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let waiter = state.waiters.remove(&ticket);
-        let back = state.idle.remove(&connection);
-        let known = state.servers.get(&server);
-        let life = known.map(|known| known.life.clone()).unwrap_or_default();
-        match (waiter, back) {
-            (Some(waiter), Some(back)) if !back.is_over() => {
+        let idle = state.idle.remove(&connection);
+        let entry = state.servers.get(&server);
+        let restart_signal = entry
+            .map(|entry| entry.restart_signal.clone())
+            .unwrap_or_default();
+        match (waiter, idle) {
+            (Some(waiter), Some(idle)) if !idle.is_closed() => {
                 drop(state);
-                let lent = PooledConnection {
-                    back: Some(back),
-                    life,
+                let pooled = PooledConnection {
+                    connection: Some(idle),
+                    restart_signal,
                     service: Rc::clone(self),
-                    rests: false,
-                    long: waiter.ticket.long,
+                    idle_in_transaction: false,
+                    is_long: waiter.ticket.long,
                 };
-                if let Err(Ok(lent)) = waiter.sender.send(Ok(lent)) {
-                    lent.give_back();
+                if let Err(Ok(pooled)) = waiter.sender.send(Ok(pooled)) {
+                    pooled.return_to_pool();
                 }
                 Vec::new()
             }
-            (Some(waiter), back) => {
+            (Some(waiter), idle) => {
                 // The server has ended the connection meanwhile: the request goes on waiting.
-                if back.is_some() {
-                    state.broke(server);
+                if idle.is_some() {
+                    state.record_broken_connection(server);
                 }
                 let mut next = state.dispatch.lost(server, now);
                 let ticket = waiter.ticket.clone();
@@ -91,8 +93,8 @@
                 next.extend(state.dispatch.arrive(ticket, now));
                 next
             }
-            (None, Some(back)) => {
-                state.idle.insert(connection, back);
+            (None, Some(idle)) => {
+                state.idle.insert(connection, idle);
                 state.dispatch.returned(server, connection, now)
             }
             (None, None) => state.dispatch.lost(server, now),
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RestartRecord {
     /// Its former start.
-    pub former: ServerKey,
+    pub former_key: ServerKey,
     /// How far the service's log was seen to reach at that moment.
-    pub extent: Position,
+    pub log_extent: Position,
     /// The newest term that was known.
     pub term: Term,
 }
@@ -78,26 +78,33 @@
     /// what its former start was. Its own first word on a new connection is older than any
     /// statement there: a position below what some server had shown before the question is that
     /// of another log.
-    pub(super) fn weigh(self: &Rc<Self>, server: ServerKey, position: Position, sent: Duration) {
+    pub(super) fn check_log(
+        self: &Rc<Self>,
+        server: ServerKey,
+        position: Position,
+        sent: Duration,
+    ) {
         let mut state = self.state.borrow_mut();
         if state.dispatch.leader() == Some(server)
             && let PrimaryCheck::Due(due) | PrimaryCheck::Asked(due) = state.check
             && sent >= due
         {
-            state.checked(position, self.site.now());
+            state.record_leader_position(position, self.site.now());
         }
         let doubted = state.leader.is_doubted(server);
         let leads = state.leader.get() == Some(server);
-        let short = state.is_short(server, position);
+        let short = state.lacks_received_entries(server, position);
         if doubted && state.extent.proves(position) && !short {
             state.leader.trust(server);
         } else if leads
-            && (short || state.extent.lacks(position, sent) || state.may_be_empty(server, position))
+            && (short
+                || state.extent.lacks(position, sent)
+                || state.may_have_lost_log(server, position))
         {
             drop(state);
             self.doubt_log(server, position);
         } else if leads && position.log > 0 {
-            state.has_written(server);
+            state.record_own_write(server);
         }
     }
 
@@ -109,15 +116,15 @@
     /// It is asked once. Each question takes a connection, and with it a slot for tens of
     /// milliseconds: 65 hosts that asked a server with 5 slots until it answered within 200 ms kept
     /// it from ever answering, and nobody wrote to the service for the rest of the day.
-    pub fn take_unchecked(&self) -> Option<Target> {
+    pub fn take_due_check(&self) -> Option<Target> {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let PrimaryCheck::Due(due) = state.check else {
             return None;
         };
-        let known = state.servers.get(&state.dispatch.leader()?)?;
-        let target = known.target.clone();
-        if now < due && !state.all_shown() {
+        let entry = state.servers.get(&state.dispatch.leader()?)?;
+        let target = entry.target.clone();
+        if now < due && !state.all_others_shown() {
             return None;
         }
         state.check = PrimaryCheck::Asked(due.min(now));
@@ -126,20 +133,20 @@
 
     /// What servers that have started again have to have received before they count like others
     /// in an election.
-    pub fn marks(&self) -> BTreeMap<ServerKey, Position> {
+    pub fn required_positions(&self) -> BTreeMap<ServerKey, Position> {
         let state = self.state.borrow();
-        let known = state.servers.iter();
-        known
-            .filter_map(|(key, known)| Some((*key, known.back?.extent)))
+        let entries = state.servers.iter();
+        entries
+            .filter_map(|(key, entry)| Some((*key, entry.restart?.log_extent)))
             .collect()
     }
 
     /// The former start of each server that has started again.
-    pub fn former(&self) -> BTreeMap<ServerKey, ServerKey> {
+    pub fn former_starts(&self) -> BTreeMap<ServerKey, ServerKey> {
         let state = self.state.borrow();
-        let known = state.servers.iter();
-        known
-            .filter_map(|(key, known)| Some((*key, known.back?.former)))
+        let entries = state.servers.iter();
+        entries
+            .filter_map(|(key, entry)| Some((*key, entry.restart?.former_key)))
             .collect()
     }
 
@@ -151,7 +158,7 @@
     }
 
     /// How far the log has been seen to reach, at whichever server.
-    pub fn furthest(&self) -> Position {
+    pub fn furthest_position(&self) -> Position {
         self.state.borrow().extent.furthest()
     }
 
@@ -159,7 +166,7 @@
     ///
     /// Where this is the first word of any write, a primary that was believed before is asked what it
     /// has: it showed an empty log, which may have been a lost one.
-    pub fn told(&self, position: Position) {
+    pub fn record_peer_position(&self, position: Position) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let was_written = state.extent.is_written();
@@ -167,25 +174,25 @@
         state.extent.showed(position, now);
         if !was_written && state.extent.is_written() && state.dispatch.leader().is_some() {
             state.check = PrimaryCheck::Due(now);
-            self.alarm.notify_one();
+            self.failover_notify.notify_one();
         }
     }
 
     /// A server as other hosts are told of it.
-    pub fn named(&self, server: ServerKey) -> Option<peer::Server> {
+    pub fn to_peer_server(&self, server: ServerKey) -> Option<peer::Server> {
         let state = self.state.borrow();
-        let known = state.servers.get(&server)?;
-        let id = known.target.id.clone();
-        Some(peer::Server::new(id, known.incarnation))
+        let entry = state.servers.get(&server)?;
+        let id = entry.target.id.clone();
+        Some(peer::Server::new(id, entry.incarnation))
     }
 
     /// The server that another host means.
-    pub fn meant(&self, server: &peer::Server) -> ResolvedServer {
-        let Some(key) = self.find(&server.id) else {
+    pub fn resolve_server(&self, server: &peer::Server) -> ResolvedServer {
+        let Some(key) = self.find_server(&server.id) else {
             return ResolvedServer::Unknown;
         };
         let state = self.state.borrow();
-        let listed = state.servers.get(&key).map(|known| known.incarnation);
+        let listed = state.servers.get(&key).map(|entry| entry.incarnation);
         match listed.cmp(&Some(server.incarnation())) {
             Ordering::Less => ResolvedServer::Newer,
             Ordering::Equal => ResolvedServer::Listed(key),
@@ -213,8 +220,8 @@
     ///
     /// Guards against reads that need the start of a term: each server takes its log to contain
     /// that, and one that has lost its log would answer from nothing.
-    pub(super) fn holds(&self, server: ServerKey, position: Position) -> Position {
-        let leads = self.dispatch.leader() == Some(server) && self.unchecked.is_none();
+    pub(super) fn proven_position(&self, server: ServerKey, position: Position) -> Position {
+        let leads = self.dispatch.leader() == Some(server) && self.check_hold.is_none();
         let whole = position.log > 0 || leads || !self.extent.is_written();
         match whole && !self.leader.is_doubted(server) {
             true => position,
@@ -223,21 +230,21 @@
     }
 
     /// Whether the check that is due later can be made now: nothing more will be shown.
-    pub(super) fn may_check(&self) -> bool {
-        matches!(self.check, PrimaryCheck::Due(_)) && self.all_shown()
+    pub(super) fn can_check_now(&self) -> bool {
+        matches!(self.check, PrimaryCheck::Due(_)) && self.all_others_shown()
     }
 
     /// Whether each other server has shown what it has since this one was believed to lead.
-    pub(super) fn all_shown(&self) -> bool {
+    pub(super) fn all_others_shown(&self) -> bool {
         let mut others = self.others().peekable();
         // With no other server there is nobody to show that the log has held more.
-        others.peek().is_some() && others.all(|(_, known)| known.shown)
+        others.peek().is_some() && others.all(|(_, entry)| entry.has_shown_position)
     }
 
     /// The servers beside the one that is believed to lead.
     pub(super) fn others(&self) -> impl Iterator<Item = (ServerKey, &ServerEntry)> {
         let leader = self.dispatch.leader();
-        let servers = self.servers.iter().map(|(key, known)| (*key, known));
+        let servers = self.servers.iter().map(|(key, entry)| (*key, entry));
         servers.filter(move |(key, _)| Some(*key) != leader)
     }
 
@@ -247,12 +254,12 @@
     /// far the log had got, and until the check they wrote to it. So what needs a primary that a host did
     /// not expect waits for the check. Reads of some age as well: they may need no more than the start of its
     /// term, which servers take every log to contain.
-    pub(super) fn check_leader(&mut self, now: Duration) {
+    pub(super) fn schedule_leader_check(&mut self, now: Duration) {
         self.check = PrimaryCheck::after(now);
-        self.weighed = None;
+        self.primary_position = None;
         self.servers
             .values_mut()
-            .for_each(|known| known.shown = false);
+            .for_each(|entry| entry.has_shown_position = false);
         let Some(leader) = self.dispatch.leader() else {
             return;
         };
@@ -262,7 +269,7 @@
         if self.may_hold_for_check() {
             let until = now + CHECK_HOLD;
             let hold = Hold { from: now, until };
-            self.unchecked = Some(hold);
+            self.check_hold = Some(hold);
             self.dispatch.hold_with_reads(hold);
         } else if let Some(hold) = self.dispatch.held() {
             self.dispatch.hold_with_reads(hold);
@@ -277,51 +284,55 @@
     /// A host that has just started may hear of an order of long ago, and the list may tell it of the start
     /// that was ordered, long after that one is over.
     fn is_expected(&self, leader: ServerKey) -> bool {
-        if self.servers.get(&leader).is_some_and(|known| known.blank) {
+        if self
+            .servers
+            .get(&leader)
+            .is_some_and(|entry| entry.found_empty)
+        {
             return false;
         }
-        let Some(proved) = self.proved else {
+        let Some(proven) = self.proven_primary else {
             return false;
         };
         let replacement = self.replacement.as_ref();
-        proved == leader || replacement.is_some_and(|it| self.is_start(leader, it.successor()))
+        proven == leader || replacement.is_some_and(|it| self.is_same_start(leader, it.successor()))
     }
 
     /// Whether `key` stands for that start of a server which `server` names.
-    fn is_start(&self, key: ServerKey, server: &peer::Server) -> bool {
-        let known = self.servers.get(&key);
-        known.is_some_and(|known| {
-            known.target.id == server.id && known.incarnation == server.incarnation()
+    fn is_same_start(&self, key: ServerKey, server: &peer::Server) -> bool {
+        let entry = self.servers.get(&key);
+        entry.is_some_and(|entry| {
+            entry.target.id == server.id && entry.incarnation == server.incarnation()
         })
     }
 
     /// Whether nothing is held for another reason, which would last longer.
     fn may_hold_for_check(&self) -> bool {
         let held = self.dispatch.held();
-        held.is_none() || held == self.unchecked
+        held.is_none() || held == self.check_hold
     }
 
     /// What was missing may have been found out: the primary is weighed again by what it last showed.
-    pub(super) fn weigh_again(&mut self, now: Duration) {
-        let Some(position) = self.weighed else {
+    pub(super) fn recheck_leader(&mut self, now: Duration) {
+        let Some(position) = self.primary_position else {
             return;
         };
-        match self.missing(position) {
-            MissingEvidence::Nothing => self.checked(position, now),
+        match self.missing_evidence(position) {
+            MissingEvidence::Nothing => self.record_leader_position(position, now),
             MissingEvidence::Orders => {}
             MissingEvidence::Record | MissingEvidence::Proof => self.check = PrimaryCheck::Due(now),
         }
     }
 
     /// The server that is believed to lead has shown that its log reaches `position`.
-    fn checked(&mut self, position: Position, now: Duration) {
-        self.weighed = Some(position);
-        match (self.missing(position), self.check) {
+    fn record_leader_position(&mut self, position: Position, now: Duration) {
+        self.primary_position = Some(position);
+        match (self.missing_evidence(position), self.check) {
             (MissingEvidence::Nothing, _) => {
                 self.check = PrimaryCheck::Done;
-                self.weighed = None;
-                self.proved = self.dispatch.leader();
-                self.end_check();
+                self.primary_position = None;
+                self.proven_primary = self.dispatch.leader();
+                self.end_check_hold();
             }
             // Who has asked goes on to find out the rest.
             (_, PrimaryCheck::Asked(_)) => {
@@ -336,11 +347,11 @@
     ///
     /// Where that is the first that was seen of any log, a primary that shows the start of its term is
     /// asked what it has.
-    pub(super) fn showed(&mut self, server: ServerKey, position: Position, now: Duration) {
+    pub(super) fn record_position(&mut self, server: ServerKey, position: Position, now: Duration) {
         if position.log > 0
-            && let Some(known) = self.servers.get_mut(&server)
+            && let Some(entry) = self.servers.get_mut(&server)
         {
-            known.blank = false;
+            entry.found_empty = false;
         }
         let was_seen = self.extent.is_seen();
         self.extent.showed(position, now);
@@ -352,8 +363,8 @@
     }
 
     /// The server that is believed to lead was checked: what was held for that goes on.
-    pub(super) fn end_check(&mut self) {
-        if let Some(hold) = self.unchecked.take() {
+    pub(super) fn end_check_hold(&mut self) {
+        if let Some(hold) = self.check_hold.take() {
             self.dispatch.release(hold);
         }
     }
@@ -368,13 +379,13 @@
     /// And against what was held going to a primary that was replaced long before, where nobody else
     /// seems to lead for a moment: this host refuses to rely on it, so statements went to and fro, with
     /// 25 changes of the primary that hosts believed in within 100 ms.
-    pub(super) fn succeeds(&self, leader: Option<ServerKey>) -> bool {
+    pub(super) fn is_successor(&self, leader: Option<ServerKey>) -> bool {
         let Some(leader) = leader.filter(|leader| !self.leader.is_over(*leader)) else {
             return false;
         };
-        let known = self.servers.get(&leader);
-        let back = known.and_then(|known| known.back);
-        back.is_none_or(|back| self.vouch.term() > back.term)
+        let entry = self.servers.get(&leader);
+        let restart = entry.and_then(|entry| entry.restart);
+        restart.is_none_or(|restart| self.vouch.term() > restart.term)
     }
 
     /// Trusts the one server that a service has left, which nobody would ever replace, after the
@@ -382,12 +393,12 @@
     ///
     /// A host that has just started cannot know whether there are others: the entry of one that is
     /// down has lapsed.
-    pub(super) fn trust_the_last(&mut self, now: Duration) {
+    pub(super) fn trust_only_server(&mut self, now: Duration) {
         if self.servers.len() > 1 {
-            self.alone = None;
+            self.single_server_since = None;
             return;
         }
-        let since = *self.alone.get_or_insert(now);
+        let since = *self.single_server_since.get_or_insert(now);
         if now < since + RETURN {
             return;
         }
--- a/crates/proxy/src/service/restart_signal.rs
+++ b/crates/proxy/src/service/restart_signal.rs
@@ -17,26 +17,26 @@
 
 #[derive(Debug, Default)]
 struct State {
-    over: Cell<bool>,
-    ended: Notify,
+    is_raised: Cell<bool>,
+    notify: Notify,
 }
 
 impl RestartSignal {
     /// It is over from now on.
-    pub fn end(&self) {
-        self.state.over.set(true);
-        self.state.ended.notify_waiters();
+    pub fn raise(&self) {
+        self.state.is_raised.set(true);
+        self.state.notify.notify_waiters();
     }
 
     /// Whether it is over.
-    pub fn is_over(&self) -> bool {
-        self.state.over.get()
+    pub fn is_raised(&self) -> bool {
+        self.state.is_raised.get()
     }
 
     /// Returns when it is over.
-    pub async fn ended(&self) {
-        let ended = self.state.ended.notified();
-        if !self.is_over() {
+    pub async fn raised(&self) {
+        let ended = self.state.notify.notified();
+        if !self.is_raised() {
             ended.await;
         }
     }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -53,13 +53,13 @@
 /// One caller's session.
 pub struct Session<C: Codec> {
     context: Rc<Context<C>>,
-    front: CallerConnection<C>,
+    caller: CallerConnection<C>,
     database: String,
-    carry: CallerState,
+    caller_state: CallerState,
     /// What the session has written or seen, by service.
-    seen: BTreeMap<String, Position>,
+    seen_positions: BTreeMap<String, Position>,
     transaction: TransactionState<C>,
-    retries: Budget,
+    retry_budget: Budget,
     /// How often sessions had been asked to move when this one began.
     moves: u64,
 }
@@ -77,7 +77,7 @@
 struct PendingTransaction {
     access: Access,
     /// When the caller's `BEGIN` was read.
-    at: Duration,
+    begun_at: Duration,
 }
 
 /// Where a session may be served.
@@ -92,11 +92,11 @@
 /// Whether a session goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Flow {
-    On,
+    Continue,
     Close,
 }
 
-enum Incoming {
+enum SessionEvent {
     Request(Option<Request>),
     Idle,
     Stop,
@@ -109,84 +109,86 @@
     /// The caller's connection is lost, or it cannot be understood.
     pub async fn serve(
         context: Rc<Context<C>>,
-        mut front: CallerConnection<C>,
-        place: RelayPolicy,
+        mut caller: CallerConnection<C>,
+        relay_policy: RelayPolicy,
     ) -> Result<(), caller_connection::Error> {
-        let started = tokio::time::timeout(STARTUP_TIMEOUT, front.request()).await;
+        let started = tokio::time::timeout(STARTUP_TIMEOUT, caller.request()).await;
         let database = match started {
             Ok(Ok(Some(Request::Startup { database }))) => database,
             Ok(Ok(None)) | Err(_) => return Ok(()),
             Ok(Ok(Some(_))) => {
                 let reason = b"a session starts with the name of its database";
-                front.error(Code::Malformed, reason);
-                return front.close().await;
+                caller.error(Code::Malformed, reason);
+                return caller.close().await;
             }
-            Ok(Err(error)) => return front.reject(error).await,
+            Ok(Err(error)) => return caller.reject(error).await,
         };
         let database = String::from_utf8_lossy(&database).into_owned();
         if context.fleet.version() == 0 {
-            front.error(Code::Busy, b"not run: this host has no configuration yet");
-            return front.close().await;
+            caller.error(Code::Busy, b"not run: this host has no configuration yet");
+            return caller.close().await;
         }
         if context.fleet.route(&database).is_none() {
-            front.error(Code::NoDatabase, b"there is no such database");
-            return front.close().await;
+            caller.error(Code::NoDatabase, b"there is no such database");
+            return caller.close().await;
         }
-        if place == RelayPolicy::Allowed
-            && let Some(back) = elsewhere(&context, &database).await
+        if relay_policy == RelayPolicy::Allowed
+            && let Some(peer) = connect_to_home(&context, &database).await
         {
-            front.ready(Transaction::Idle, None);
-            front.flush().await?;
-            let relay = Relay::new(context, database, front, back);
+            caller.ready(Transaction::Idle, None);
+            caller.flush().await?;
+            let relay = Relay::new(context, database, caller, peer);
             return relay.run().await;
         }
-        front.ready(Transaction::Idle, None);
-        front.flush().await?;
+        caller.ready(Transaction::Idle, None);
+        caller.flush().await?;
         let moves = context.stop.moves();
         let session = Session {
             moves,
             context,
-            front,
+            caller,
             database,
-            carry: CallerState::default(),
-            seen: BTreeMap::new(),
+            caller_state: CallerState::default(),
+            seen_positions: BTreeMap::new(),
             transaction: TransactionState::Idle,
-            retries: Budget::retries(),
+            retry_budget: Budget::retries(),
         };
         session.run().await
     }
 
     async fn run(mut self) -> Result<(), caller_connection::Error> {
         loop {
-            let incoming = match self.next().await {
+            let incoming = match self.next_event().await {
                 Ok(incoming) => incoming,
                 Err(error) => {
                     self.abandon();
-                    return self.front.reject(error).await;
+                    return self.caller.reject(error).await;
                 }
             };
             let flow = match incoming {
-                Incoming::Request(Some(Request::Query(query))) => self.query(&query).await?,
-                Incoming::Request(Some(Request::Startup { .. })) => {
+                SessionEvent::Request(Some(Request::Query(query))) => self.query(&query).await?,
+                SessionEvent::Request(Some(Request::Startup { .. })) => {
                     self.refuse(Code::Malformed, b"the session has started already");
-                    Flow::On
+                    Flow::Continue
                 }
-                Incoming::Request(Some(Request::Terminate) | None) | Incoming::Stop => Flow::Close,
-                Incoming::Idle => {
+                SessionEvent::Request(Some(Request::Terminate) | None) | SessionEvent::Stop => {
+                    Flow::Close
+                }
+                SessionEvent::Idle => {
                     self.abandon();
-                    Flow::On
+                    Flow::Continue
                 }
             };
             if flow == Flow::Close {
                 break;
             }
-            self.front.flush().await?;
+            self.caller.flush().await?;
         }
         self.abandon();
-        self.front.close().await
+        self.caller.close().await
     }
 
-    async fn next(&mut self) -> Result<Incoming, caller_connection::Error> {
+    async fn next_event(&mut self) -> Result<SessionEvent, caller_connection::Error> {
         let stop = Rc::clone(&self.context.stop);
         let open = match self.transaction {
             TransactionState::Idle | TransactionState::Failed => false,
@@ -197,15 +199,17 @@
         if open {
             return tokio::select! {
                 biased;
-                request = self.front.request() => Ok(Incoming::Request(request?)),
-                () = tokio::time::sleep(idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => Ok(Incoming::Idle),
-                () = stop.transactions() => Ok(Incoming::Stop),
+                request = self.caller.request() => Ok(SessionEvent::Request(request?)),
+                () = tokio::time::sleep(idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
+                    Ok(SessionEvent::Idle)
+                }
+                () = stop.transactions() => Ok(SessionEvent::Stop),
             };
         }
         tokio::select! {
             biased;
-            request = self.front.request() => Ok(Incoming::Request(request?)),
-            () = stop.sessions(self.moves) => Ok(Incoming::Stop),
+            request = self.caller.request() => Ok(SessionEvent::Request(request?)),
+            () = stop.sessions(self.moves) => Ok(SessionEvent::Stop),
         }
     }
 
@@ -216,35 +220,35 @@
             Statement::Rollback => self.rollback(),
             Statement::Run(access) => self.statement(query, *access, None).await,
             Statement::Execute { name, arguments } => {
-                let Some(shape) = self.carry.prepared(name).cloned() else {
+                let Some(shape) = self.caller_state.prepared(name).cloned() else {
                     self.refuse(Code::NoStatement, b"no statement was prepared by this name");
-                    return Ok(Flow::On);
+                    return Ok(Flow::Continue);
                 };
                 let prepared = Some((&shape, arguments));
                 self.statement(query, shape.access, prepared).await;
             }
             Statement::Set { name, value } => {
-                self.carry.set(name.clone(), value.clone());
+                self.caller_state.set(name.clone(), value.clone());
                 self.acknowledge();
             }
             Statement::Prepare { name, shape } => {
-                self.carry.prepare(name.clone(), shape.clone());
+                self.caller_state.prepare(name.clone(), shape.clone());
                 self.acknowledge();
             }
-            Statement::Deallocate { name } => match self.carry.deallocate(name) {
+            Statement::Deallocate { name } => match self.caller_state.deallocate(name) {
                 true => self.acknowledge(),
                 false => self.refuse(Code::NoStatement, b"no statement was prepared by this name"),
             },
             Statement::Unknown => self.refuse(Code::Malformed, b"no such statement"),
         }
-        Ok(Flow::On)
+        Ok(Flow::Continue)
     }
 
     fn begin(&mut self, access: Access) {
         match self.transaction {
             TransactionState::Idle => {
-                let at = self.context.site.now();
-                self.transaction = TransactionState::Begun(PendingTransaction { access, at });
+                let begun_at = self.context.site.now();
+                self.transaction = TransactionState::Begun(PendingTransaction { access, begun_at });
                 self.acknowledge();
             }
             _ => self.refuse(Code::Malformed, b"a transaction is open already"),
@@ -269,7 +273,7 @@
                 self.refuse(Code::Aborted, b"the transaction was rolled back")
             }
             TransactionState::Begun(begun) => {
-                self.first(query, begun, Access::Read, None).await;
+                self.first_statement(query, begun, Access::Read, None).await;
                 // An error has closed the transaction, and success has committed it.
                 self.transaction = TransactionState::Idle;
             }
@@ -284,9 +288,13 @@
         prepared: Option<(&Shape, &Bytes)>,
     ) {
         match std::mem::replace(&mut self.transaction, TransactionState::Idle) {
-            TransactionState::Idle => self.single(query, access, prepared).await,
-            TransactionState::Begun(begun) => self.first(query, begun, access, prepared).await,
-            TransactionState::Open(open) => self.further(query, open, access, prepared).await,
+            TransactionState::Idle => self.single_statement(query, access, prepared).await,
+            TransactionState::Begun(begun) => {
+                self.first_statement(query, begun, access, prepared).await
+            }
+            TransactionState::Open(open) => {
+                self.further_statement(query, open, access, prepared).await
+            }
             TransactionState::Failed => {
                 self.transaction = TransactionState::Failed;
                 self.refuse(Code::Malformed, b"the transaction has failed");
@@ -295,7 +303,12 @@
     }
 
     /// A statement outside of any transaction.
-    async fn single(&mut self, query: &Query, access: Access, prepared: Option<(&Shape, &Bytes)>) {
+    async fn single_statement(
+        &mut self,
+        query: &Query,
+        access: Access,
+        prepared: Option<(&Shape, &Bytes)>,
+    ) {
         let arrived = self.context.site.now();
         let Some((route, _)) = self.context.fleet.route(&self.database) else {
             self.refuse(Code::NoDatabase, b"there is no such database any more");
@@ -304,36 +317,42 @@
         let plan = Plan {
             access,
             frame: TransactionFrame::Bare,
-            since: arrived,
+            operation_start: arrived,
             arrived,
             deadline: arrived + route.timeout,
         };
-        match self.place(query, &plan, prepared).await {
+        match self.run_with_retries(query, &plan, prepared).await {
             StatementResult::Answered(answered) => {
                 let Answered {
                     outcome,
-                    lent,
+                    connection,
                     service,
-                    led,
+                    by_primary,
                 } = *answered;
-                if access == Access::Write || led {
-                    self.saw(&service, outcome.position);
+                if access == Access::Write || by_primary {
+                    self.record_seen(&service, outcome.position);
                 }
                 if access == Access::Write && outcome.end.is_ok() {
-                    service.acknowledged(&query.id, outcome.position);
+                    service.record_acknowledgement(&query.id, outcome.position);
                 }
-                self.saw(&service, outcome.position.filter(|_| outcome.end.is_ok()));
-                let end = if led { End::Primary } else { End::Replica };
+                self.record_seen(&service, outcome.position.filter(|_| outcome.end.is_ok()));
+                let end = if by_primary {
+                    End::Primary
+                } else {
+                    End::Replica
+                };
                 self.deliver(&outcome, Transaction::Idle, end, arrived);
-                lent.give_back();
+                connection.return_to_pool();
+            }
+            StatementResult::NotRun(code, reason) => {
+                self.report_error(query, code, &reason, arrived)
             }
-            StatementResult::NotRun(code, reason) => self.tell(query, code, &reason, arrived),
             StatementResult::InDoubt(code, reason) => {
                 let code = match access {
                     Access::Read => code,
                     Access::Write => Code::InDoubt,
                 };
-                self.tell(query, code, &reason, arrived);
+                self.report_error(query, code, &reason, arrived);
             }
         }
     }
@@ -349,7 +368,10 @@
 }
 
 /// A session at a host that serves `database` for this one, if there is one that can be reached.
-async fn elsewhere<C: Codec>(context: &Context<C>, database: &str) -> Option<ServerConnection<C>> {
+async fn connect_to_home<C: Codec>(
+    context: &Context<C>,
+    database: &str,
+) -> Option<ServerConnection<C>> {
     let (route, _) = context.fleet.route(database)?;
     let homes = context.fleet.homes(&route.service)?;
     if homes.contains(&Home::Here) {
@@ -359,9 +381,9 @@
     for place in 0..homes.len() {
         // Sessions take turns among the hosts that serve.
         if let Home::Peer(address) = homes[(first + place) % homes.len()]
-            && let Some(back) = relay::open(context, database, address).await
+            && let Some(peer) = relay::open(context, database, address).await
         {
-            return Some(back);
+            return Some(peer);
         }
     }
     None
--- a/crates/proxy/src/session/placement.rs
+++ b/crates/proxy/src/session/placement.rs
@@ -40,7 +40,7 @@
     pub access: Access,
     pub frame: TransactionFrame,
     /// When its caller's operation was first read.
-    pub since: Duration,
+    pub operation_start: Duration,
     /// When the statement was read.
     pub arrived: Duration,
     pub deadline: Duration,
@@ -71,7 +71,7 @@
     repeatable: bool,
     sent: Duration,
     /// Up to when what it shows of a primary is known to be current.
-    current: Duration,
+    confirmed_at: Duration,
     count: u8,
 }
 
@@ -93,31 +93,31 @@
 
 pub(super) struct Answered<C: Codec> {
     pub outcome: Outcome,
-    pub lent: PooledConnection<C>,
+    pub connection: PooledConnection<C>,
     pub service: Rc<Service<C>>,
-    pub led: bool,
+    pub by_primary: bool,
 }
 
 impl<C: Codec> Session<C> {
     /// Finds a server for a statement that is bound to none, again if it did not run there.
-    pub(super) async fn place(
+    pub(super) async fn run_with_retries(
         &mut self,
         query: &Query,
         plan: &Plan,
         prepared: Option<(&Shape, &Bytes)>,
     ) -> StatementResult<C> {
-        self.retries.fill();
+        self.retry_budget.fill();
         let mut avoid = None;
         let mut count = 0;
         loop {
             count += 1;
             let failed = match self.attempt(query, plan, prepared, avoid, count).await {
-                AttemptResult::Final(served) => return served,
+                AttemptResult::Final(result) => return result,
                 AttemptResult::Failed(failed) => failed,
             };
             let now = self.context.site.now();
-            let retry::Next::Again(wait) = self.again(plan, count, &failed, now) else {
-                return self.given_up(query, plan, failed);
+            let retry::Next::Again(wait) = self.decide_retry(plan, count, &failed, now) else {
+                return self.give_up(query, plan, failed);
             };
             self.context.site.log(&Event::Retried {
                 id: text(&query.id),
@@ -149,46 +149,51 @@
             let reason = "there is no such database any more".to_owned();
             return AttemptResult::Final(StatementResult::NotRun(Code::NoDatabase, reason));
         };
-        let (need, mut lent) = match self.acquire(plan, &route, &service, avoid).await {
+        let (need, mut connection) = match self.acquire(plan, &route, &service, avoid).await {
             Ok(acquired) => acquired,
-            Err(served) => return AttemptResult::Final(served),
+            Err(result) => return AttemptResult::Final(result),
         };
-        let frame = fence(plan.frame, plan.access, need);
+        let frame = fence_frame(plan.frame, plan.access, need);
         // A lease may have run out while the statement waited.
-        let Some(current) = self.current_at(plan, need, &service).await else {
-            lent.give_back();
-            return AttemptResult::Final(out_of_touch());
+        let Some(confirmed_at) = self.confirmed_at(plan, need, &service).await else {
+            connection.return_to_pool();
+            return AttemptResult::Final(refuse_out_of_touch());
         };
         let job = Job {
             query,
-            carry: &self.carry,
+            caller_state: &self.caller_state,
             prepared: prepared.map(|(shape, arguments)| (shape, &arguments[..])),
             frame,
-            after: position_of(need),
-            current,
+            after: required_position(need),
+            confirmed_at,
         };
         let sent = self.context.site.now();
         if need == Need::Lead && !self.context.fleet.holds_lease(&service) {
             self.context.site.log(&Event::ReadConfirmed {
                 id: text(&query.id),
                 database: self.database.clone(),
-                server: service.name_of(Some(lent.server)),
-                millis: sent.saturating_sub(current).as_millis(),
+                server: service.name_of(Some(connection.server)),
+                millis: sent.saturating_sub(confirmed_at).as_millis(),
             });
         }
         let repeatable = plan.access == Access::Read || matches!(frame, TransactionFrame::Opens(_));
-        let limit = self.limit(plan, repeatable, service.average(lent.server), sent);
-        let ran = attempt::run(&mut lent, &job, limit).await;
-        let sending = AttemptContext {
+        let limit = self.attempt_timeout(
+            plan,
+            repeatable,
+            service.average_latency(connection.server),
+            sent,
+        );
+        let ran = attempt::run(&mut connection, &job, limit).await;
+        let context = AttemptContext {
             service,
             need,
             frame,
             repeatable,
             sent,
-            current,
+            confirmed_at,
             count,
         };
-        self.judge(query, plan, lent, ran, sending)
+        self.evaluate_attempt(query, plan, connection, ran, context)
     }
 
     /// Waits for a connection to a server that may run a statement of `plan`.
@@ -205,10 +210,10 @@
         avoid: Option<ServerKey>,
     ) -> Result<(Need, PooledConnection<C>), StatementResult<C>> {
         loop {
-            let vouched = service.vouched.notified();
+            let new_sample = service.sample_notify.notified();
             let need = self.need(plan, route, service);
-            if self.current_at(plan, need, service).await.is_none() {
-                return Err(out_of_touch());
+            if self.confirmed_at(plan, need, service).await.is_none() {
+                return Err(refuse_out_of_touch());
             }
             let ticket = Ticket {
                 id: self.context.site.next_id(),
@@ -216,7 +221,7 @@
                 priority: route.priority,
                 long: matches!(plan.frame, TransactionFrame::Opens(_)),
                 arrived: plan.arrived,
-                goal: plan.since + route.goal,
+                goal: plan.operation_start + route.goal,
                 deadline: plan.deadline,
                 avoid,
             };
@@ -227,62 +232,68 @@
             }
             tokio::select! {
                 biased;
-                lent = service.acquire(ticket) => {
-                    return lent.map(|lent| (need, lent)).map_err(unserved_as);
+                connection = service.acquire(ticket) => {
+                    return connection.map(|connection| (need, connection)).map_err(unserved_result);
                 }
-                () = vouched, if lacks_sample => {}
+                () = new_sample, if lacks_sample => {}
             }
         }
     }
 
     /// How long an attempt may take: what is overdue is asked again while retries are left.
-    fn limit(&self, plan: &Plan, repeatable: bool, average: Duration, sent: Duration) -> Duration {
+    fn attempt_timeout(
+        &self,
+        plan: &Plan,
+        repeatable: bool,
+        average: Duration,
+        sent: Duration,
+    ) -> Duration {
         let left = plan.deadline.saturating_sub(sent);
-        let patience = overdue(average);
-        match repeatable && patience < left / 2 && !self.retries.is_spent() {
+        let patience = overdue_after(average);
+        match repeatable && patience < left / 2 && !self.retry_budget.is_spent() {
             true => patience,
             false => left,
         }
     }
 
     /// Takes in how an attempt ended.
-    fn judge(
+    fn evaluate_attempt(
         &self,
         query: &Query,
         plan: &Plan,
-        lent: PooledConnection<C>,
+        connection: PooledConnection<C>,
         ran: RunResult,
-        sending: AttemptContext<C>,
+        context: AttemptContext<C>,
     ) -> AttemptResult<C> {
-        let server = lent.server;
+        let server = connection.server;
         let AttemptContext {
             service,
             need,
             frame,
             repeatable,
             sent,
-            current,
+            confirmed_at,
             count,
-        } = sending;
+        } = context;
         let (code, run, error) = match ran {
             RunResult::Answered(outcome) => {
-                let led = need == Need::Lead;
-                let refuted = led && service.is_refuted(server, outcome.position, sent);
-                let code = outcome.end.as_ref().err().map(|fault| fault.code);
-                service.heard(
+                let by_primary = need == Need::Lead;
+                let refuted = by_primary && service.is_refuted(server, outcome.position, sent);
+                let code = outcome.end.as_ref().err().map(|error| error.code);
+                service.record_answer(
                     server,
                     outcome.position,
-                    current,
-                    led && !refuted && code.is_none(),
+                    confirmed_at,
+                    by_primary && !refuted && code.is_none(),
                 );
                 if code.is_none()
                     && plan.writes_alone()
                     && let Some(reason) = self
-                        .unacknowledged(&service, server)
+                        .reason_to_withhold(&service, server)
                         .or(refuted.then_some(LOG_LOST))
                 {
-                    lent.give_back();
-                    self.doubt(query, &service, server, reason, plan.arrived);
+                    connection.return_to_pool();
+                    self.log_in_doubt(query, &service, server, reason, plan.arrived);
                     return AttemptResult::Final(StatementResult::InDoubt(
                         Code::InDoubt,
                         reason.to_owned(),
@@ -291,19 +302,19 @@
                 let final_failure =
                     |code: Code| !code.did_not_run() && (plan.access == Access::Write || count > 1);
                 let Some(code) = code.filter(|code| !final_failure(*code)) else {
-                    service.took(server, self.context.site.now().saturating_sub(sent));
+                    service.record_latency(server, self.context.site.now().saturating_sub(sent));
                     return AttemptResult::Final(StatementResult::Answered(Box::new(Answered {
                         outcome,
-                        lent,
+                        connection,
                         service,
-                        led,
+                        by_primary,
                     })));
                 };
                 match outcome.transaction == Transaction::Idle
                     || frame == TransactionFrame::RolledBack
                 {
-                    true => lent.give_back(),
-                    false => drop(lent),
+                    true => connection.return_to_pool(),
+                    false => drop(connection),
                 }
                 let run = if code.did_not_run() {
                     Run::No
@@ -313,23 +324,23 @@
                 (code, run, None)
             }
             RunResult::Refused(code) => {
-                service.heard(server, None, sent, false);
-                lent.give_back();
+                service.record_answer(server, None, sent, false);
+                connection.return_to_pool();
                 (code, Run::No, None)
             }
             RunResult::Unsent(error) => {
-                service.missed(server, &error, sent);
+                service.record_failure(server, &error, sent);
                 (Code::Busy, Run::No, Some(error))
             }
             RunResult::Unanswered(error) => {
-                service.missed(server, &error, sent);
+                service.record_failure(server, &error, sent);
                 (Code::Timeout, Run::Unknown, Some(error))
             }
         };
         match (code, need) {
-            (Code::ReadOnly, _) => service.does_not_lead(server),
-            (Code::Lagging, Need::Position { at, .. }) => service.lags(server, at),
-            (Code::Busy, _) if error.is_none() => service.full(server),
+            (Code::ReadOnly, _) => service.record_not_primary(server),
+            (Code::Lagging, Need::Position { at, .. }) => service.record_lagging(server, at),
+            (Code::Busy, _) if error.is_none() => service.record_busy(server),
             _ => {}
         }
         let reason = match error {
@@ -348,7 +359,7 @@
     }
 
     /// What a statement ends with after its last attempt.
-    fn given_up(&self, query: &Query, plan: &Plan, failed: FailedAttempt<C>) -> StatementResult<C> {
+    fn give_up(&self, query: &Query, plan: &Plan, failed: FailedAttempt<C>) -> StatementResult<C> {
         let FailedAttempt {
             service,
             server,
@@ -360,13 +371,13 @@
         match run {
             Run::No => StatementResult::NotRun(code, reason),
             Run::Unknown | Run::Yes => {
-                self.doubt(query, &service, server, &reason, plan.arrived);
+                self.log_in_doubt(query, &service, server, &reason, plan.arrived);
                 StatementResult::InDoubt(code, reason)
             }
         }
     }
 
-    fn again(
+    fn decide_retry(
         &mut self,
         plan: &Plan,
         count: u8,
@@ -396,7 +407,7 @@
         match failed.code {
             // Where to send it was not known well enough: that costs a server nothing.
             Code::Lagging | Code::ReadOnly => retry::decide(&attempt, &mut Budget::retries(), now),
-            _ => retry::decide(&attempt, &mut self.retries, now),
+            _ => retry::decide(&attempt, &mut self.retry_budget, now),
         }
     }
 
@@ -406,7 +417,7 @@
     ///
     /// By this host's lease, or for a statement that only reads by the word of the service's other
     /// servers.
-    async fn current_at(
+    async fn confirmed_at(
         &self,
         plan: &Plan,
         need: Need,
@@ -417,14 +428,14 @@
         }
         match plan.access {
             Access::Read if self.context.fleet.knows_all_servers() => {
-                service.confirm(plan.arrived).await
+                service.confirm_primary(plan.arrived).await
             }
             Access::Read | Access::Write => None,
         }
     }
 
     /// Why a write is not acknowledged that `server` has answered as the primary, if it is not.
-    pub(super) fn unacknowledged(
+    pub(super) fn reason_to_withhold(
         &self,
         service: &Service<C>,
         server: ServerKey,
@@ -432,7 +443,7 @@
         if !self.context.fleet.holds_lease(service) {
             return Some(OUT_OF_TOUCH);
         }
-        service.is_past(server).then_some(REPLACED)
+        service.is_superseded(server).then_some(REPLACED)
     }
 
     /// Who may run a statement of `plan`.
@@ -443,14 +454,20 @@
         let Some(age) = route.consistency.max_age() else {
             return Need::Lead;
         };
-        let since = plan.since.saturating_sub(age.saturating_sub(AGE_MARGIN));
-        let seen = self.seen.get(&service.name).copied().unwrap_or_default();
+        let since = plan
+            .operation_start
+            .saturating_sub(age.saturating_sub(AGE_MARGIN));
+        let seen = self
+            .seen_positions
+            .get(&service.name)
+            .copied()
+            .unwrap_or_default();
         service.need(since, seen)
     }
 }
 
 /// What a server's log must contain for a statement that needs `need`.
-fn position_of(need: Need) -> Option<Position> {
+fn required_position(need: Need) -> Option<Position> {
     match need {
         Need::Lead => None,
         Need::Position { position, .. } => {
@@ -460,7 +477,7 @@
 }
 
 /// After which time without an answer a statement is asked of another server, or again.
-fn overdue(average: Duration) -> Duration {
+fn overdue_after(average: Duration) -> Duration {
     (average * OVERDUE_FACTOR).max(MIN_OVERDUE)
 }
 
@@ -469,7 +486,7 @@
 /// A server that was replaced as primary, and has not heard of it or has only just, goes on
 /// answering reads outside of transactions that may write. Data that it lacks then show as an
 /// answer that is too old. So whatever relies on a server's lead runs in such a transaction.
-fn fence(frame: TransactionFrame, access: Access, need: Need) -> TransactionFrame {
+fn fence_frame(frame: TransactionFrame, access: Access, need: Need) -> TransactionFrame {
     match (frame, access, need) {
         (TransactionFrame::Bare, Access::Read, Need::Lead) => TransactionFrame::RolledBack,
         (TransactionFrame::Opens(_), _, Need::Lead) => TransactionFrame::Opens(Access::Write),
@@ -478,11 +495,11 @@
 }
 
 /// A statement needs a primary, and this host has no lease.
-fn out_of_touch<C: Codec>() -> StatementResult<C> {
+fn refuse_out_of_touch<C: Codec>() -> StatementResult<C> {
     StatementResult::NotRun(Code::Busy, OUT_OF_TOUCH.to_owned())
 }
 
-fn unserved_as<C: Codec>(unserved: Unserved) -> StatementResult<C> {
+fn unserved_result<C: Codec>(unserved: Unserved) -> StatementResult<C> {
     match unserved {
         Unserved::Busy => {
             StatementResult::NotRun(Code::Busy, "no connection was free in time".to_owned())
--- a/crates/proxy/src/session/respond.rs
+++ b/crates/proxy/src/session/respond.rs
@@ -15,9 +15,9 @@
 use crate::service::Service;
 
 impl<C: Codec> Session<C> {
-    pub(super) fn saw(&mut self, service: &Service<C>, position: Option<Position>) {
+    pub(super) fn record_seen(&mut self, service: &Service<C>, position: Option<Position>) {
         if let Some(position) = position {
-            let seen = self.seen.entry(service.name.clone()).or_default();
+            let seen = self.seen_positions.entry(service.name.clone()).or_default();
             *seen = (*seen).max(position);
         }
     }
@@ -34,17 +34,23 @@
         end: End,
         since: Duration,
     ) {
-        self.front.answer(outcome, transaction);
+        self.caller.answer(outcome, transaction);
         let end = match &outcome.end {
             Ok(_) => end,
-            Err(fault) => End::Error(fault.code),
+            Err(error) => End::Error(error.code),
         };
         let took = self.context.site.now().saturating_sub(since);
         meter::statement(&self.database, end, took);
     }
 
     /// Tells the caller an error of this host's own, and logs why.
-    pub(super) fn tell(&mut self, query: &Query, code: Code, reason: &str, since: Duration) {
+    pub(super) fn report_error(
+        &mut self,
+        query: &Query,
+        code: Code,
+        reason: &str,
+        since: Duration,
+    ) {
         let took = self.context.site.now().saturating_sub(since);
         let route = self.context.fleet.route(&self.database);
         let leader = route.map(|(_, service)| service.name_of(service.leader()));
@@ -60,7 +66,7 @@
         self.refuse(code, reason.as_bytes());
     }
 
-    pub(super) fn lost(
+    pub(super) fn log_transaction_lost(
         &self,
         query: &Query,
         service: &Service<C>,
@@ -75,7 +81,7 @@
         });
     }
 
-    pub(super) fn doubt(
+    pub(super) fn log_in_doubt(
         &self,
         query: &Query,
         service: &Service<C>,
@@ -94,19 +100,19 @@
     }
 
     pub(super) fn refuse(&mut self, code: Code, reason: &[u8]) {
-        self.front.error(code, reason);
-        let told = self.told();
-        self.front.ready(told, None);
+        self.caller.error(code, reason);
+        let transaction = self.transaction_status();
+        self.caller.ready(transaction, None);
     }
 
     pub(super) fn acknowledge(&mut self) {
-        self.front.complete(None);
-        let told = self.told();
-        self.front.ready(told, None);
+        self.caller.complete(None);
+        let transaction = self.transaction_status();
+        self.caller.ready(transaction, None);
     }
 
     /// Whether a transaction is open, as the caller is told.
-    pub(super) fn told(&self) -> Transaction {
+    pub(super) fn transaction_status(&self) -> Transaction {
         match self.transaction {
             TransactionState::Idle => Transaction::Idle,
             TransactionState::Begun(_) | TransactionState::Open(_) => Transaction::Open,
--- a/crates/proxy/src/session/transaction.rs
+++ b/crates/proxy/src/session/transaction.rs
@@ -23,16 +23,16 @@
 
 /// A transaction that is open at a server.
 pub(super) struct OpenTransaction<C: Codec> {
-    pub lent: PooledConnection<C>,
+    pub connection: PooledConnection<C>,
     pub service: Rc<Service<C>>,
     pub wrote: bool,
     /// Only a server that leads answers within it.
-    pub led: bool,
+    pub by_primary: bool,
 }
 
 impl<C: Codec> Session<C> {
     /// The first statement of a transaction, or its end if it has none.
-    pub(super) async fn first(
+    pub(super) async fn first_statement(
         &mut self,
         query: &Query,
         begun: PendingTransaction,
@@ -54,33 +54,37 @@
         let plan = Plan {
             access: opens.max(access.min(begun.access)),
             frame: TransactionFrame::Opens(opens),
-            since: begun.at,
+            operation_start: begun.begun_at,
             arrived,
             deadline: arrived + route.timeout,
         };
-        match self.place(query, &plan, prepared).await {
+        match self.run_with_retries(query, &plan, prepared).await {
             StatementResult::Answered(answered) => {
                 let Answered {
                     outcome,
-                    mut lent,
+                    mut connection,
                     service,
-                    led,
+                    by_primary,
                 } = *answered;
-                let end = if led { End::Primary } else { End::Replica };
+                let end = if by_primary {
+                    End::Primary
+                } else {
+                    End::Replica
+                };
                 let wrote = access == Access::Write;
                 let transaction = outcome.transaction;
                 self.transaction = match transaction {
                     Transaction::Idle => {
-                        lent.give_back();
+                        connection.return_to_pool();
                         TransactionState::Idle
                     }
                     Transaction::Open | Transaction::Failed => {
-                        lent.rest(true);
+                        connection.set_idle_in_transaction(true);
                         TransactionState::Open(Box::new(OpenTransaction {
-                            lent,
+                            connection,
                             service,
                             wrote,
-                            led,
+                            by_primary,
                         }))
                     }
                 };
@@ -93,13 +97,13 @@
                     true => code,
                     false => Code::Aborted,
                 };
-                self.tell(query, code, &reason, arrived);
+                self.report_error(query, code, &reason, arrived);
             }
         }
     }
 
     /// A further statement of an open transaction.
-    pub(super) async fn further(
+    pub(super) async fn further_statement(
         &mut self,
         query: &Query,
         mut open: Box<OpenTransaction<C>>,
@@ -110,48 +114,53 @@
         open.wrote |= access == Access::Write;
         let job = Job {
             query,
-            carry: &self.carry,
+            caller_state: &self.caller_state,
             prepared: prepared.map(|(shape, arguments)| (shape, &arguments[..])),
             frame: TransactionFrame::Bare,
             after: None,
-            current: arrived,
+            confirmed_at: arrived,
         };
         let holds_lease = self.context.fleet.holds_lease(&open.service);
-        open.lent.rest(false);
-        let ran = insist(&mut open, &job, self.timeout()).await;
+        open.connection.set_idle_in_transaction(false);
+        let ran = run_with_busy_retries(&mut open, &job, self.timeout()).await;
         match ran {
             RunResult::Answered(outcome) => {
-                let is_past = open.service.is_past(open.lent.server);
-                let led = open.led && holds_lease && !is_past && outcome.end.is_ok();
-                open.heard(&outcome, arrived, led);
+                let is_superseded = open.service.is_superseded(open.connection.server);
+                let by_primary =
+                    open.by_primary && holds_lease && !is_superseded && outcome.end.is_ok();
+                open.record_answer(&outcome, arrived, by_primary);
                 let transaction = outcome.transaction;
-                let end = if open.led { End::Primary } else { End::Replica };
+                let end = if open.by_primary {
+                    End::Primary
+                } else {
+                    End::Replica
+                };
                 self.transaction = match transaction {
                     Transaction::Idle => {
-                        open.lent.give_back();
+                        open.connection.return_to_pool();
                         TransactionState::Failed
                     }
                     Transaction::Open | Transaction::Failed => {
-                        open.lent.rest(true);
+                        open.connection.set_idle_in_transaction(true);
                         TransactionState::Open(open)
                     }
                 };
-                let told = match self.transaction {
+                let reported = match self.transaction {
                     TransactionState::Failed => Transaction::Failed,
                     _ => transaction,
                 };
-                self.deliver(&outcome, told, end, arrived);
+                self.deliver(&outcome, reported, end, arrived);
             }
             RunResult::Refused(code) => {
                 self.transaction = TransactionState::Failed;
-                self.tell(query, code, "the server refused", arrived);
+                self.report_error(query, code, "the server refused", arrived);
             }
             RunResult::Unsent(error) | RunResult::Unanswered(error) => {
-                let server = open.lent.server;
-                open.service.missed(server, &error, arrived);
-                self.lost(query, &open.service, server, &error.to_string());
+                let server = open.connection.server;
+                open.service.record_failure(server, &error, arrived);
+                self.log_transaction_lost(query, &open.service, server, &error.to_string());
                 self.transaction = TransactionState::Failed;
-                self.tell(query, Code::Aborted, "its connection is lost", arrived);
+                self.report_error(query, Code::Aborted, "its connection is lost", arrived);
             }
         }
     }
@@ -159,65 +168,73 @@
     pub(super) async fn commit_open(&mut self, query: &Query, mut open: Box<OpenTransaction<C>>) {
         let arrived = self.context.site.now();
         if open.wrote
-            && let Some(reason) = self.unacknowledged(&open.service, open.lent.server)
+            && let Some(reason) = self.reason_to_withhold(&open.service, open.connection.server)
         {
             open.roll_back();
-            self.tell(query, Code::Aborted, reason, arrived);
+            self.report_error(query, Code::Aborted, reason, arrived);
             return;
         }
         let job = Job {
             query,
-            carry: &self.carry,
+            caller_state: &self.caller_state,
             prepared: None,
             frame: TransactionFrame::Bare,
             after: None,
-            current: arrived,
+            confirmed_at: arrived,
         };
-        open.lent.rest(false);
-        let ran = insist(&mut open, &job, self.timeout()).await;
-        let server = open.lent.server;
+        open.connection.set_idle_in_transaction(false);
+        let ran = run_with_busy_retries(&mut open, &job, self.timeout()).await;
+        let server = open.connection.server;
         match ran {
             RunResult::Answered(outcome) => {
                 let refuted =
-                    open.led && open.service.is_refuted(server, outcome.position, arrived);
+                    open.by_primary && open.service.is_refuted(server, outcome.position, arrived);
                 if open.wrote
                     && outcome.end.is_ok()
                     && let Some(reason) = self
-                        .unacknowledged(&open.service, server)
+                        .reason_to_withhold(&open.service, server)
                         .or(refuted.then_some(LOG_LOST))
                 {
-                    open.service.heard(server, outcome.position, arrived, false);
-                    open.lent.give_back();
-                    self.doubt(query, &open.service, server, reason, arrived);
-                    self.tell(query, Code::InDoubt, reason, arrived);
+                    open.service
+                        .record_answer(server, outcome.position, arrived, false);
+                    open.connection.return_to_pool();
+                    self.log_in_doubt(query, &open.service, server, reason, arrived);
+                    self.report_error(query, Code::InDoubt, reason, arrived);
                     return;
                 }
-                let led = open.led && open.wrote && !refuted && outcome.end.is_ok();
-                open.heard(&outcome, arrived, led);
-                self.saw(&open.service, outcome.position);
+                let by_primary = open.by_primary && open.wrote && !refuted && outcome.end.is_ok();
+                open.record_answer(&outcome, arrived, by_primary);
+                self.record_seen(&open.service, outcome.position);
                 if open.wrote && outcome.end.is_ok() {
-                    open.service.acknowledged(&query.id, outcome.position);
+                    open.service
+                        .record_acknowledgement(&query.id, outcome.position);
                 }
-                let end = if open.led { End::Primary } else { End::Replica };
+                let end = if open.by_primary {
+                    End::Primary
+                } else {
+                    End::Replica
+                };
                 self.deliver(&outcome, Transaction::Idle, end, arrived);
                 if outcome.transaction == Transaction::Idle {
-                    open.lent.give_back();
+                    open.connection.return_to_pool();
                 }
             }
-            RunResult::Refused(code) => self.tell(query, code, "the server refused", arrived),
+            RunResult::Refused(code) => {
+                self.report_error(query, code, "the server refused", arrived)
+            }
             RunResult::Unsent(error) => {
-                open.service.missed(server, &error, arrived);
-                self.tell(query, Code::Aborted, "its connection is lost", arrived);
+                open.service.record_failure(server, &error, arrived);
+                self.report_error(query, Code::Aborted, "its connection is lost", arrived);
             }
             RunResult::Unanswered(error) => {
-                open.service.missed(server, &error, arrived);
-                self.lost(query, &open.service, server, &error.to_string());
+                open.service.record_failure(server, &error, arrived);
+                self.log_transaction_lost(query, &open.service, server, &error.to_string());
                 let code = match open.wrote {
                     true => Code::InDoubt,
                     // It wrote nothing, so nothing can have been kept.
                     false => Code::Aborted,
                 };
-                self.tell(
+                self.report_error(
                     query,
                     code,
                     "the end of the transaction has no answer",
@@ -230,39 +247,40 @@
 
 impl<C: Codec> OpenTransaction<C> {
     /// Takes in what the server's answer to something sent at `sent` shows of it.
-    fn heard(&self, outcome: &Outcome, sent: Duration, led: bool) {
-        let server = self.lent.server;
-        self.service.heard(server, outcome.position, sent, led);
-        if let Err(fault) = &outcome.end
-            && fault.code == Code::ReadOnly
+    fn record_answer(&self, outcome: &Outcome, sent: Duration, by_primary: bool) {
+        let server = self.connection.server;
+        self.service
+            .record_answer(server, outcome.position, sent, by_primary);
+        if let Err(error) = &outcome.end
+            && error.code == Code::ReadOnly
         {
-            self.service.does_not_lead(server);
+            self.service.record_not_primary(server);
         }
     }
 
     /// Rolls the transaction back; the caller need not wait for it.
     pub(super) fn roll_back(self: Box<Self>) {
-        let mut lent = self.lent;
-        if lent.pending() > 0 {
+        let mut connection = self.connection;
+        if connection.pending() > 0 {
             return;
         }
         tokio::task::spawn_local(async move {
-            lent.push(&Command::Rollback);
+            connection.push(&Command::Rollback);
             let ended = tokio::time::timeout(ROLLBACK_TIMEOUT, async {
-                lent.flush().await?;
-                lent.outcome().await
+                connection.flush().await?;
+                connection.outcome().await
             });
             if let Ok(Ok(outcome)) = ended.await
                 && outcome.transaction == Transaction::Idle
             {
-                lent.give_back();
+                connection.return_to_pool();
             }
         });
     }
 }
 
 /// Runs a statement of an open transaction, again while the server has no room for it.
-async fn insist<C: Codec>(
+async fn run_with_busy_retries<C: Codec>(
     open: &mut OpenTransaction<C>,
     job: &Job<'_>,
     limit: Duration,
@@ -271,10 +289,10 @@
     let deadline = site.now() + limit;
     loop {
         let left = deadline.saturating_sub(site.now());
-        let ran = attempt::run(&mut open.lent, job, left).await;
+        let ran = attempt::run(&mut open.connection, job, left).await;
         let full = match &ran {
             RunResult::Answered(outcome) => {
-                let busy = matches!(&outcome.end, Err(fault) if fault.code == Code::Busy);
+                let busy = matches!(&outcome.end, Err(error) if error.code == Code::Busy);
                 busy && outcome.transaction == Transaction::Open
             }
             _ => false,
@@ -282,7 +300,7 @@
         if !full || left < BUSY_RETRY_INTERVAL * 2 {
             return ran;
         }
-        open.service.full(open.lent.server);
+        open.service.record_busy(open.connection.server);
         tokio::time::sleep(BUSY_RETRY_INTERVAL).await;
     }
 }
