--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -1,4 +1,5 @@
-//! One service on this host: its servers, the pooled connections to them, and who waits for one.
+//! State of one service on this host: its servers, the connection pools to them, and the queue of
+//! requests that wait for a connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,27 +44,28 @@
 pub use restart::{ResolvedServer, Start};
 pub use restart_signal::RestartSignal;
 
-/// Time between two questions to other hosts for a sample, beside those with heartbeats.
+/// Minimum interval between requests to other hosts for a position sample, in addition to those
+/// sent with heartbeats.
 ///
-/// Guards against a storm of datagrams: where the answer does not help the reads that wait, each would
-/// lead to the next question a round trip later.
+/// Prevents a storm of datagrams: if the reply does not help the waiting reads, each of them would
+/// trigger the next request one round trip later.
 const SAMPLE_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
 /// One service on this host.
 pub struct Service<C: Codec> {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// What all parts share.
+    /// State shared by all parts of the host.
     pub site: Rc<Site>,
-    /// Something happened that may call for another primary.
+    /// Notified when something happened that may require a failover.
     pub failover_notify: Notify,
-    /// A primary has shown how far its log reaches.
+    /// Notified when a sample of the primary's log position arrives.
     pub sample_notify: Notify,
-    /// Whether reads wait for the primary for want of a sample of how far it is.
+    /// Whether reads wait for the primary because there is no sample of its log position.
     pub lacks_sample: Cell<bool>,
-    /// When other hosts were last asked for one.
+    /// When other hosts were last asked for a sample.
     sample_requested_at: Cell<Duration>,
-    /// A round of questions to the other servers has ended.
+    /// Notified when a round of status queries to the other servers has ended.
     confirmation_notify: Notify,
     state: RefCell<State<C>>,
 }
@@ -73,30 +75,31 @@
     vouch: Vouch,
     extent: Extent,
     leader: Leader,
-    /// Since when the service has had a single server.
+    /// Since when the service has had only one server.
     single_server_since: Option<Duration>,
     check: PrimaryCheck,
-    /// What is held until the primary is checked, which this host did not expect.
+    /// Hold on statements until an unexpected primary has been checked.
     check_hold: Option<dispatch::Hold>,
-    /// The primary that was last found to have the service's log.
+    /// The last primary that was verified to have the service's log.
     proven_primary: Option<ServerKey>,
-    /// How far the log of the server that is believed to lead was last seen to reach.
+    /// Last observed log position of the believed primary, while its check is incomplete.
     primary_position: Option<Position>,
-    /// Whether an order may be on its way that this host has not heard of.
+    /// Whether a promotion may have been ordered without this host's knowledge.
     orders: Orders,
     no_primary_since: Option<Duration>,
     servers: BTreeMap<ServerKey, ServerEntry>,
     idle: BTreeMap<u64, ServerConnection<C>>,
     waiters: BTreeMap<u64, Waiter<C>>,
     allotment: Allotment,
-    /// When statements for the primary are held.
+    /// Hold on statements for the primary until its successor leads.
     successor_hold: Option<dispatch::Hold>,
     replacement: Option<hold::Replacement>,
-    /// Servers that were ordered to lead, by identity: as many as there ever were.
+    /// Servers that were ordered to become primary, by server ID. Grows to at most the number of
+    /// servers that ever existed.
     promotions: BTreeMap<String, hold::PromotionRecord>,
     store_lease: StoreLease,
     confirmation: Confirmation,
-    /// Servers that are at their limit while this host has less than its part.
+    /// Servers that are at their connection limit while this host has less than its fair share.
     connection_shortages: BTreeSet<ServerKey>,
 }
 
@@ -104,16 +107,16 @@
     target: Target,
     incarnation: Incarnation,
     restart_signal: RestartSignal,
-    /// How the server came back, if it is known to have started again.
+    /// How the server came back, if it is known to have restarted.
     restart: Option<restart::RestartRecord>,
-    /// Connections to it have broken while it was believed to lead, and it has shown no write since.
+    /// Connections have broken while it was the believed primary, and it has shown no write since.
     connections_broke: bool,
-    /// It was found without a log, and has shown none since.
+    /// Its log was found empty, and it has shown no entry since.
     found_empty: bool,
-    /// It has shown how far its log reaches since the primary was last another one.
+    /// It has shown its log position since the believed primary last changed.
     has_shown_position: bool,
     contact: Contact,
-    /// When statements were sent that have no answer yet.
+    /// Send times of the statements that have not been answered yet.
     outstanding: BTreeMap<u64, Duration>,
 }
 
@@ -122,19 +125,19 @@
     sender: oneshot::Sender<Result<PooledConnection<C>, Unserved>>,
 }
 
-/// How many connections this host may have to each server of the service.
+/// Number of connections that this host may open to each server of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Allotment {
-    /// Those it keeps open.
+    /// Connections that are kept open.
     pub base: u16,
-    /// Its part of what the server accepts.
+    /// This host's fair share of the server's connection limit.
     pub fair: u16,
-    /// Those it may have for a while.
+    /// Upper limit of connections, including those opened temporarily.
     pub most: u16,
 }
 
 impl<C: Codec> Service<C> {
-    /// A service of which no server is known yet.
+    /// Creates a service without any known server.
     pub fn new(name: String, site: Rc<Site>) -> Service<C> {
         Service {
             name,
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Runs what is due by time alone.
+    /// Runs all work that depends only on the passage of time.
     pub fn tick(self: &Rc<Self>) {
         let now = self.site.now();
         self.refresh_leader();
@@ -183,27 +186,29 @@
         self.close_ended_connections();
     }
 
-    /// How long a request takes at a server.
+    /// Returns the average duration of a request at a server.
     pub fn average_latency(&self, server: ServerKey) -> Duration {
         let state = self.state.borrow();
         let server = state.dispatch.servers().get(&server);
         server.map_or(Duration::ZERO, dispatch::Server::average)
     }
 
-    /// Who leads, as far as this host knows.
+    /// Returns the server that this host believes to be the primary.
     pub fn leader(&self) -> Option<ServerKey> {
         self.state.borrow().dispatch.leader()
     }
 
-    /// Name of a server, for logs.
+    /// Returns the name of a server for logs.
     pub fn name_of(&self, server: Option<ServerKey>) -> String {
         let state = self.state.borrow();
         let entry = server.and_then(|server| state.servers.get(&server));
         entry.map_or_else(|| "nobody".to_owned(), |entry| entry.target.id.clone())
     }
 
-    /// A server answered at `position` to what was sent at `sent`. With `led`, it could only
-    /// answer because it led, and this host had a lease when it asked.
+    /// Records an answer of a server, at `position`, to a request sent at `sent`.
+    ///
+    /// `led` means that only a primary could give this answer, and that this host held a lease when
+    /// it sent the request.
     pub fn record_answer(
         self: &Rc<Self>,
         server: ServerKey,
@@ -235,13 +240,13 @@
             state.leader.led(server, position.term);
             self.sample_arrived();
         }
-        // What is written to an empty log would look like the proof of a whole one.
+        // New writes to an empty log would be mistaken for proof of the complete log.
         if !state.leader.is_doubted(server) {
             state.record_position(server, position, now);
         }
     }
 
-    /// A request took `took` at a server.
+    /// Records that a request took `took` at a server.
     pub fn record_latency(&self, server: ServerKey, took: Duration) {
         let now = self.site.now();
         if let Some(server) = self.state.borrow_mut().dispatch.server_mut(server) {
@@ -249,25 +254,27 @@
         }
     }
 
-    /// A server's queue was full.
+    /// Records that a server's request queue was full.
     pub fn record_busy(&self, server: ServerKey) {
         let now = self.site.now();
         self.state.borrow_mut().dispatch.refused(server, now);
     }
 
-    /// A server refused a request because it does not lead.
+    /// Records that a server refused a request because it is not the primary.
     pub fn record_not_primary(self: &Rc<Self>, server: ServerKey) {
         self.state.borrow_mut().leader.refused(server);
         self.refresh_leader();
     }
 
-    /// A server refused a read because it lacks a position that a primary had at `at`.
+    /// Records that a server refused a read because it lacks a position that a primary had reached
+    /// at `at`.
     pub fn record_lagging(&self, server: ServerKey, at: Duration) {
         let now = self.site.now();
         self.state.borrow_mut().dispatch.lagged(server, at, now);
     }
 
-    /// How far the primary's log reached when this host last heard of it, and how long ago it was asked.
+    /// Returns the newest known position of the primary's log, and the time since the request that
+    /// returned it was sent.
     pub fn newest_sample(&self) -> Option<(Position, Duration)> {
         let now = self.site.now();
         let state = self.state.borrow();
@@ -275,8 +282,8 @@
         Some((position, now.saturating_sub(at)))
     }
 
-    /// Reads wait for a sample of how far the primary is. Returns whether the other hosts are to be asked at
-    /// once, rather than with the next heartbeat.
+    /// Records that reads wait for a sample of the primary's position. Returns whether the other
+    /// hosts should be asked immediately, without waiting for the next heartbeat.
     pub fn request_sample(&self) -> bool {
         let now = self.site.now();
         let is_due = now >= self.sample_requested_at.get() + SAMPLE_REQUEST_INTERVAL;
@@ -287,10 +294,12 @@
         is_due && is_new
     }
 
-    /// Another host vouches that the primary still led at `at`, or later, and its log reached `position`.
+    /// Records the report of another host that the primary still led at `at` or later, and that its
+    /// log had reached `position`.
     pub fn record_peer_sample(&self, position: Position, at: Duration) {
         let mut state = self.state.borrow_mut();
-        // Samples that are closer together are one: acted on, an answer would lead to the next question.
+        // Samples this close together count as one. Otherwise each reply would trigger the next
+        // request.
         let is_known = state
             .vouch
             .last()
@@ -303,13 +312,15 @@
         self.sample_arrived();
     }
 
-    /// A sample of how far the primary is has come: reads that wait for one are placed anew.
+    /// Wakes the reads that wait for a sample of the primary's position, so that they are
+    /// dispatched again.
     fn sample_arrived(&self) {
         self.lacks_sample.set(false);
         self.sample_notify.notify_waiters();
     }
 
-    /// What a read needs that has to see everything acknowledged before `since`, and `seen`.
+    /// Returns what is required of a server for a read that must see everything acknowledged before
+    /// `since`, and `seen`.
     pub fn need(&self, since: Duration, seen: Position) -> Need {
         let now = self.site.now();
         let state = self.state.borrow();
@@ -321,7 +332,7 @@
         Need::Position { position, at }
     }
 
-    /// A server that was asked at `sent` said what it is.
+    /// Records the status of a server that was queried at `sent`.
     pub fn record_status(self: &Rc<Self>, server: ServerKey, status: &Status, sent: Duration) {
         let now = self.site.now();
         {
@@ -338,7 +349,7 @@
         self.refresh_leader();
     }
 
-    /// Another host has seen `server` lead `term`.
+    /// Records that another host has seen `server` lead `term`.
     pub fn record_peer_leader(self: &Rc<Self>, server: &peer::Server, term: Term) {
         let ResolvedServer::Listed(server) = self.resolve_server(server) else {
             return;
@@ -351,7 +362,7 @@
         self.refresh_leader();
     }
 
-    /// Something sent to a server at `sent` came to nothing.
+    /// Records that a request sent to a server at `sent` failed.
     pub fn record_failure(
         &self,
         server: ServerKey,
@@ -378,7 +389,8 @@
         }
     }
 
-    /// A server has answered nothing that was sent since `since`, and not on another connection.
+    /// Records that a server has answered nothing sent since `since`, and did not answer on another
+    /// connection either.
     pub fn record_silence(&self, server: ServerKey, since: Duration) {
         if let Some(entry) = self.state.borrow_mut().servers.get_mut(&server) {
             entry.contact.silent(since);
@@ -386,18 +398,19 @@
         self.failover_notify.notify_one();
     }
 
-    /// How this host's own connections to a server fare.
+    /// Returns the state of this host's own connections to a server.
     pub fn contact(&self, server: ServerKey) -> Option<Contact> {
         let state = self.state.borrow();
         state.servers.get(&server).map(|entry| entry.contact)
     }
 
-    /// Takes the servers of which this host lacks connections since the last call.
+    /// Returns and clears the servers to which this host has lacked connections since the last
+    /// call.
     pub fn take_connection_shortages(&self) -> BTreeSet<ServerKey> {
         std::mem::take(&mut self.state.borrow_mut().connection_shortages)
     }
 
-    /// Another host lacks connections to a server.
+    /// Gives up connections to a server because another host lacks connections to it.
     pub fn yield_connections(self: &Rc<Self>, server: ServerKey) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
@@ -406,8 +419,8 @@
         }
     }
 
-    /// When the oldest statement was sent that the primary should have answered by now, if it has
-    /// answered nothing since.
+    /// Returns the primary and the send time of its oldest unanswered statement, if the answer is
+    /// overdue and nothing else has been answered since.
     pub fn overdue_statement(&self) -> Option<(Target, Duration)> {
         let now = self.site.now();
         let state = self.state.borrow();
@@ -417,7 +430,7 @@
         doubtful.then(|| (entry.target.clone(), oldest))
     }
 
-    /// What is wrong with the primary.
+    /// Returns the current problem with the primary, if any.
     pub fn trouble(&self) -> Option<Trouble> {
         let now = self.site.now();
         let state = self.state.borrow();
@@ -435,7 +448,7 @@
         leaving.then_some(Trouble::Leaving)
     }
 
-    /// Servers with where they are, and whether each is leaving.
+    /// Returns all servers with their addresses and whether they are leaving.
     pub fn targets(&self) -> Vec<(Target, Standing)> {
         let state = self.state.borrow();
         let standing = |key: &ServerKey| {
@@ -449,14 +462,15 @@
             .collect()
     }
 
-    /// Requests that each of its servers runs at once; `None` while none is listed.
+    /// Returns the number of requests that each server runs concurrently, or `None` if no server is
+    /// listed.
     pub fn slots(&self) -> Option<u16> {
         let state = self.state.borrow();
         let servers = state.dispatch.servers().values();
         servers.map(|server| server.slots).min()
     }
 
-    /// The server called `id`.
+    /// Returns the server with the ID `id`.
     pub fn find_server(&self, id: &str) -> Option<ServerKey> {
         let state = self.state.borrow();
         let mut entries = state.servers.iter();
@@ -465,25 +479,25 @@
             .map(|(key, _)| *key)
     }
 
-    /// The newest term in which the primary has itself shown that it leads.
+    /// Returns the newest term in which the primary itself has shown that it leads.
     pub fn term_led(&self) -> Term {
         let state = self.state.borrow();
         let leader = state.dispatch.leader();
         leader.map_or_else(Default::default, |leader| state.leader.term_led(leader))
     }
 
-    /// Servers that have themselves shown that they lead, believed or not, and the newest term in which they
-    /// did.
+    /// Returns all servers that have shown that they lead, whether believed or not, each with the
+    /// newest term in which it did.
     pub fn led_by(&self) -> BTreeMap<ServerKey, Term> {
         self.state.borrow().leader.led_by()
     }
 
-    /// The newest position of a primary's log that this host has heard of.
+    /// Returns the newest position of a primary's log that this host knows of.
     pub fn newest_position(&self) -> Position {
         self.state.borrow().vouch.newest()
     }
 
-    /// The newest term that is known to have begun.
+    /// Returns the newest term that is known to have begun.
     pub fn newest_term(&self) -> Term {
         self.state.borrow().vouch.term()
     }
@@ -526,7 +540,8 @@
         self.apply(next);
     }
 
-    /// Closes idle connections that their server has ended, before a request is sent there.
+    /// Closes idle connections that the server has already closed, before a request is sent on
+    /// them.
     fn close_ended_connections(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
         let closed: Vec<u64> = state
@@ -547,7 +562,7 @@
 enum FailureKind {
     Refused,
     Silent,
-    /// The server answered, so it is there.
+    /// The server answered, so it is reachable.
     None,
 }
 
--- a/crates/proxy/src/service/confirm.rs
+++ b/crates/proxy/src/service/confirm.rs
@@ -1,4 +1,4 @@
-//! Whether a primary still leads, by the word of the service's other servers.
+//! Confirms with the other servers of a service that its primary still leads.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,34 +13,37 @@
 use crate::message::Status;
 use crate::server_connection::{self, ServerConnection, Target};
 
-/// How long the other servers may take: a connection, a slot and a few round trips.
+/// Time limit for the answers of the other servers: a connection, a free slot and a few round
+/// trips.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time between two rounds of questions. Each takes a connection and a slot at each other server,
-/// and one round serves all reads that wait for it.
+/// Minimum interval between two rounds of status queries. Each round takes a connection and a slot
+/// at every other server, and serves all reads that wait for it.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is known of the other servers' word.
+/// State of the status queries to the other servers.
 #[derive(Debug, Default)]
 pub(super) struct Confirmation {
-    /// When they were last asked and all of them followed the primary.
+    /// Start of the last round in which all other servers followed the primary.
     confirmed_at: Option<Duration>,
-    /// When a round of questions was last begun.
+    /// When the last round of queries was started.
     round_started_at: Option<Duration>,
-    /// A round is under way.
+    /// Whether a round is in progress.
     in_progress: bool,
 }
 
 impl<C: Codec> Service<C> {
-    /// When all other servers were asked, at `since` or later, and said that they follow in no newer
-    /// term: no successor of the primary led at that moment. `None` if that cannot be shown. It holds
-    /// only for a host that knows all servers of the service.
+    /// Returns when, at `since` or later, all other servers were queried and reported that they
+    /// follow in no newer term: no successor of the primary led at that moment. Returns `None` if
+    /// that cannot be shown. The result is only valid on a host that knows all servers of the
+    /// service.
     ///
-    /// Stands in for a lease where a host is cut off from most others and from the store but not
-    /// from the service's servers: a successor can only be one of these. It is enough for reads,
-    /// and for what they show of the data's age. A write may be lost to an order that is on its
-    /// way, and is not acknowledged on this word. Where a split had two thirds of 74 hosts in that
-    /// situation for six seconds, 4.2% of the day's requests were refused with it, 8.6% without.
+    /// Replaces the lease on a host that is cut off from most other hosts and from the store, but
+    /// not from the service's servers: a successor can only be one of these. This is sufficient for
+    /// reads, and for what they show of the data's age. A write could be lost to a promotion order
+    /// in transit, so writes are not acknowledged on this basis. In a partition that put two thirds
+    /// of 74 hosts into this situation for six seconds, 4.2% of the day's requests were refused
+    /// with this check and 8.6% without it.
     pub async fn confirm_primary(self: &Rc<Self>, since: Duration) -> Option<Duration> {
         loop {
             let now = self.site.now();
@@ -55,7 +58,7 @@
             if asking {
                 self.confirmation_notify.notified().await;
             } else if begun >= Some(since) {
-                // They were asked after that, and it was not so.
+                // A round was started after `since` and did not confirm the primary.
                 return None;
             } else if let Some(pause) = begun.and_then(|it| (it + ROUND_INTERVAL).checked_sub(now))
                 && !pause.is_zero()
@@ -87,8 +90,8 @@
         });
     }
 
-    /// Whether all servers but the primary answer, and follow in no term newer than its own. With no
-    /// other server there is nobody who could tell.
+    /// Reports whether all servers except the primary answer, and follow in no term newer than its
+    /// own. Returns `false` if there is no other server, since none could confirm it.
     async fn others_follow(self: &Rc<Self>, asked: Duration) -> bool {
         let Some(leader) = self.leader() else {
             return false;
@@ -107,7 +110,7 @@
         for question in questions {
             follow &= question.await.unwrap_or(false);
         }
-        // What they said is of this one only.
+        // The answers only apply to the primary that was current when the round started.
         follow && self.leader() == Some(leader)
     }
 
@@ -119,8 +122,8 @@
         self.record_status(server, &status, asked);
         let follows = status.role == Role::Replica && status.term <= self.leader_term(server);
         if follows {
-            // The primary has that too. Where it has lost its log, this host may have nothing else to
-            // tell it by: it was out of touch when the log got so far.
+            // The primary must have this position too. If it has lost its log, this may be the only
+            // evidence on this host, which was cut off when the log reached that position.
             let now = self.site.now();
             self.state.borrow_mut().extent.showed(status.received, now);
         }
@@ -133,7 +136,7 @@
         connection.status().await
     }
 
-    /// The term of the primary that is believed in, where it is not `server`.
+    /// Returns the term of the believed primary, unless that is `server`.
     fn leader_term(&self, server: ServerKey) -> Term {
         match self.leader() {
             Some(leader) if leader != server => self.term_led(),
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -15,7 +15,8 @@
 use crate::meter;
 use crate::server_connection::{self, ServerConnection, Target};
 
-/// How long a server may take to say whether its log holds anything: some round trips between zones.
+/// Time limit for a server to report whether its log has any entry: a few round trips between
+/// zones.
 const EXAMINATION_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl<C: Codec> Service<C> {
@@ -61,11 +62,12 @@
         }
     }
 
-    /// Connects to `target`, and asks whether its log holds anything where it shows no write of its term.
+    /// Connects to `target`, and asks whether its log has any entry if it shows no write of its
+    /// term.
     ///
-    /// Guards against a successor that lost its log before it was seen to lead: it shows the start of its
-    /// term with its log or without, and hosts expect it to lead. A connection that is kept shows that the
-    /// process which was asked is still there.
+    /// Guards against a successor that lost its log before it was seen to lead: it shows the start
+    /// of its term with or without its log, and hosts expect it to lead. As long as the connection
+    /// stays open, the server process that was asked is still running.
     async fn connect_and_examine(
         self: &Rc<Self>,
         id: u64,
@@ -121,7 +123,8 @@
         self.apply(next);
     }
 
-    /// Connections to a server, and requests of the service that wait for one.
+    /// Returns the number of connections to a server, and the number of requests of the service
+    /// that wait for one.
     fn connection_load(&self, server: ServerKey) -> (u16, usize) {
         let state = self.state.borrow();
         let entry = state.dispatch.servers().get(&server);
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -1,4 +1,5 @@
-//! Changes of primary as a host hears of them: what is held meanwhile, and what counts no more.
+//! Replacement of a primary as seen by this host: which statements are held meanwhile, and which
+//! answers are ignored.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,57 +15,59 @@
 use crate::event::Event;
 use crate::peer::{self, Ended};
 
-/// A primary that is about to leave serves until shortly before its successor leads. What it
-/// acknowledges within this time before, its successor might not have received: many times the
-/// way between zones.
+/// A primary that is about to leave serves until this long before its successor leads. Its
+/// successor might not receive what it acknowledges in this interval. Many times the latency
+/// between zones.
 const HANDOVER_MARGIN: Duration = Duration::from_millis(60);
 
-/// How long nothing is sent to a primary that is being replaced, if no successor shows.
+/// Longest time that nothing is sent to a primary that is being replaced, if no successor appears.
 const SUCCESSOR_HOLD: Duration = Duration::from_millis(1_600);
 
-/// The newest replacement of a primary that a host has heard of.
+/// The newest replacement of a primary that this host knows of.
 #[derive(Debug)]
 pub(super) struct Replacement {
-    /// The newest term that was known when it was ordered; no primary of that term or one before
-    /// is relied on any more.
+    /// The newest term known when the replacement was ordered. No primary of this term or an
+    /// earlier one is relied on any more.
     ended_term: Term,
-    /// Token of the order.
+    /// Token of the promotion order.
     token: u64,
     successor: peer::Server,
-    /// How far that one had received the log, by its own word.
+    /// Position up to which the successor reported to have received the log.
     successor_position: Position,
-    /// From when on nothing is sent to the primary.
+    /// Time from which nothing is sent to the primary.
     hold_from: Duration,
-    /// From when on nothing that it answers counts.
+    /// Time from which the primary's answers are ignored.
     ignore_from: Duration,
     heard_at: Duration,
 }
 
 impl Replacement {
-    /// The server that was ordered to lead.
+    /// Returns the server that was ordered to become primary.
     pub(super) fn successor(&self) -> &peer::Server {
         &self.successor
     }
 }
 
-/// Where a server's log was when it was ordered to lead. Kept for each server, since later orders name
-/// others.
+/// Log position of a server when it was ordered to become primary. Kept for each server, since
+/// later orders name other servers.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct PromotionRecord {
-    /// The newest term that was known then.
+    /// The newest term known when the promotion was ordered.
     previous_term: Term,
-    /// How far the server had received the log, by its own word.
+    /// Position up to which the server reported to have received the log.
     received: Position,
 }
 
 impl PromotionRecord {
-    /// Whether the server was ordered to lead `term` without a log: no other had one.
+    /// Reports whether the server was ordered to lead `term` with an empty log, because no other
+    /// server had a log.
     pub(super) fn was_empty(&self, term: Term) -> bool {
         term.number() == self.previous_term.number() + 1 && self.received.log == 0
     }
 
-    /// Whether a log that reaches `position` cannot be that of the server in the term that it was
-    /// ordered to lead: it had received more before, and numbers go on across terms.
+    /// Reports whether a log that ends at `position` cannot be the log of the server in the term
+    /// that it was ordered to lead: it had already received more, and log numbers continue across
+    /// terms.
     pub(super) fn is_behind_promotion(&self, position: Position) -> bool {
         let ordered = position.term.number() == self.previous_term.number() + 1;
         ordered && position.log > 0 && position.log <= self.received.log
@@ -72,16 +75,18 @@
 }
 
 impl<C: Codec> State<C> {
-    /// Whether another server is believed to lead a term that is not over.
+    /// Reports whether another server is the believed primary of a term that has not ended.
     fn has_successor(&self, server: ServerKey) -> bool {
         let leader = self.dispatch.leader().filter(|leader| *leader != server);
         leader.is_some_and(|leader| !self.leader.is_over(leader))
     }
 
-    /// What needs the primary waits for its successor from `from` on, and no longer than `until`.
+    /// Holds statements for the primary until its successor leads, from `from` until `until` at the
+    /// latest.
     ///
-    /// What is held for the check of the primary goes on being held, reads of some age as well: a host that is
-    /// told of an order before the check would otherwise read at a primary that may have lost its log.
+    /// Statements that are held for the check of the primary stay held, including bounded-staleness
+    /// reads. Otherwise a host that learns of an order before the check would read from a primary
+    /// that may have lost its log.
     fn hold_for_successor(&mut self, from: Duration, until: Duration, now: Duration) {
         let unchecked = self.check_hold.take().filter(|it| now < it.until);
         let from = unchecked.map_or(from, |unchecked| unchecked.from);
@@ -105,12 +110,12 @@
 }
 
 impl<C: Codec> Service<C> {
-    /// Another host says where a term began.
+    /// Records where a term began, as reported by another host.
     pub fn record_term_start(&self, start: &peer::TermStart) {
         self.state.borrow_mut().record_term_start(start);
     }
 
-    /// Where the newest term began that was ordered, as far as is known.
+    /// Returns the start of the newest term that was ordered, if known.
     pub fn newest_term_start(&self) -> Option<peer::TermStart> {
         let state = self.state.borrow();
         let newest = state
@@ -120,8 +125,8 @@
         newest.map(|(id, it)| peer::TermStart::new(id.clone(), it.previous_term, it.received))
     }
 
-    /// For how long a primary still serves whose successor is ordered now, if it is alive and about
-    /// to leave: no longer where another order may be out.
+    /// Returns for how long a primary that is alive and about to leave still serves if its
+    /// successor is ordered now. Zero if another order may be in transit.
     pub fn remaining_service_time(&self) -> Duration {
         match self.state.borrow().successor_hold {
             Some(_) => Duration::ZERO,
@@ -129,8 +134,8 @@
         }
     }
 
-    /// The primary's successor may be ordered without this host's knowledge: what needs the primary is held
-    /// until a server is seen to lead.
+    /// Holds statements for the primary until a server is seen to lead, because its successor may
+    /// have been ordered without this host's knowledge.
     pub fn hold_for_unknown_order(&self) {
         let from = self.site.now();
         let mut state = self.state.borrow_mut();
@@ -141,10 +146,11 @@
         state.hold_for_successor(from, from + SUCCESSOR_HOLD, from);
     }
 
-    /// The primary is being replaced, as `ended` says; whether that is news.
+    /// Records that the primary is being replaced, as described by `ended`. Returns whether that
+    /// was new.
     ///
-    /// Statements that need it are held for its successor. From then on no server is relied on that
-    /// leads the term that has ended, however well it looks: the order may be carried out late.
+    /// Statements for the primary are held for its successor. From then on, no server that leads
+    /// the ended term is relied on, even if it appears healthy: the order may be carried out late.
     pub fn end_term(&self, ended: &Ended) -> bool {
         let now = self.site.now();
         let successor = self.resolve_listed(&ended.successor);
@@ -180,8 +186,8 @@
         true
     }
 
-    /// The newest replacement of the primary, for hosts that may not have heard of it, if this host
-    /// has heard of it within `age`.
+    /// Returns the newest replacement of the primary if this host learned of it within the last
+    /// `age`, to inform hosts that may not know of it.
     pub fn recent_replacement(&self, age: Duration) -> Option<Ended> {
         let now = self.site.now();
         let state = self.state.borrow();
@@ -202,18 +208,19 @@
         })
     }
 
-    /// The store has answered what was sent at `sent`: nobody has claimed to replace the primary.
+    /// Records the store's answer to a request sent at `sent`: no host has claimed the right to
+    /// replace the primary.
     pub fn record_no_claims(&self, sent: Duration) {
         self.state.borrow_mut().store_lease.asked(sent);
     }
 
-    /// Whether this host may rely on the primary for what the store has said.
+    /// Reports whether this host may rely on the primary because of the store's answer.
     pub fn holds_store_lease(&self) -> bool {
         let now = self.site.now();
         self.state.borrow().store_lease.holds_lease(now)
     }
 
-    /// The newest token under which an order for the service was given, as far as is known.
+    /// Returns the newest known token of a promotion order for the service.
     pub fn newest_order(&self) -> Option<Grant> {
         let state = self.state.borrow();
         state
@@ -222,13 +229,14 @@
             .map(|replacement| Grant(replacement.token))
     }
 
-    /// Whether what `server` answers as a primary does not count: its term is over.
+    /// Reports whether the answers of `server` as a primary must be ignored because its term has
+    /// ended.
     ///
-    /// Guards against a replaced primary that goes on leading its own term: its answers look like
-    /// those of a primary. The position in them does not tell, since a server that has just been
-    /// promoted shows one of the old term until it has caught up with its own log. A primary that is
-    /// about to leave may serve on for a while; its successor may lead before that is over, by an order
-    /// that this host has not heard of.
+    /// Guards against a replaced primary that continues to lead its own term and whose answers look
+    /// like those of a primary. The position in them is no evidence: a server that has just been
+    /// promoted shows a position of the old term until it has applied its own log. A primary that
+    /// is about to leave may continue to serve for a while; its successor may lead before that
+    /// ends, because of an order that this host does not know of.
     pub fn is_superseded(&self, server: ServerKey) -> bool {
         let now = self.site.now();
         let state = self.state.borrow();
@@ -239,7 +247,7 @@
         state.leader.is_over(server) && (replaced || succeeded || led < state.vouch.term())
     }
 
-    /// A write was acknowledged; it is logged if the primary is being replaced meanwhile.
+    /// Logs the acknowledgement of a write if the primary is being replaced.
     pub fn record_acknowledgement(&self, id: &[u8], position: Option<Position>) {
         let now = self.site.now();
         let hold = self.state.borrow().successor_hold;
@@ -253,7 +261,7 @@
         });
     }
 
-    /// Notes the end of a hold whose time is over.
+    /// Ends a hold that has expired.
     pub(super) fn tick_hold(self: &Rc<Self>, now: Duration) {
         let hold = self.state.borrow().successor_hold;
         if hold.is_some_and(|hold| now >= hold.until) {
@@ -262,9 +270,9 @@
         }
     }
 
-    /// No successor has shown. The old primary is not relied on again all the same: the order may
-    /// still be carried out. With nobody left that leads, hosts look for the successor and order
-    /// one again.
+    /// Stops relying on the old primary after no successor has appeared. It is still not trusted
+    /// again, since the order may yet be carried out. Without a primary, the hosts look for the
+    /// successor and order a promotion again.
     fn disown_primary(self: &Rc<Self>) {
         self.state.borrow_mut().leader.disown();
         self.refresh_leader();
@@ -277,7 +285,7 @@
         }
     }
 
-    /// Notes that statements for the primary are held no longer, and `why`.
+    /// Ends the hold on statements for the primary, and logs the reason `why`.
     pub(super) fn end_hold(&self, why: &'static str) {
         let Some(hold) = self.state.borrow_mut().successor_hold.take() else {
             return;
