--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -529,7 +529,7 @@
             millis: change.lasted.as_millis(),
         });
         if succeeds {
-            self.end_hold("a server is seen to lead");
+            self.end_hold("a server was seen to lead");
         }
         self.failover_notify.notify_one();
         self.tick_dispatch(now);
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -265,7 +265,7 @@
     pub(super) fn tick_hold(self: &Rc<Self>, now: Duration) {
         let hold = self.state.borrow().successor_hold;
         if hold.is_some_and(|hold| now >= hold.until) {
-            self.end_hold("its time is over");
+            self.end_hold("no successor appeared in time");
             self.disown_primary();
         }
     }
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -1,4 +1,4 @@
-//! Servers as the platform lists them.
+//! Updates of a service from the platform's server list.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,17 +13,18 @@
 use crate::platform::Backend;
 use crate::server_connection::Target;
 
-/// Whose word an entry of the list is.
+/// Origin of an entry in the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The server's, as far as is known.
+    /// The server itself, as far as is known.
     Server,
-    /// That of a copy from which the store was restored.
+    /// A copy from which the store was restored.
     Copy,
 }
 
 impl<C: Codec> Service<C> {
-    /// The platform lists `backend` under `key`, which stands for one of its starts.
+    /// Records that the platform lists `backend` under `key`, which identifies one incarnation of
+    /// the server.
     pub fn listed(
         self: &Rc<Self>,
         key: ServerKey,
@@ -40,7 +41,7 @@
                 server.standing = Standing::Leaving;
             }
             state.dispatch.insert(key, server);
-            // The role in a copy is one that the server may have had before it was replaced.
+            // The role in a copy may be one that the server had before it was replaced.
             if source == Source::Server || !state.servers.contains_key(&key) {
                 state.leader.listed(key, backend.role, backend.changed.0);
             }
@@ -77,7 +78,8 @@
         self.refresh_leader();
     }
 
-    /// The server under `key` has started again: what is on its way there gets no answer any more.
+    /// Records that the server under `key` has restarted: requests in flight to it will not be
+    /// answered.
     pub fn restarted(self: &Rc<Self>, key: ServerKey) {
         if let Some(entry) = self.state.borrow().servers.get(&key) {
             entry.restart_signal.raise();
@@ -85,8 +87,10 @@
         self.unlisted(key);
     }
 
-    /// The platform no longer lists the server. It may still be at work, cut off from the platform:
-    /// what is on its way there is awaited, and open transactions go on to their end.
+    /// Records that the platform no longer lists the server.
+    ///
+    /// The server may still be running, cut off from the platform: answers to requests in flight
+    /// are awaited, and open transactions continue to their end.
     pub fn unlisted(self: &Rc<Self>, key: ServerKey) {
         let next = {
             let mut state = self.state.borrow_mut();
@@ -98,7 +102,7 @@
         self.refresh_leader();
     }
 
-    /// The connections that this host may have have changed.
+    /// Updates the number of connections that this host may open.
     pub fn allot(&self, allotment: Allotment) {
         let mut state = self.state.borrow_mut();
         state.allotment = allotment;
--- a/crates/proxy/src/service/log_loss.rs
+++ b/crates/proxy/src/service/log_loss.rs
@@ -1,4 +1,4 @@
-//! Primaries that may have lost the service's log: what shows it, and what follows.
+//! Detection of primaries that may have lost the service's log, and its consequences.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use crate::peer;
 
 impl<C: Codec> Service<C> {
-    /// Whether what `server` answers as a primary, asked at `sent` and at `position`, does not count:
-    /// its term is over, or it has lost its log.
+    /// Reports whether an answer that `server` gave as a primary must be ignored: its term has
+    /// ended, or it has lost its log. The request was sent at `sent`, and the answer shows
+    /// `position`.
     ///
-    /// Guards against a primary that starts again without its log between the moment at which it was
-    /// weighed and an answer: a host that was cut off from the others read there, on a connection that
-    /// was opened just before what the log held was last heard of, 1 to 6 stale reads in four of six
-    /// runs of such a restart. Within one term a log only grows. An answer in an older term shows
-    /// nothing: a server that has just been promoted gives the position that it has applied.
+    /// Guards against a primary that restarts without its log between its check and an answer. A
+    /// host that was cut off from the others read from such a primary on a connection opened just
+    /// before the host last learned the extent of the log: 1 to 6 stale reads in four of six runs
+    /// of such a restart. Within one term a log only grows. An answer in an older term is no
+    /// evidence: a server that has just been promoted reports the position that it has applied.
     pub fn is_refuted(
         self: &Rc<Self>,
         server: ServerKey,
@@ -47,7 +48,7 @@
         lost
     }
 
-    /// Servers whose claims to lead are not believed, as other hosts are told of them.
+    /// Returns the servers whose claims to lead are not believed, in the form sent to other hosts.
     pub fn doubted_servers(&self) -> Vec<peer::Server> {
         let doubted = self.doubted().into_iter();
         doubted
@@ -55,12 +56,13 @@
             .collect()
     }
 
-    /// Another host does not believe that `server` leads.
+    /// Records that another host does not believe that `server` leads.
     ///
     /// Guards against a primary of a term without writes that has lost its log, on a host that has
-    /// started since: it has seen no connection break, and the start of the term is all that the
-    /// primary shows. It answered reads from nothing until the first write there, 340 ms beside three
-    /// hosts that knew better. One that has its log shows it with its next write.
+    /// started since then. That host has seen no connection break, and the primary shows only the
+    /// start of the term. It answered reads from an empty log until the first write, for 340 ms,
+    /// while three other hosts already knew. A primary that has its log shows it with its next
+    /// write.
     pub fn record_peer_doubt(self: &Rc<Self>, server: &peer::Server) {
         let ResolvedServer::Listed(server) = self.resolve_server(server) else {
             return;
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Believes no longer that `server` leads, whose log reaches no further than `position`.
+    /// Stops believing that `server` leads, because its log ends at `position`.
     pub(super) fn doubt_log(&self, server: ServerKey, position: Position) {
         let now = self.site.now();
         let furthest = {
@@ -98,23 +100,25 @@
 }
 
 impl<C: Codec> State<C> {
-    /// Nothing counts any more that `server` has shown.
+    /// Discards everything that `server` has shown.
     pub(super) fn distrust(&mut self, server: ServerKey, now: Duration) {
         self.leader.doubt(server);
-        // The start of its term, which it has shown as the primary, is in no log that is empty.
+        // An empty log does not contain the start of the term, which the server has shown as the
+        // primary.
         if let Some(server) = self.dispatch.server_mut(server) {
             server.saw(Position::default(), None, now);
         }
     }
 
-    /// Whether a primary to which connections have broken since it began to lead may have come back
-    /// without its log. It shows the start of its term, as it did before: nothing was written in that one.
+    /// Reports whether a primary may have come back without its log: connections to it have broken
+    /// since it began to lead, and it shows only the start of its term, as it did before, because
+    /// nothing was written in that term.
     ///
-    /// Guards against the loss of all that was written before that term. While the list could not be
-    /// read, hosts wrote to such a primary for three seconds, and then took what they had written for
-    /// the proof of its log: 17 to 93 acknowledged writes were gone in five of six runs. One that has
-    /// its log, or whose connections were only reset, is replaced for nothing unless somebody else
-    /// writes there, which costs the time of a promotion.
+    /// Guards against the loss of everything that was written before that term. While the server
+    /// list could not be read, hosts wrote to such a primary for three seconds and then took their
+    /// own writes as proof of its log: 17 to 93 acknowledged writes were lost in five of six runs.
+    /// A primary that has its log, or whose connections were only reset, is replaced unnecessarily
+    /// unless another host writes to it, which costs the duration of a promotion.
     pub(super) fn may_have_lost_log(&self, server: ServerKey, position: Position) -> bool {
         let broke = self
             .servers
@@ -124,11 +128,11 @@
         broke && shows_none && !self.was_promoted_empty(server)
     }
 
-    /// Whether a server that has been promoted shows less than it had received before that.
+    /// Reports whether a promoted server shows less than it had received before its promotion.
     ///
-    /// Guards against one that has started again without its log before anything was written in its
-    /// term: the number of the first write there is the only thing that tells. Hosts that had not seen
-    /// its process end went on writing to it.
+    /// Guards against a server that has restarted without its log before anything was written in
+    /// its term: the number of the first write in that term is the only evidence. Hosts that had
+    /// not seen its process end continued to write to it.
     pub(super) fn lacks_received_entries(&self, server: ServerKey, position: Position) -> bool {
         let Some(entry) = self.servers.get(&server) else {
             return false;
@@ -137,7 +141,7 @@
         promotion.is_some_and(|promotion| promotion.is_behind_promotion(position))
     }
 
-    /// A connection to `server` has broken.
+    /// Records that a connection to `server` has broken.
     pub(super) fn record_broken_connection(&mut self, server: ServerKey) {
         if self.dispatch.leader() != Some(server) {
             return;
@@ -147,7 +151,8 @@
         }
     }
 
-    /// `server` has shown a write of its own term: what broke before says nothing of its log any more.
+    /// Records that `server` has shown a write of its own term: earlier broken connections are no
+    /// longer evidence of a lost log.
     pub(super) fn record_own_write(&mut self, server: ServerKey) {
         if let Some(entry) = self.servers.get_mut(&server) {
             entry.connections_broke = false;
--- a/crates/proxy/src/service/log_proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -1,8 +1,9 @@
-//! Whether a primary that shows no write of its term has a log at all.
+//! Verification that a primary without writes in its term has a log.
 //!
-//! A primary shows the start of its term until something is written in it, and so does one that has
-//! lost its log since. Hosts that run know the difference by their connections, which break. Those that
-//! have started since ask it whether it holds the first entry, which every log holds but an empty one.
+//! A primary shows only the start of its term until something is written in it, and so does one
+//! that has lost its log since then. Hosts that are already running detect the loss because their
+//! connections break. Hosts that have started since then ask the primary whether it holds the first
+//! entry, which is in every log that is not empty.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,25 +20,25 @@
 use crate::event::Event;
 use crate::message::Status;
 
-/// Longest time that a host which has just started sends nothing to a primary of which it has to find
-/// out whether its log is empty: a call to the store and some questions to a busy server.
+/// Longest time that a host which has just started sends nothing to a primary while it determines
+/// whether that primary's log is empty: one call to the store and a few requests to a busy server.
 const PROOF_HOLD: Duration = Duration::from_secs(1);
 
-/// What a host has to find out before it believes a primary.
+/// Evidence that a host still needs before it believes a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissingEvidence {
-    /// Nothing.
+    /// None.
     Nothing,
-    /// Whether its successor was ordered before this host started.
+    /// Whether a successor was ordered before this host started.
     Orders,
-    /// Whether anything was ever written: no server that could show it is heard.
+    /// Whether anything was ever written: no server that could show it can be reached.
     Record,
-    /// Whether its log is empty: something was written at some time.
+    /// Whether the primary's log is empty: something has been written to the service.
     Proof,
 }
 
 impl<C: Codec> Service<C> {
-    /// What has to be found out before `server` is believed to lead, which says `status`.
+    /// Returns the evidence needed before `server`, which reports `status`, is believed to lead.
     pub fn missing_evidence(&self, server: ServerKey, status: &Status) -> MissingEvidence {
         let state = self.state.borrow();
         match state.leader.get() == Some(server) && status.role == Role::Primary {
@@ -46,7 +47,8 @@
         }
     }
 
-    /// A host that would know of an order has told this one what it knows.
+    /// Records that this host has received all promotion orders known to a host that would know of
+    /// one.
     pub fn record_orders_known(&self) {
         let mut state = self.state.borrow_mut();
         if state.orders == Orders::Heard {
@@ -57,7 +59,7 @@
         self.failover_notify.notify_one();
     }
 
-    /// The newest term for the change of whose primary the store has a claim, if any.
+    /// Records the newest term for which the store has a claim to replace the primary, if any.
     pub fn record_claims(&self, newest: Option<Term>) {
         let mut state = self.state.borrow_mut();
         if state.orders != Orders::Unknown {
@@ -68,12 +70,12 @@
         self.failover_notify.notify_one();
     }
 
-    /// Whether some server was seen to hold anything.
+    /// Reports whether any server has shown a log entry.
     pub fn has_seen_entries(&self) -> bool {
         self.state.borrow().extent.is_seen()
     }
 
-    /// The store's record says whether something was ever written.
+    /// Applies the store's record of whether anything was ever written to the service.
     pub fn apply_store_record(&self, is_written: bool) {
         let mut state = self.state.borrow_mut();
         match is_written {
@@ -82,7 +84,8 @@
         }
     }
 
-    /// `server` was asked on a new connection whether its log holds anything, which shows `position`.
+    /// Records whether the log of `server`, which shows `position`, has any entry, as reported on a
+    /// new connection.
     pub(super) fn record_examination(
         self: &Rc<Self>,
         server: ServerKey,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// `server`, which claims to lead at `position`, was asked whether its log holds anything.
+    /// Records whether the log of `server`, which claims to lead at `position`, has any entry.
     pub fn record_log_check(
         self: &Rc<Self>,
         server: ServerKey,
@@ -128,7 +131,7 @@
             position,
             evidence: match is_seen {
                 true => "other servers have shown entries",
-                false => "the store's record says that it was written to",
+                false => "the store records earlier writes",
             },
         });
         self.refresh_leader();
@@ -136,15 +139,15 @@
 }
 
 impl<C: Codec> State<C> {
-    /// What has to be found out before a primary is believed that shows `position`.
+    /// Returns the evidence needed before a primary that shows `position` is believed.
     ///
-    /// Guards against the loss of a whole log: all hosts started anew beside a primary that had lost its
-    /// log in a term without writes, believed it and wrote to it; all that had been acknowledged before was
-    /// gone when the others followed it.
+    /// Guards against the loss of a whole log: all hosts were restarted while the primary had lost
+    /// its log in a term without writes. They believed it and wrote to it, and everything
+    /// acknowledged before was lost when the other servers followed it.
     ///
-    /// And against the loss of what is written to a primary whose successor is ordered already: all hosts
-    /// started anew in the time between, and what the primary acknowledged in its last milliseconds its
-    /// successor had not received.
+    /// Also guards against the loss of writes to a primary whose successor has already been
+    /// ordered: all hosts were restarted in the interval between, and the successor had not
+    /// received what the primary acknowledged in its last milliseconds.
     pub(super) fn missing_evidence(&self, position: Position) -> MissingEvidence {
         if self
             .orders
@@ -162,10 +165,10 @@
         }
     }
 
-    /// Whether `server` leads a term that it was ordered to lead without a log.
+    /// Reports whether `server` leads a term that it was ordered to lead with an empty log.
     ///
-    /// Guards against a service without a primary for good where all servers have lost their logs: each one that
-    /// is ordered would be found empty and replaced by the next.
+    /// Guards against a service that never gets a primary again after all its servers have lost
+    /// their logs: each promoted server would be found empty and replaced by the next.
     pub(super) fn was_promoted_empty(&self, server: ServerKey) -> bool {
         let Some(entry) = self.servers.get(&server) else {
             return false;
@@ -175,11 +178,12 @@
         promotion.is_some_and(|promotion| promotion.was_empty(led))
     }
 
-    /// Whether a server that is not heard may hold what the primary lacks: it cannot be reached, or is not
-    /// tried since it leaves, or is down and no longer listed, as may be where the primary is the only one.
+    /// Reports whether a server that cannot be heard may hold entries that the primary lacks: it is
+    /// unreachable, or not contacted because it is leaving, or down and no longer listed, which is
+    /// possible if the primary is the only listed server.
     ///
-    /// One that has only not answered yet is no reason to ask the store: while a whole fleet starts, that
-    /// would be a call for each host and service.
+    /// A server that has merely not answered yet is no reason to ask the store: while a whole fleet
+    /// starts, that would be one call per host and service.
     fn lacks_witness(&self) -> bool {
         let mut others = self.others().peekable();
         let is_alone = others.peek().is_none();
@@ -188,14 +192,14 @@
                 .any(|(key, entry)| !entry.has_shown_position && self.is_unavailable(key, entry))
     }
 
-    /// Whether nothing is heard of a server: it cannot be reached, or it leaves.
+    /// Reports whether a server is unreachable or leaving.
     fn is_unavailable(&self, key: ServerKey, entry: &ServerEntry) -> bool {
         let server = self.dispatch.servers().get(&key);
         let leaves = server.is_none_or(|server| server.standing == Standing::Leaving);
         leaves || entry.contact.is_failing()
     }
 
-    /// What needs a primary that this host did not expect waits until it is known to have a log.
+    /// Extends the hold on statements for an unexpected primary until it is known to have a log.
     pub(super) fn wait_for_proof(&mut self, now: Duration) {
         let Some(hold) = self.check_hold else {
             return;
--- a/crates/proxy/src/service/pooled_connection.rs
+++ b/crates/proxy/src/service/pooled_connection.rs
@@ -1,4 +1,4 @@
-//! A pooled connection while one request has it.
+//! A pooled connection while one request holds it.
 
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
@@ -9,8 +9,10 @@
 use crate::codec::Codec;
 use crate::server_connection::ServerConnection;
 
-/// A connection that one request has for itself. Dropped, it is closed: only what is known to be
-/// in order is given back.
+/// A connection held exclusively by one request.
+///
+/// It is closed when dropped: only connections known to be in a clean state are returned to the
+/// pool.
 pub struct PooledConnection<C: Codec> {
     pub(super) connection: Option<ServerConnection<C>>,
     pub(super) restart_signal: RestartSignal,
@@ -20,7 +22,8 @@
 }
 
 impl<C: Codec> PooledConnection<C> {
-    /// Notes whether the connection rests inside a transaction while its caller thinks.
+    /// Records whether the connection is idle inside a transaction, waiting for the caller's next
+    /// statement.
     pub fn set_idle_in_transaction(&mut self, idle: bool) {
         if self.idle_in_transaction == idle {
             return;
@@ -35,17 +38,17 @@
         self.service.apply(next);
     }
 
-    /// The life of the start of its server that it leads to.
+    /// Returns the signal that is raised when the server behind this connection has restarted.
     pub fn restart_signal(&self) -> RestartSignal {
         self.restart_signal.clone()
     }
 
-    /// The service that its server belongs to.
+    /// Returns the service that the server belongs to.
     pub fn service(&self) -> &Rc<Service<C>> {
         &self.service
     }
 
-    /// Something is sent now; the guard stands for the answer that is awaited.
+    /// Records that a request is sent now. The returned guard represents the outstanding answer.
     pub fn track_answer(&self) -> PendingAnswer<C> {
         let service = Rc::clone(&self.service);
         let (server, id) = (self.server, service.site.next_id());
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Takes back what was counted for it beside the connection itself.
+    /// Releases what was counted for this request in addition to the connection itself.
     fn release_counts(&mut self) {
         self.set_idle_in_transaction(false);
         if std::mem::take(&mut self.is_long) {
@@ -69,8 +72,8 @@
         }
     }
 
-    /// Gives the connection back; no transaction may be open there. One that is out of order or
-    /// has answers outstanding is closed.
+    /// Returns the connection to the pool. No transaction may be open on it. A connection that is
+    /// broken or has outstanding answers is closed instead.
     pub fn return_to_pool(mut self) {
         if self.broken || self.pending() > 0 {
             return;
@@ -114,7 +117,7 @@
     fn deref(&self) -> &ServerConnection<C> {
         self.connection
             .as_ref()
-            .expect("a lent connection is there until it is given back")
+            .expect("the connection is present until it is returned or dropped")
     }
 }
 
@@ -122,11 +125,11 @@
     fn deref_mut(&mut self) -> &mut ServerConnection<C> {
         self.connection
             .as_mut()
-            .expect("a lent connection is there until it is given back")
+            .expect("the connection is present until it is returned or dropped")
     }
 }
 
-/// Stands for an answer that is awaited.
+/// Guard that represents an outstanding answer.
 pub struct PendingAnswer<C: Codec> {
     service: Rc<Service<C>>,
     server: ServerKey,
--- a/crates/proxy/src/service/queue.rs
+++ b/crates/proxy/src/service/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a connection, and what is done with connections for them.
+//! Queue of requests that wait for a connection, and the dispatcher's actions on connections.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -11,10 +11,10 @@
 use crate::codec::Codec;
 
 impl<C: Codec> Service<C> {
-    /// Waits for a connection that may serve `ticket`.
+    /// Waits for a connection that can serve `ticket`.
     ///
     /// # Errors
-    /// Why there was none before the ticket's deadline.
+    /// Returns why no connection was available before the ticket's deadline.
     pub async fn acquire(self: &Rc<Self>, ticket: Ticket) -> Result<PooledConnection<C>, Unserved> {
         let now = self.site.now();
         let id = ticket.id;
@@ -30,7 +30,7 @@
         };
         let _waiting = Waiting { service: self, id };
         self.apply(next);
-        // The sender is dropped unused only with the service itself.
+        // The sender is only dropped unused together with the service.
         receiver.await.unwrap_or(Err(Unserved::Busy))
     }
 
@@ -50,7 +50,7 @@
                 Next::Refuse { ticket, why } => {
                     let waiter = self.state.borrow_mut().waiters.remove(&ticket);
                     if let Some(waiter) = waiter {
-                        // A caller that no longer waits needs no answer.
+                        // Ignores the error: the caller may have stopped waiting.
                         let _ = waiter.sender.send(Err(why));
                     }
                 }
@@ -83,7 +83,8 @@
                 Vec::new()
             }
             (Some(waiter), idle) => {
-                // The server has ended the connection meanwhile: the request goes on waiting.
+                // The server has closed the connection in the meantime, so the request continues to
+                // wait.
                 if idle.is_some() {
                     state.record_broken_connection(server);
                 }
@@ -109,7 +110,7 @@
     }
 }
 
-/// Takes the ticket of a request out of the queue when its caller stops waiting.
+/// Removes the ticket of a request from the queue when its caller stops waiting.
 struct Waiting<'a, C: Codec> {
     service: &'a Rc<Service<C>>,
     id: u64,
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -1,4 +1,4 @@
-//! Servers that have started again: whether what they claim to be is believed.
+//! Servers that have restarted, and the check of a primary before it is believed.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,68 +16,68 @@
 use crate::peer;
 use crate::server_connection::Target;
 
-/// Which start of a server is listed, as far as this host knows.
+/// Which incarnation of a server is listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// The one that it has heard of, or the first.
+    /// The known one, or the first.
     Known,
-    /// A newer one than the one under this key.
+    /// A newer one; contains the key of the previous incarnation.
     Restarted(ServerKey),
 }
 
-/// How a server came back.
+/// State at the moment when a server was found to have restarted.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RestartRecord {
-    /// Its former start.
+    /// Key of the server's previous incarnation.
     pub former_key: ServerKey,
-    /// How far the service's log was seen to reach at that moment.
+    /// The furthest position of the service's log seen so far.
     pub log_extent: Position,
-    /// The newest term that was known.
+    /// The newest known term.
     pub term: Term,
 }
 
-/// Which server another host means, as far as this one knows.
+/// The server that another host refers to, as resolved by this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResolvedServer {
-    /// The start that is listed here.
+    /// The incarnation that is listed here.
     Listed(ServerKey),
-    /// One before that, which is over.
+    /// An earlier incarnation, which has ended.
     Former,
-    /// One after that: the other host has read more of the list.
+    /// A later incarnation: the other host has a newer server list.
     Newer,
-    /// No server of the service.
+    /// Not a server of the service.
     Unknown,
 }
 
-/// How long after a server is believed to lead it is asked what it is, at the latest: as soon as each
-/// other server has shown, on a connection of its own, what it has. That takes a few round trips between
-/// zones, and the tens of milliseconds that a server takes for a new connection.
+/// Latest time after which a newly believed primary is asked for its status. The check is made
+/// earlier if every other server has shown its position on a new connection. That takes a few round
+/// trips between zones, plus the tens of milliseconds that a server needs for a new connection.
 const CHECK_DELAY: Duration = Duration::from_millis(150);
 
-/// Longest time that a host sends nothing to a server that it believes to lead and has not checked: until
-/// the check, and as much again for its answer.
+/// Longest time that a host sends nothing to a believed but unchecked primary: the delay until the
+/// check, and as much again for its answer.
 const CHECK_HOLD: Duration = Duration::from_millis(350);
 
-/// What a host checks once of a server that it believes to lead.
+/// State of the one-time check of a believed primary.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum PrimaryCheck {
-    /// Whether it has the service's log, from this moment on.
+    /// The check whether it has the service's log is due from this time on.
     Due(Duration),
-    /// The same, and it was asked.
+    /// The check was due from this time on, and the status query has been sent.
     Asked(Duration),
-    /// Nothing any more.
+    /// No check is pending.
     #[default]
     Done,
 }
 
 impl<C: Codec> Service<C> {
-    /// Weighs whether a server may lead whose log reaches `position`, as it said to a question or
-    /// on a connection of `sent`.
+    /// Checks whether a server with the log position `position`, reported by a status query or a
+    /// new connection at `sent`, may lead.
     ///
-    /// A primary that has lost its log goes on claiming to lead, and the list may say for seconds
-    /// what its former start was. Its own first word on a new connection is older than any
-    /// statement there: a position below what some server had shown before the question is that
-    /// of another log.
+    /// A primary that has lost its log continues to claim to lead, and the server list may show its
+    /// previous incarnation for seconds. The first position that a server shows on a new connection
+    /// predates all statements sent on it: a position below what any server had shown before the
+    /// request belongs to a different log.
     pub(super) fn check_log(
         self: &Rc<Self>,
         server: ServerKey,
@@ -108,14 +108,15 @@
         }
     }
 
-    /// The server that is believed to lead, where it has not been looked at since it was.
+    /// Returns the believed primary if its check is due, and marks the check as sent.
     ///
-    /// Guards against an empty primary on a host that has just started, and believed the first one
-    /// in the list before it had heard what the others hold.
+    /// Guards against an empty primary on a host that has just started, and believed the first
+    /// primary in the list before it learned what the other servers hold.
     ///
-    /// It is asked once. Each question takes a connection, and with it a slot for tens of
-    /// milliseconds: 65 hosts that asked a server with 5 slots until it answered within 200 ms kept
-    /// it from ever answering, and nobody wrote to the service for the rest of the day.
+    /// The primary is asked only once. Each request takes a connection, and with it a slot for tens
+    /// of milliseconds: 65 hosts that repeated the request until a server with 5 slots answered
+    /// within 200 ms kept it from ever answering, and no writes reached the service for the rest of
+    /// the day.
     pub fn take_due_check(&self) -> Option<Target> {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
@@ -131,8 +132,8 @@
         Some(target)
     }
 
-    /// What servers that have started again have to have received before they count like others
-    /// in an election.
+    /// Returns the position that each restarted server must have received before it counts like any
+    /// other server in an election.
     pub fn required_positions(&self) -> BTreeMap<ServerKey, Position> {
         let state = self.state.borrow();
         let entries = state.servers.iter();
@@ -141,7 +142,7 @@
             .collect()
     }
 
-    /// The former start of each server that has started again.
+    /// Returns the previous incarnation of each server that has restarted.
     pub fn former_starts(&self) -> BTreeMap<ServerKey, ServerKey> {
         let state = self.state.borrow();
         let entries = state.servers.iter();
@@ -150,22 +151,22 @@
             .collect()
     }
 
-    /// Servers whose claims to lead are not believed.
+    /// Returns the servers whose claims to lead are not believed.
     pub fn doubted(&self) -> BTreeSet<ServerKey> {
         let state = self.state.borrow();
         let keys = state.servers.keys().copied();
         keys.filter(|key| state.leader.is_doubted(*key)).collect()
     }
 
-    /// How far the log has been seen to reach, at whichever server.
+    /// Returns the furthest log position seen at any server.
     pub fn furthest_position(&self) -> Position {
         self.state.borrow().extent.furthest()
     }
 
-    /// Another host has seen the log reach `position`.
+    /// Records that another host has seen the log reach `position`.
     ///
-    /// Where this is the first word of any write, a primary that was believed before is asked what it
-    /// has: it showed an empty log, which may have been a lost one.
+    /// If this is the first evidence of any write, a primary that is already believed is checked
+    /// again: it showed an empty log, which may have been a lost one.
     pub fn record_peer_position(&self, position: Position) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
@@ -178,7 +179,7 @@
         }
     }
 
-    /// A server as other hosts are told of it.
+    /// Returns the form in which a server is identified to other hosts.
     pub fn to_peer_server(&self, server: ServerKey) -> Option<peer::Server> {
         let state = self.state.borrow();
         let entry = state.servers.get(&server)?;
@@ -186,7 +187,7 @@
         Some(peer::Server::new(id, entry.incarnation))
     }
 
-    /// The server that another host means.
+    /// Resolves the server that another host refers to.
     pub fn resolve_server(&self, server: &peer::Server) -> ResolvedServer {
         let Some(key) = self.find_server(&server.id) else {
             return ResolvedServer::Unknown;
@@ -200,26 +201,29 @@
         }
     }
 
-    /// Whether a server may lack what the service's log holds.
+    /// Reports whether a server may lack entries of the service's log.
     pub fn is_doubted(&self, server: ServerKey) -> bool {
         self.state.borrow().leader.is_doubted(server)
     }
 }
 
 impl PrimaryCheck {
-    /// Another server is believed to lead from `now` on.
+    /// Returns the check of a primary that is believed from `now` on.
     pub(super) fn after(now: Duration) -> PrimaryCheck {
         PrimaryCheck::Due(now + CHECK_DELAY)
     }
 }
 
 impl<C: Codec> State<C> {
-    /// What `position`, shown by `server`, says of its data: the start of a term nothing, unless it
-    /// leads that term or nothing was ever written, since an empty log shows it as well; and nothing
-    /// what was written to a log that may be empty otherwise.
+    /// Returns the position that is proven to be in the data of `server`, which has shown
+    /// `position`.
     ///
-    /// Guards against reads that need the start of a term: each server takes its log to contain
-    /// that, and one that has lost its log would answer from nothing.
+    /// The start of a term proves nothing unless the server leads that term or nothing was ever
+    /// written, since a server with an empty log shows it as well. Writes to a log that may
+    /// otherwise be empty prove nothing either.
+    ///
+    /// Guards against reads that only need the start of a term: each server assumes that its log
+    /// contains it, so a server that has lost its log would answer from an empty one.
     pub(super) fn proven_position(&self, server: ServerKey, position: Position) -> Position {
         let leads = self.dispatch.leader() == Some(server) && self.check_hold.is_none();
         let whole = position.log > 0 || leads || !self.extent.is_written();
@@ -229,31 +233,33 @@
         }
     }
 
-    /// Whether the check that is due later can be made now: nothing more will be shown.
+    /// Reports whether a pending check can be made early because nothing more will be shown.
     pub(super) fn can_check_now(&self) -> bool {
         matches!(self.check, PrimaryCheck::Due(_)) && self.all_others_shown()
     }
 
-    /// Whether each other server has shown what it has since this one was believed to lead.
+    /// Reports whether every other server has shown its position since the current primary was
+    /// believed to lead.
     pub(super) fn all_others_shown(&self) -> bool {
         let mut others = self.others().peekable();
-        // With no other server there is nobody to show that the log has held more.
+        // Without another server, nothing can show that the log held more.
         others.peek().is_some() && others.all(|(_, entry)| entry.has_shown_position)
     }
 
-    /// The servers beside the one that is believed to lead.
+    /// Returns all servers except the believed primary.
     pub(super) fn others(&self) -> impl Iterator<Item = (ServerKey, &ServerEntry)> {
         let leader = self.dispatch.leader();
         let servers = self.servers.iter().map(|(key, entry)| (*key, entry));
         servers.filter(move |(key, _)| Some(*key) != leader)
     }
 
-    /// Another server is believed to lead, which is checked a moment later.
+    /// Schedules the check of a newly believed primary.
     ///
-    /// Guards against an empty primary on hosts that have all just started: none of them knows how
-    /// far the log had got, and until the check they wrote to it. So what needs a primary that a host did
-    /// not expect waits for the check. Reads of some age as well: they may need no more than the start of its
-    /// term, which servers take every log to contain.
+    /// Guards against an empty primary on hosts that have all just started: none of them knows the
+    /// extent of the log, and they wrote to the primary before the check. Statements for a primary
+    /// that this host did not expect are therefore held until the check. So are bounded-staleness
+    /// reads: they may only need the start of the primary's term, which servers assume to be in
+    /// every log.
     pub(super) fn schedule_leader_check(&mut self, now: Duration) {
         self.check = PrimaryCheck::after(now);
         self.primary_position = None;
@@ -276,13 +282,15 @@
         }
     }
 
-    /// Whether `leader` was found to have the service's log before, or was ordered to lead while this host
-    /// ran: those who order look for a server that has it.
+    /// Reports whether `leader` was previously found to have the service's log, or was ordered to
+    /// lead while this host was running: hosts that order a promotion choose a server that has the
+    /// log.
     ///
-    /// One that was found without a log since then may lead without it.
+    /// A server whose log has been found empty since then is not expected, as it may lead without
+    /// its log.
     ///
-    /// A host that has just started may hear of an order of long ago, and the list may tell it of the start
-    /// that was ordered, long after that one is over.
+    /// A host that has just started may learn of an old order, and the server list may still show
+    /// the incarnation that was ordered long after that one has ended.
     fn is_expected(&self, leader: ServerKey) -> bool {
         if self
             .servers
@@ -298,7 +306,7 @@
         proven == leader || replacement.is_some_and(|it| self.is_same_start(leader, it.successor()))
     }
 
-    /// Whether `key` stands for that start of a server which `server` names.
+    /// Reports whether `key` stands for the incarnation of a server that `server` names.
     fn is_same_start(&self, key: ServerKey, server: &peer::Server) -> bool {
         let entry = self.servers.get(&key);
         entry.is_some_and(|entry| {
@@ -306,13 +314,14 @@
         })
     }
 
-    /// Whether nothing is held for another reason, which would last longer.
+    /// Reports whether no other hold is in place, which would last longer.
     fn may_hold_for_check(&self) -> bool {
         let held = self.dispatch.held();
         held.is_none() || held == self.check_hold
     }
 
-    /// What was missing may have been found out: the primary is weighed again by what it last showed.
+    /// Checks the primary again at its last shown position, because missing evidence may have
+    /// become available.
     pub(super) fn recheck_leader(&mut self, now: Duration) {
         let Some(position) = self.primary_position else {
             return;
@@ -324,7 +333,7 @@
         }
     }
 
-    /// The server that is believed to lead has shown that its log reaches `position`.
+    /// Records that the believed primary has shown the log position `position`.
     fn record_leader_position(&mut self, position: Position, now: Duration) {
         self.primary_position = Some(position);
         match (self.missing_evidence(position), self.check) {
@@ -334,7 +343,7 @@
                 self.proven_primary = self.dispatch.leader();
                 self.end_check_hold();
             }
-            // Who has asked goes on to find out the rest.
+            // The sender of the status query goes on to gather the remaining evidence.
             (_, PrimaryCheck::Asked(_)) => {
                 self.check = PrimaryCheck::Done;
                 self.wait_for_proof(now);
@@ -343,10 +352,10 @@
         }
     }
 
-    /// `server` has shown that its log reaches `position`.
+    /// Records that `server` has shown the log position `position`.
     ///
-    /// Where that is the first that was seen of any log, a primary that shows the start of its term is
-    /// asked what it has.
+    /// If this is the first entry seen in any log, a primary that shows only the start of its term
+    /// is checked again.
     pub(super) fn record_position(&mut self, server: ServerKey, position: Position, now: Duration) {
         if position.log > 0
             && let Some(entry) = self.servers.get_mut(&server)
@@ -362,23 +371,23 @@
         }
     }
 
-    /// The server that is believed to lead was checked: what was held for that goes on.
+    /// Releases the statements held for the check of the believed primary.
     pub(super) fn end_check_hold(&mut self) {
         if let Some(hold) = self.check_hold.take() {
             self.dispatch.release(hold);
         }
     }
 
-    /// Whether `leader` leads for another reason than that it came back in the term that it had led
-    /// before.
+    /// Reports whether `leader` leads for a reason other than having come back in the term that it
+    /// led before.
     ///
-    /// Guards against writes at a primary that starts again with its log while its successor is
-    /// already ordered: what it acknowledges until that one leads, the successor lacks. The list
-    /// shows it as the primary for as long as that takes, so what was held goes on being held.
+    /// Guards against writes to a primary that restarts with its log after its successor has been
+    /// ordered: the successor lacks what it acknowledges until the successor leads. The server list
+    /// shows it as the primary during that time, so held statements stay held.
     ///
-    /// And against what was held going to a primary that was replaced long before, where nobody else
-    /// seems to lead for a moment: this host refuses to rely on it, so statements went to and fro, with
-    /// 25 changes of the primary that hosts believed in within 100 ms.
+    /// Also guards against sending held statements to a primary that was replaced long before,
+    /// while no other server seems to lead for a moment. This host refuses to rely on it, so
+    /// statements moved back and forth, with 25 changes of the believed primary within 100 ms.
     pub(super) fn is_successor(&self, leader: Option<ServerKey>) -> bool {
         let Some(leader) = leader.filter(|leader| !self.leader.is_over(*leader)) else {
             return false;
@@ -388,11 +397,11 @@
         restart.is_none_or(|restart| self.vouch.term() > restart.term)
     }
 
-    /// Trusts the one server that a service has left, which nobody would ever replace, after the
-    /// time in which others come back.
+    /// Trusts the only remaining server of a service, which would never be replaced, after the time
+    /// that other servers need to come back.
     ///
-    /// A host that has just started cannot know whether there are others: the entry of one that is
-    /// down has lapsed.
+    /// A host that has just started cannot know whether there are other servers: the list entry of
+    /// a server that is down has expired.
     pub(super) fn trust_only_server(&mut self, now: Duration) {
         if self.servers.len() > 1 {
             self.single_server_since = None;
--- a/crates/proxy/src/service/restart_signal.rs
+++ b/crates/proxy/src/service/restart_signal.rs
@@ -1,15 +1,15 @@
-//! Whether one start of a server is over.
+//! Signals that a server has restarted.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Whether one start of a server is over: the server has started again.
+/// Signals that one incarnation of a server has ended because the server has restarted.
 ///
-/// Guards against waiting for an answer that nobody will give. Where a server's machine went dark
-/// with it, nothing comes back on its connections, not even that they have ended, and a statement
-/// would wait until its time is over.
+/// Guards against waiting for an answer that will never come. If a server's machine fails with it,
+/// nothing arrives on its connections, not even a close, and a statement would wait until its
+/// timeout.
 #[derive(Debug, Clone, Default)]
 pub struct RestartSignal {
     state: Rc<State>,
@@ -22,18 +22,18 @@
 }
 
 impl RestartSignal {
-    /// It is over from now on.
+    /// Raises the signal.
     pub fn raise(&self) {
         self.state.is_raised.set(true);
         self.state.notify.notify_waiters();
     }
 
-    /// Whether it is over.
+    /// Reports whether the signal has been raised.
     pub fn is_raised(&self) -> bool {
         self.state.is_raised.get()
     }
 
-    /// Returns when it is over.
+    /// Waits until the signal is raised.
     pub async fn raised(&self) {
         let ended = self.state.notify.notified();
         if !self.is_raised() {
