--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -12,51 +12,51 @@
 use crate::server_connection::{self, Outcome};
 use crate::service::PooledConnection;
 
-/// What is run.
+/// A statement to run, and the context it needs.
 #[derive(Debug, Clone, Copy)]
 pub struct Job<'a> {
     /// The caller's statement.
     pub query: &'a Query,
-    /// What the caller's session carries.
+    /// Session state of the caller.
     pub caller_state: &'a CallerState,
-    /// The prepared statement that it uses, with its arguments.
+    /// The prepared statement to execute, with its arguments.
     pub prepared: Option<(&'a Shape, &'a [u8])>,
-    /// What goes around it.
+    /// The transaction in which it runs.
     pub frame: TransactionFrame,
-    /// What the server's log must contain for it to run.
+    /// Position that the server's log must contain for the statement to run.
     pub after: Option<Position>,
-    /// Up to when what a primary shows by it is known to be current.
+    /// Time at which a primary that answers is known to have been current.
     pub confirmed_at: Duration,
 }
 
-/// What goes around a statement.
+/// The transaction in which a statement runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactionFrame {
-    /// Nothing.
+    /// No additional transaction.
     Bare,
-    /// A transaction of its own that is rolled back.
+    /// A separate transaction that is rolled back afterwards.
     ///
-    /// A server that was replaced as primary still answers plain reads, from data that lack what
-    /// its successor has acknowledged. Inside a transaction it refuses.
+    /// A server that was replaced as primary still answers plain reads, from data that lacks what
+    /// its successor has acknowledged. It refuses them inside a writable transaction.
     RolledBack,
-    /// A transaction is opened before it and stays open.
+    /// A transaction that is opened before the statement and stays open.
     Opens(Access),
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum RunResult {
     /// The server answered.
     Answered(Outcome),
-    /// The server refused what goes before the statement; the statement was not sent.
+    /// The server refused a command that precedes the statement, which was not sent.
     Refused(Code),
     /// The connection was lost before the statement was sent.
     Unsent(server_connection::Error),
-    /// The statement was sent and there is no answer.
+    /// The statement was sent, but not answered.
     Unanswered(server_connection::Error),
 }
 
-/// Runs `job` on `lent` within `limit`.
+/// Runs `job` on `connection` within the time limit `limit`.
 pub async fn run<C: Codec>(
     connection: &mut PooledConnection<C>,
     job: &Job<'_>,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The start of the server that a connection leads to is over.
+/// Returns the error for a connection whose server has restarted.
 fn restarted_error() -> server_connection::Error {
     server_connection::Error::Io(std::io::ErrorKind::ConnectionAborted.into())
 }
@@ -111,13 +111,13 @@
     drain_answers(connection, after + 1).await?;
     let outcome = connection.outcome().await?;
     if drain_answers(connection, 0).await.is_err() {
-        // The caller's answer is complete; only the connection is not to be used again.
+        // The caller's answer is complete, but the connection must not be reused.
         connection.broken = true;
     }
     Ok(RunResult::Answered(outcome))
 }
 
-/// Queues what makes the connection fit for the session.
+/// Queues the commands that establish the session's state on the connection.
 fn prepare_connection<C: Codec>(connection: &mut PooledConnection<C>, job: &Job<'_>) {
     let shape = job.prepared.map(|(shape, _)| shape);
     for step in connection.connection_state.steps(job.caller_state, shape) {
@@ -129,8 +129,8 @@
     }
 }
 
-/// Opens the transaction of `job`, if it has one, and waits for the answer: sent together with
-/// the statement, a refused opening would leave the statement to run outside of it.
+/// Opens the transaction of `job`, if any, and waits for the answer. If both were sent together and
+/// the server refused to open the transaction, the statement would run outside of it.
 async fn open_transaction<C: Codec>(
     connection: &mut PooledConnection<C>,
     job: &Job<'_>,
@@ -150,11 +150,12 @@
     connection.flush().await?;
     drain_answers(connection, 1).await?;
     let outcome = connection.outcome().await?;
-    // Only a primary opens a transaction that may write, and it takes no slot for that: its
-    // answer vouches for its data also where the statement is then refused for a full queue.
-    // Without it a crowded primary refused the very reads that would have shown this host how
-    // fresh the replicas are, and all of them went on asking the primary: 5% of the requests of
-    // a day with 65 hosts, for good, after its replicas had been behind for six seconds.
+    // Only a primary opens a writable transaction, and opening one takes no slot. The answer
+    // therefore vouches for the primary's data even if the statement is then refused because the
+    // queue is full. Otherwise an overloaded primary refused the very reads that would have shown
+    // this host how fresh the replicas are, and all of them continued to query the primary: 5% of
+    // the requests of a day with 65 hosts, permanently, after its replicas had lagged for six
+    // seconds.
     let by_primary = access == Access::Write && outcome.end.is_ok();
     let refuted = by_primary && service.is_refuted(connection.server, outcome.position, sent);
     service.record_answer(
@@ -164,8 +165,9 @@
         by_primary && !refuted,
     );
     if refuted {
-        // It goes on leading a term that is over, or without its log. The statement is not sent
-        // there, and the connection is closed, since the transaction is open on it.
+        // The server continues to lead a term that has ended, or lacks the service's log. The
+        // statement is not sent, and the connection is closed because the transaction is open on
+        // it.
         connection.broken = true;
         return Ok(Some(Code::ReadOnly));
     }
@@ -197,8 +199,11 @@
     }
 }
 
-/// Reads answers until `left` are outstanding. What went before the statement cannot fail
-/// without the connection being out of step with what it is thought to carry.
+/// Reads answers until `left` are outstanding.
+///
+/// # Errors
+/// The connection is lost, or a command that precedes the statement failed: its state then differs
+/// from the recorded one.
 async fn drain_answers<C: Codec>(
     connection: &mut PooledConnection<C>,
     left: usize,
--- a/crates/proxy/src/caller_connection.rs
+++ b/crates/proxy/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection.
+//! A connection from a caller.
 
 use std::io;
 use std::marker::PhantomData;
@@ -12,15 +12,15 @@
 use crate::message::{Code, Request, Transaction};
 use crate::server_connection::Outcome;
 
-/// Room for one usual statement.
+/// Initial buffer size, enough for a typical statement.
 const BUFFER_BYTES: usize = 1 << 10;
 
-/// Why a caller's connection ends.
+/// Reason why a caller's connection ends.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// connection lost: {0}
     Io(io::Error),
-    /// the caller cannot be understood: {0}
+    /// the caller sent an invalid message: {0}
     Codec(codec::Error),
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A caller's connection.
+/// A connection from a caller.
 #[derive(Debug)]
 pub struct CallerConnection<C> {
     stream: TcpStream,
@@ -48,7 +48,7 @@
 }
 
 impl<C: Codec> CallerConnection<C> {
-    /// The caller behind `stream`.
+    /// Creates the connection of the caller behind `stream`.
     pub fn new(stream: TcpStream) -> CallerConnection<C> {
         CallerConnection {
             stream,
@@ -58,10 +58,12 @@
         }
     }
 
-    /// The next request; `None` when the caller has closed.
+    /// Returns the next request, or `None` when the caller has closed the connection.
+    ///
+    /// This method is cancel safe.
     ///
     /// # Errors
-    /// The connection is lost, or the bytes are no request. Safe to be dropped half-way.
+    /// The connection is lost, or the bytes are not a valid request.
     pub async fn request(&mut self) -> Result<Option<Request>, Error> {
         loop {
             if let Some(request) = C::request(&mut self.received)? {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Queues a server's answer, after which the caller is in `transaction`.
+    /// Queues a server's answer, followed by the caller's transaction status `transaction`.
     pub fn answer(&mut self, outcome: &Outcome, transaction: Transaction) {
         for row in &outcome.rows {
             self.row(row);
@@ -100,12 +102,12 @@
         C::error(&mut self.out, code, text);
     }
 
-    /// Queues that the next statement is awaited.
+    /// Queues the message that the next statement is expected.
     pub fn ready(&mut self, transaction: Transaction, position: Option<Position>) {
         C::ready(&mut self.out, transaction, position);
     }
 
-    /// Sends what is queued.
+    /// Sends everything that is queued.
     ///
     /// # Errors
     /// The connection is lost.
@@ -115,20 +117,20 @@
         Ok(())
     }
 
-    /// Ends the connection of a caller that cannot be understood, and says so if it still listens.
+    /// Ends the connection of a caller that sent an invalid message, and reports the error to it.
     ///
     /// # Errors
-    /// Always `error`.
+    /// Always returns `error`.
     pub async fn reject(mut self, error: Error) -> Result<(), Error> {
         if let Error::Codec(error) = &error {
             self.error(Code::Malformed, error.to_string().as_bytes());
-            // It may be gone; there is nobody else to tell.
+            // Ignores the result: the caller may have closed the connection.
             let _ = self.close().await;
         }
         Err(error)
     }
 
-    /// Ends the connection after everything queued was sent.
+    /// Closes the connection after sending everything that is queued.
     ///
     /// # Errors
     /// The connection is lost.
@@ -139,8 +141,8 @@
     }
 }
 
-/// Longest time that a transaction may stay idle, whatever is configured.
+/// Maximum time that a transaction may stay idle, regardless of the configuration.
 pub const MAX_TRANSACTION_IDLE: std::time::Duration = std::time::Duration::from_secs(60);
 
-/// How long a statement may take where no route says so any more.
+/// Time limit for a statement whose database no longer has a route.
 pub const DEFAULT_STATEMENT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(800);
--- a/crates/proxy/src/caller_state.rs
+++ b/crates/proxy/src/caller_state.rs
@@ -6,11 +6,11 @@
 
 use crate::message::Shape;
 
-/// Prepared statements that a connection keeps before it is cleared: each costs the server
-/// memory, and sessions of one application share a handful of shapes.
+/// Number of prepared statements on a connection at which it is cleared. Each uses server memory,
+/// and sessions of one application share only a few statements.
 const MAX_PREPARED: usize = 64;
 
-/// What a caller's session has set and prepared.
+/// Values and prepared statements of a caller's session.
 ///
 /// ```
 /// use bytes::Bytes;
@@ -31,42 +31,42 @@
 }
 
 impl CallerState {
-    /// Sets a value.
+    /// Sets a session value.
     pub fn set(&mut self, name: Bytes, value: Bytes) {
         self.values.insert(name, value);
     }
 
-    /// Prepares a statement under the session's own name.
+    /// Stores a prepared statement under the session's own name.
     pub fn prepare(&mut self, name: Bytes, shape: Shape) {
         self.prepared.insert(name, shape);
     }
 
-    /// Forgets a prepared statement; whether there was one.
+    /// Removes a prepared statement. Returns whether it existed.
     pub fn deallocate(&mut self, name: &Bytes) -> bool {
         self.prepared.remove(name).is_some()
     }
 
-    /// The statement prepared under `name`.
+    /// Returns the statement prepared under `name`.
     pub fn prepared(&self, name: &Bytes) -> Option<&Shape> {
         self.prepared.get(name)
     }
 }
 
-/// What has to be done to a connection before a session's statement may run there.
+/// A command that must be sent on a connection before a session's statement can run there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Clear it.
+    /// Clear all values and prepared statements.
     Discard,
-    /// Set a value.
+    /// Set a session value.
     Set(Bytes, Bytes),
-    /// Prepare a statement under this host's name for it.
+    /// Prepare a statement under the name that this host chose for it.
     Prepare(String, Shape),
 }
 
-/// What a connection carries.
+/// Session state on a pooled connection.
 ///
-/// Prepared statements are named by their text, so that callers who prepare the same statement
-/// under different names share it, and the same name of two callers never collides.
+/// Prepared statements are identified by their text: callers that prepare the same statement under
+/// different names share it, and equal names of different callers never collide.
 #[derive(Debug, Default)]
 pub struct ConnectionState {
     values: BTreeMap<Bytes, Bytes>,
@@ -75,8 +75,8 @@
 }
 
 impl ConnectionState {
-    /// The steps that make the connection fit for a statement of a session with `carry` that
-    /// uses `shape`. They are taken as done.
+    /// Returns the steps that prepare the connection for a statement of a session with the state
+    /// `caller` that uses `shape`, and records them as done.
     pub fn steps(&mut self, caller: &CallerState, shape: Option<&Shape>) -> Vec<Step> {
         let mut steps = Vec::new();
         let kept = |(name, _): (&Bytes, &Bytes)| caller.values.contains_key(name);
@@ -100,7 +100,7 @@
         steps
     }
 
-    /// The connection's name of `shape`.
+    /// Returns the name of `shape` on this connection.
     pub fn name(&self, shape: &Shape) -> Option<String> {
         self.prepared.get(shape).copied().map(name_of)
     }
--- a/crates/proxy/src/codec.rs
+++ b/crates/proxy/src/codec.rs
@@ -1,11 +1,11 @@
-//! The protocol that callers and backend servers speak.
+//! Encoding and decoding of the protocol spoken by callers and backend servers.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::message::{Answer, Code, Command, Request, Status, Transaction};
 use flamingopost_core::position::Position;
 
-/// Why bytes cannot be understood.
+/// Reason why bytes cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// a message is longer than {0} bytes
@@ -20,27 +20,27 @@
 
 impl std::error::Error for Error {}
 
-/// Turns bytes into messages and back. A process uses exactly one.
+/// Converts between bytes and messages. A process uses exactly one codec.
 pub trait Codec: 'static {
-    /// Takes the next whole message of a caller out of `buffer`.
+    /// Removes the next complete message of a caller from `buffer` and decodes it.
     ///
     /// # Errors
-    /// The bytes are no message; the caller cannot be served any more.
+    /// The bytes are not a valid message. The caller cannot be served any more.
     fn request(buffer: &mut BytesMut) -> Result<Option<Request>, Error>;
 
-    /// Takes the next whole message of a server out of `buffer`.
+    /// Removes the next complete message of a server from `buffer` and decodes it.
     ///
     /// # Errors
-    /// The bytes are no message; the connection cannot be used any more.
+    /// The bytes are not a valid message. The connection cannot be used any more.
     fn answer(buffer: &mut BytesMut) -> Result<Option<Answer>, Error>;
 
-    /// Reads the row with which a server answers [`Command::Status`].
+    /// Decodes the row with which a server answers [`Command::Status`].
     ///
     /// # Errors
-    /// The row has another form.
+    /// The row has a different format.
     fn status(row: &Bytes) -> Result<Status, Error>;
 
-    /// Opens a connection to server `id` of `service` in the name of `host`.
+    /// Appends the message that opens a connection to server `id` of `service` as `host`.
     fn startup(out: &mut BytesMut, service: &str, host: &str, id: &str);
 
     /// Appends a command to a server.
@@ -49,12 +49,12 @@
     /// Appends a row for a caller.
     fn row(out: &mut BytesMut, row: &[u8]);
 
-    /// Appends the end of a successful statement; without a proof when no server ran it.
+    /// Appends the end of a successful statement, without a proof if no server ran the statement.
     fn complete(out: &mut BytesMut, proof: Option<&[u8]>);
 
     /// Appends an error for a caller.
     fn error(out: &mut BytesMut, code: Code, text: &[u8]);
 
-    /// Appends that the next statement is awaited.
+    /// Appends the message that the next statement is expected.
     fn ready(out: &mut BytesMut, transaction: Transaction, position: Option<Position>);
 }
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -1,11 +1,11 @@
-//! What callers, this host and backend servers say to each other, free of any protocol.
+//! Protocol-independent messages between callers, this host and backend servers.
 
 use bytes::Bytes;
 use flamingopost_core::leader::Role;
 use flamingopost_core::position::Position;
 use flamingopost_core::term::Term;
 
-/// What a caller sends.
+/// A message from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
     /// Opens a session on a database.
@@ -13,24 +13,24 @@
         /// Name of the database.
         database: Bytes,
     },
-    /// Asks for one statement.
+    /// Runs one statement.
     Query(Query),
     /// Ends the session.
     Terminate,
 }
 
-/// One statement of a caller.
+/// One statement from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Query {
-    /// The caller's identifier of the attempt; servers see it unchanged.
+    /// The caller's identifier of the attempt. Passed to servers unchanged.
     pub id: Bytes,
     /// The statement as the caller wrote it.
     pub text: Bytes,
-    /// What it asks for.
+    /// The decoded statement.
     pub statement: Statement,
 }
 
-/// What a statement asks for.
+/// Kind of a statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
     /// Opens a transaction.
@@ -41,14 +41,14 @@
     Rollback,
     /// Reads or writes an item.
     Run(Access),
-    /// Gives the session a value.
+    /// Sets a session value.
     Set {
         /// Name of the value.
         name: Bytes,
         /// The value.
         value: Bytes,
     },
-    /// Names a statement for later use in the session.
+    /// Prepares a statement for later use in the session.
     Prepare {
         /// The session's name for it.
         name: Bytes,
@@ -59,37 +59,37 @@
     Execute {
         /// The session's name for it.
         name: Bytes,
-        /// The rest of the text.
+        /// Arguments: the remainder of the text.
         arguments: Bytes,
     },
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     Deallocate {
         /// The session's name for it.
         name: Bytes,
     },
-    /// Nothing that the protocol knows.
+    /// A statement that is not part of the protocol.
     Unknown,
 }
 
-/// What a statement may do to data.
+/// Access of a statement to data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Access {
-    /// It only reads.
+    /// Only reads.
     Read,
-    /// It may write.
+    /// May write.
     Write,
 }
 
 /// A statement that can be prepared.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Shape {
-    /// What it may do to data.
+    /// Access of the statement to data.
     pub access: Access,
-    /// Its text after the word that gives the access.
+    /// Text of the statement after the keyword that determines the access.
     pub text: Bytes,
 }
 
-/// What this host sends to a server.
+/// A command from this host to a server.
 #[derive(Debug, Clone, Copy)]
 pub enum Command<'a> {
     /// Runs a caller's statement, unchanged.
@@ -98,7 +98,7 @@
         id: &'a [u8],
         /// The caller's text.
         text: &'a [u8],
-        /// What the server's log must contain for it to run.
+        /// Position that the server's log must contain for the statement to run.
         after: Option<Position>,
     },
     /// Runs a prepared statement for a caller.
@@ -109,19 +109,19 @@
         name: &'a str,
         /// The caller's arguments.
         arguments: &'a [u8],
-        /// What the server's log must contain for it to run.
+        /// Position that the server's log must contain for the statement to run.
         after: Option<Position>,
     },
     /// Opens a transaction.
     Begin {
-        /// What the transaction may do.
+        /// Access of the transaction to data.
         access: Access,
-        /// What the server's log must contain for it to begin.
+        /// Position that the server's log must contain for the transaction to begin.
         after: Option<Position>,
     },
     /// Rolls the open transaction back.
     Rollback,
-    /// Gives the connection a session value.
+    /// Sets a session value on the connection.
     Set {
         /// Name of the value.
         name: &'a [u8],
@@ -139,58 +139,58 @@
     Discard,
     /// Asks the server for its role and position.
     Status,
-    /// Makes the server a replica, if it leads a term before `term`.
+    /// Makes the server a replica if it leads a term before `term`.
     StepDown {
         /// The term.
         term: Term,
     },
 }
 
-/// One message of a server.
+/// A message from a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// A row of a result.
     Row(Bytes),
-    /// A statement has run; carries what proves which server ran it.
+    /// A statement has run. Contains the proof of which server ran it.
     Complete(Bytes),
     /// A statement failed.
     Error(ErrorMessage),
-    /// The server awaits the next statement.
+    /// The server expects the next statement.
     Ready {
-        /// Whether a transaction is open.
+        /// Transaction status.
         transaction: Transaction,
-        /// The position that the server's data have reached.
+        /// The position that the server's data has reached.
         position: Option<Position>,
     },
 }
 
-/// An error as it travels.
+/// An error message on the wire.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorMessage {
-    /// What kind it is.
+    /// Kind of the error.
     pub code: Code,
-    /// Words for people.
+    /// Human-readable text.
     pub text: Bytes,
 }
 
-/// Kinds of errors that servers give and callers get.
+/// Kinds of errors, as sent by servers and to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
     /// Not run: no capacity.
     Busy,
     /// Not run, or rolled back.
     Aborted,
-    /// Not run: the server's data are too old.
+    /// Not run: the server's data is too old.
     Lagging,
-    /// Not run: the server does not lead.
+    /// Not run: the server is not the primary.
     ReadOnly,
-    /// Not run: the server serves something else.
+    /// Not run: the request reached the wrong server.
     Misrouted,
     /// Not run: the server has no connections left.
     ConnectionLimit,
     /// Not run: the prepared statement does not exist.
     NoStatement,
-    /// Not run: the statement cannot be understood, or not at this point.
+    /// Not run: the statement is invalid, or not allowed in this state.
     Malformed,
     /// Not run: the database does not exist.
     NoDatabase,
@@ -200,12 +200,12 @@
     Timeout,
     /// It may have run.
     InDoubt,
-    /// Something that this program does not know.
+    /// An error code that this program does not know.
     Other,
 }
 
 impl Code {
-    /// Whether the code says that the statement did not run, so that it may be sent again.
+    /// Reports whether the code guarantees that the statement did not run, so that it can be retried.
     ///
     /// ```
     /// use flamingopost_proxy::message::Code;
@@ -229,24 +229,24 @@
     }
 }
 
-/// Whether a transaction is open.
+/// Transaction status of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transaction {
-    /// None is.
+    /// No transaction is open.
     Idle,
-    /// One is.
+    /// A transaction is open.
     Open,
-    /// One is, and has failed: only its end is left.
+    /// A transaction is open and has failed. It can only be ended.
     Failed,
 }
 
-/// What a server says of itself.
+/// Status reported by a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
     /// Its role.
     pub role: Role,
-    /// The term that it knows.
+    /// The newest term that the server knows.
     pub term: Term,
-    /// How far it has received the log; its data may not have got there yet.
+    /// Position up to which the server has received the log. Its data may not have reached it yet.
     pub received: Position,
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,8 +1,8 @@
-//! A session that another host of the availability zone serves.
+//! Relays a session to another host of the availability zone, which serves it.
 //!
-//! Where hosts outnumber what a server bears, a few hosts of each zone serve a service for all of
-//! them. The others pass their callers' statements on, one after the other, over
-//! a connection for each caller: session state stays whole at the host that serves.
+//! If there are more hosts than a server can accept connections from, a few hosts of each zone serve
+//! a service on behalf of all. The others relay their callers' statements one after the other, over
+//! one connection per caller, so that the serving host holds the complete session state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,14 +17,15 @@
 use crate::server_connection::{self, Outcome, ServerConnection, Target};
 use crate::session::Context;
 
-/// How much longer than the route allows the other host may take for a statement: the way there
-/// and back, and its own load. One that stands still answers nothing while its kernel still does.
+/// Additional time beyond the route's timeout that the other host may take for a statement: the
+/// latency in both directions and its own load. Needed because the kernel of a stalled host still
+/// acknowledges data while its process answers nothing.
 const RELAY_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long connecting to the other host may take before the next one is tried.
+/// Time limit for connecting to the other host before the next host is tried.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A session that another host serves.
+/// A session that is relayed to another host.
 pub struct Relay<C: Codec> {
     context: Rc<Context<C>>,
     database: String,
@@ -34,14 +35,14 @@
     moves: u64,
 }
 
-/// What comes next.
+/// Next event of a relayed session.
 enum RelayEvent {
     Request(Option<Request>),
-    /// The other host has ended the session, or this one has to.
+    /// The other host has ended the session, or this host must end it.
     End,
 }
 
-/// Opens a session on `database` at the host that answers others at `address`.
+/// Opens a session on `database` at the host that accepts relayed sessions at `address`.
 pub async fn open<C: Codec>(
     context: &Context<C>,
     database: &str,
@@ -62,7 +63,7 @@
 }
 
 impl<C: Codec> Relay<C> {
-    /// Passes the statements of `front`, whose session is on `database`, on over `back`.
+    /// Creates a relay for the session of `caller` on `database` over the connection `peer`.
     pub fn new(
         context: Rc<Context<C>>,
         database: String,
@@ -80,10 +81,10 @@
         }
     }
 
-    /// Serves until one of the three ends the session.
+    /// Relays statements until the caller, this host or the other host ends the session.
     ///
     /// # Errors
-    /// The caller's connection is lost, or it cannot be understood.
+    /// The caller's connection is lost, or the caller sent an invalid message.
     pub async fn run(mut self) -> Result<(), caller_connection::Error> {
         loop {
             let request = match self.next_event().await? {
@@ -102,7 +103,8 @@
             let outcome = match self.outcome().await {
                 Ok(outcome) => outcome,
                 Err(error) => {
-                    // Whether it ran only the other host knows: the session ends without an answer.
+                    // Only the other host knows whether the statement ran, so the session ends
+                    // without an answer.
                     let millis = self.context.site.now().saturating_sub(sent).as_millis();
                     self.context.site.log(&Event::RelayLost {
                         id: String::from_utf8_lossy(&query.id).into_owned(),
@@ -120,7 +122,7 @@
         self.caller.close().await
     }
 
-    /// The other host's answer to what is queued.
+    /// Sends the queued statement and returns the other host's answer.
     async fn outcome(&mut self) -> Result<Outcome, server_connection::Error> {
         let allowed = self.context.fleet.timeout(&self.database);
         let allowed = allowed.unwrap_or_default();
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -1,35 +1,35 @@
-//! How the requests to one database are treated.
+//! Routing and consistency of the requests to one database.
 
 use std::time::Duration;
 
-/// How the requests to one database are treated.
+/// Handling of the requests to one database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The service that answers them.
+    /// The service that answers the requests.
     pub service: String,
-    /// What reads have to see.
+    /// Consistency of reads.
     pub consistency: Consistency,
-    /// How long one statement may take.
+    /// Time limit of a statement.
     pub timeout: Duration,
-    /// Within which time an operation should be answered.
+    /// Target time in which an operation should be answered.
     pub goal: Duration,
-    /// Requests with a lower number go first.
+    /// Priority. Requests with a lower number are served first.
     pub priority: u8,
 }
 
-/// What reads have to see.
+/// Consistency of reads: which writes they must see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// Everything acknowledged before.
+    /// All previously acknowledged writes.
     Primary,
-    /// Everything acknowledged longer ago than this.
+    /// All writes acknowledged longer ago than this.
     Bounded(Duration),
-    /// The session's own writes, and everything acknowledged longer ago than this.
+    /// The session's own writes, and all writes acknowledged longer ago than this.
     Session(Duration),
 }
 
 impl Consistency {
-    /// How old data may be; `None` when only current data will do.
+    /// Returns the maximum age of the data, or `None` if only current data is acceptable.
     pub fn max_age(self) -> Option<Duration> {
         match self {
             Consistency::Primary => None,
--- a/crates/proxy/src/server_connection.rs
+++ b/crates/proxy/src/server_connection.rs
@@ -17,25 +17,25 @@
 use crate::message::{Access, Answer, Code, Command, ErrorMessage, Status, Transaction};
 use crate::socket;
 
-/// How long connecting may take: several round trips between zones and the server's own work of
-/// tens of milliseconds, queued behind its other requests.
+/// Time limit for connecting: several round trips between zones, plus the server's own processing
+/// of tens of milliseconds, queued behind its other requests.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long data may stay unacknowledged by the server's kernel. Far above a round trip between
-/// zones, and within what most requests have left when it ends.
+/// Longest time that sent data may stay unacknowledged by the server's kernel. Far above a round
+/// trip between zones, and within the time that most requests have left when it expires.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Room for one usual answer.
+/// Initial buffer size, enough for a typical answer.
 const BUFFER_BYTES: usize = 2 << 10;
 
-/// Where a server is and what it is called.
+/// Address and identity of a server.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// Key of the server in this process.
     pub server: ServerKey,
     /// Its address.
     pub address: SocketAddr,
-    /// Its identity: another server may come to listen at the address.
+    /// Server ID. Another server may later listen at the same address.
     pub id: String,
     /// Its service.
     pub service: String,
@@ -66,31 +66,31 @@
     }
 }
 
-/// How a server answered one command.
+/// Answer of a server to one command.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// Rows of the result.
     pub rows: Vec<Bytes>,
-    /// What proves which server ran it, or the error.
+    /// Proof of which server ran the command, or the error.
     pub end: Result<Bytes, ErrorMessage>,
-    /// Whether a transaction is open after it.
+    /// Transaction status after the command.
     pub transaction: Transaction,
-    /// The position that the server's data had reached.
+    /// The position that the server's data has reached.
     pub position: Option<Position>,
 }
 
 /// A connection to a backend server.
 #[derive(Debug)]
 pub struct ServerConnection<C> {
-    /// Its number, unique within the process.
+    /// Connection number, unique within the process.
     pub id: u64,
     /// The server.
     pub server: ServerKey,
-    /// What sessions have left on it.
+    /// Session state that earlier statements left on the connection.
     pub connection_state: ConnectionState,
-    /// The position that the server's data had reached at its last word.
+    /// The position that the server's data had reached at its last answer.
     pub position: Option<Position>,
-    /// What the connection carries is no longer known: it is not to be used again.
+    /// The connection's state is unknown, so it must not be reused.
     pub broken: bool,
     stream: TcpStream,
     received: BytesMut,
@@ -103,7 +103,7 @@
     /// Connects to `target` as `host`.
     ///
     /// # Errors
-    /// The server cannot be reached, or refuses.
+    /// The server cannot be reached, or refuses the connection.
     pub async fn connect(
         id: u64,
         target: &Target,
@@ -148,22 +148,22 @@
         self.pending += 1;
     }
 
-    /// Sends what is queued.
+    /// Sends all queued commands.
     ///
     /// # Errors
-    /// The connection is lost. Whether the server got anything is unknown.
+    /// The connection is lost. It is unknown whether the server received anything.
     pub async fn flush(&mut self) -> Result<(), Error> {
         self.stream.write_all(&self.out).await?;
         self.out.clear();
         Ok(())
     }
 
-    /// Commands that were not answered yet.
+    /// Returns the number of unanswered commands.
     pub fn pending(&self) -> usize {
         self.pending
     }
 
-    /// The answer to the oldest command that was not answered yet.
+    /// Returns the answer to the oldest unanswered command.
     ///
     /// # Errors
     /// The connection is lost.
@@ -201,15 +201,15 @@
         self.request_status(&Command::Status).await
     }
 
-    /// Makes the server a replica, if it leads a term before `term`.
+    /// Makes the server a replica if it leads a term before `term`.
     ///
     /// # Errors
-    /// The connection is lost, or the server does not do it.
+    /// The connection is lost, or the server does not step down.
     pub async fn step_down(&mut self, term: Term) -> Result<Status, Error> {
         self.request_status(&Command::StepDown { term }).await
     }
 
-    /// Whether the server's log holds anything, whatever it says of its term.
+    /// Reports whether the server's log has any entry, regardless of its term.
     ///
     /// # Errors
     /// The connection is lost, or the server does not answer the question.
@@ -236,7 +236,7 @@
         Ok(true)
     }
 
-    /// Sends a command that the server answers with what it is then.
+    /// Sends a command that the server answers with its resulting status.
     async fn request_status(&mut self, command: &Command<'_>) -> Result<Status, Error> {
         self.push(command);
         self.flush().await?;
@@ -248,13 +248,13 @@
         }
     }
 
-    /// Returns when the server has closed the connection, or sent what nobody asked for.
+    /// Waits until the server closes the connection or sends unsolicited data.
     pub async fn wait_closed(&mut self) {
-        // Whatever comes, data or the end: nothing is expected while no command is outstanding.
+        // Any data or end of stream counts: none is expected while no command is outstanding.
         let _ = self.stream.readable().await;
     }
 
-    /// Whether the server has closed the connection while it was idle.
+    /// Reports whether the server has closed the idle connection or sent unsolicited data.
     pub fn is_closed(&self) -> bool {
         !self.received.is_empty() || socket::is_over(&self.stream)
     }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,4 +1,4 @@
-//! One caller's session: the loop from statement to statement.
+//! A caller's session: reads statements and answers them until the session ends.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -27,26 +27,26 @@
 use placement::{Answered, Plan, StatementResult};
 use transaction::OpenTransaction;
 
-/// Told while most other hosts are silent: the primary may be about to be replaced without this
-/// host hearing of it, and what it acknowledges then is lost.
+/// Reason given while this host is out of contact with most other hosts: the primary could be
+/// replaced without this host's knowledge, and writes that it then acknowledges would be lost.
 const OUT_OF_TOUCH: &str = "this host is out of touch with most others";
 
-/// Told where a write was answered by a primary whose successor may lead already.
+/// Reason given when a write was answered by a primary whose successor may already lead.
 const REPLACED: &str = "the primary that answered is being replaced";
 
-/// Why a write is not acknowledged that a primary has run without the service's log.
+/// Reason given when a write was run by a primary that has lost the service's log.
 const LOG_LOST: &str = "the primary that answered has lost its log";
 
-/// How long a caller may take to say which database it wants.
+/// Time limit for a caller to name its database.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What sessions share.
+/// State shared by all sessions.
 pub struct Context<C: Codec> {
     /// The host.
     pub site: Rc<Site>,
     /// The fleet.
     pub fleet: Rc<Fleet<C>>,
-    /// How the host is told to end.
+    /// Signals the shutdown of the host.
     pub stop: Rc<Stop>,
 }
 
@@ -56,20 +56,20 @@
     caller: CallerConnection<C>,
     database: String,
     caller_state: CallerState,
-    /// What the session has written or seen, by service.
+    /// The newest position that the session has written or read, by service.
     seen_positions: BTreeMap<String, Position>,
     transaction: TransactionState<C>,
     retry_budget: Budget,
-    /// How often sessions had been asked to move when this one began.
+    /// Number of requests to move that sessions had received when this session began.
     moves: u64,
 }
 
 enum TransactionState<C: Codec> {
     Idle,
-    /// Opened by the caller; no server knows of it yet.
+    /// Begun by the caller, but not yet opened at a server.
     Begun(PendingTransaction),
     Open(Box<OpenTransaction<C>>),
-    /// It failed: only its end is left.
+    /// The transaction has failed and can only be ended.
     Failed,
 }
 
@@ -80,16 +80,16 @@
     begun_at: Duration,
 }
 
-/// Where a session may be served.
+/// Whether a session may be relayed to another host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayPolicy {
-    /// Here, or by another host of the zone.
+    /// The session may be served here or relayed to another host of the zone.
     Allowed,
-    /// Here: another host has passed it on.
+    /// The session must be served here, because another host has relayed it.
     Never,
 }
 
-/// Whether a session goes on.
+/// Whether a session continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Flow {
     Continue,
@@ -103,10 +103,10 @@
 }
 
 impl<C: Codec> Session<C> {
-    /// Serves the caller behind `front` until one of both ends the session.
+    /// Serves `caller` until the caller or this host ends the session.
     ///
     /// # Errors
-    /// The caller's connection is lost, or it cannot be understood.
+    /// The caller's connection is lost, or the caller sent an invalid message.
     pub async fn serve(
         context: Rc<Context<C>>,
         mut caller: CallerConnection<C>,
@@ -274,7 +274,7 @@
             }
             TransactionState::Begun(begun) => {
                 self.first_statement(query, begun, Access::Read, None).await;
-                // An error has closed the transaction, and success has committed it.
+                // An error has ended the transaction, or success has committed it.
                 self.transaction = TransactionState::Idle;
             }
             TransactionState::Open(open) => self.commit_open(query, open).await,
@@ -302,7 +302,7 @@
         }
     }
 
-    /// A statement outside of any transaction.
+    /// Runs a statement outside of any transaction.
     async fn single_statement(
         &mut self,
         query: &Query,
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Ends the open transaction on this host's own account.
+    /// Ends the open transaction on this host's initiative.
     fn abandon(&mut self) {
         match std::mem::replace(&mut self.transaction, TransactionState::Failed) {
             TransactionState::Idle => self.transaction = TransactionState::Idle,
@@ -367,7 +367,8 @@
     }
 }
 
-/// A session at a host that serves `database` for this one, if there is one that can be reached.
+/// Connects to a host that serves `database` on behalf of this host. Returns `None` if there is no
+/// such host, or none can be reached.
 async fn connect_to_home<C: Codec>(
     context: &Context<C>,
     database: &str,
@@ -379,7 +380,7 @@
     }
     let first = usize::try_from(context.site.next_id()).unwrap_or_default();
     for place in 0..homes.len() {
-        // Sessions take turns among the hosts that serve.
+        // Distributes sessions over the serving hosts in turn.
         if let Home::Peer(address) = homes[(first + place) % homes.len()]
             && let Some(peer) = relay::open(context, database, address).await
         {
--- a/crates/proxy/src/session/placement.rs
+++ b/crates/proxy/src/session/placement.rs
@@ -1,4 +1,5 @@
-//! Where a statement runs that is bound to no connection, and whether it is tried again.
+//! Selects a server for each statement that is not bound to a connection, and retries the
+//! statement.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,38 +22,38 @@
 use crate::server_connection::Outcome;
 use crate::service::{PooledConnection, Service};
 
-/// Further attempts at a statement that did not run. Each takes a round trip, and the deadline
-/// of the statement ends them before the count does.
+/// Maximum number of retries of a statement that did not run. Each takes a round trip; the
+/// statement's deadline usually ends them first.
 const MAX_RETRIES: u8 = 6;
 
-/// Taken off the age that a read accepts: what passes between a caller's first byte and the
-/// moment at which this host reads it, under load.
+/// Subtracted from the maximum age that a read accepts. Covers the time between a caller's first
+/// byte and the moment when this host reads it under load.
 const AGE_MARGIN: Duration = Duration::from_millis(20);
 
-/// A statement that takes this many times the average has probably lost its answer.
+/// A statement that takes this many times the average duration has probably lost its answer.
 const OVERDUE_FACTOR: u32 = 8;
 
-/// No answer is overdue before this: longer than a full queue of usual statements takes.
+/// Minimum time before an answer is overdue. Longer than a full queue of typical statements takes.
 const MIN_OVERDUE: Duration = Duration::from_millis(250);
 
-/// Where a statement may run, and what surrounds it.
+/// Requirements of a statement that selects its own connection.
 pub(super) struct Plan {
     pub access: Access,
     pub frame: TransactionFrame,
-    /// When its caller's operation was first read.
+    /// When the caller's operation was first read.
     pub operation_start: Duration,
     /// When the statement was read.
     pub arrived: Duration,
     pub deadline: Duration,
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 enum AttemptResult<C: Codec> {
     Final(StatementResult<C>),
     Failed(FailedAttempt<C>),
 }
 
-/// An attempt that failed.
+/// A failed attempt.
 struct FailedAttempt<C: Codec> {
     service: Rc<Service<C>>,
     server: ServerKey,
@@ -63,31 +64,32 @@
     reason: String,
 }
 
-/// How an attempt was made.
+/// Circumstances of an attempt.
 struct AttemptContext<C: Codec> {
     service: Rc<Service<C>>,
     need: Need,
     frame: TransactionFrame,
     repeatable: bool,
     sent: Duration,
-    /// Up to when what it shows of a primary is known to be current.
+    /// Time at which the primary that answers is known to have been current.
     confirmed_at: Duration,
     count: u8,
 }
 
 impl Plan {
-    /// Whether it is a write outside of any transaction, which is kept as soon as it has run.
+    /// Reports whether this is a write outside of any transaction, which is permanent as soon as it
+    /// has run.
     fn writes_alone(&self) -> bool {
         self.access == Access::Write && self.frame == TransactionFrame::Bare
     }
 }
 
-/// How a statement ended that runs on a connection of its own choice.
+/// Result of a statement that selects its own connection.
 pub(super) enum StatementResult<C: Codec> {
     Answered(Box<Answered<C>>),
-    /// It did not run.
+    /// The statement did not run.
     NotRun(Code, String),
-    /// It may have run.
+    /// The statement may have run.
     InDoubt(Code, String),
 }
 
@@ -99,7 +101,8 @@
 }
 
 impl<C: Codec> Session<C> {
-    /// Finds a server for a statement that is bound to none, again if it did not run there.
+    /// Runs a statement that is not bound to a connection. Selects a server, and retries if the
+    /// statement did not run there.
     pub(super) async fn run_with_retries(
         &mut self,
         query: &Query,
@@ -154,7 +157,7 @@
             Err(result) => return AttemptResult::Final(result),
         };
         let frame = fence_frame(plan.frame, plan.access, need);
-        // A lease may have run out while the statement waited.
+        // The lease may have expired while the statement waited.
         let Some(confirmed_at) = self.confirmed_at(plan, need, &service).await else {
             connection.return_to_pool();
             return AttemptResult::Final(refuse_out_of_touch());
@@ -198,10 +201,10 @@
 
     /// Waits for a connection to a server that may run a statement of `plan`.
     ///
-    /// A read that could go to a replica waits for the primary while there is no sample of how far that
-    /// one is, by which replicas are measured. Guards against primaries that all of these reads press on
-    /// once hosts have started: as soon as there is one, from this host or another, they wait for any
-    /// server.
+    /// A read that could use a replica waits for the primary while there is no sample of the
+    /// primary's position, against which replicas are measured. Guards against overloading
+    /// primaries with all such reads after hosts have started: as soon as a sample arrives, from
+    /// this host or another one, these reads wait for any server.
     async fn acquire(
         &self,
         plan: &Plan,
@@ -240,7 +243,8 @@
         }
     }
 
-    /// How long an attempt may take: what is overdue is asked again while retries are left.
+    /// Returns the time limit of an attempt. An overdue statement is sent again while the retry
+    /// budget lasts.
     fn attempt_timeout(
         &self,
         plan: &Plan,
@@ -256,7 +260,7 @@
         }
     }
 
-    /// Takes in how an attempt ended.
+    /// Records the result of an attempt, and decides whether it is final.
     fn evaluate_attempt(
         &self,
         query: &Query,
@@ -358,7 +362,7 @@
         })
     }
 
-    /// What a statement ends with after its last attempt.
+    /// Returns the result of a statement after its last attempt.
     fn give_up(&self, query: &Query, plan: &Plan, failed: FailedAttempt<C>) -> StatementResult<C> {
         let FailedAttempt {
             service,
@@ -390,7 +394,7 @@
             _ => retry::Failure::Here,
         };
         let ran = match (failed.run, failed.repeatable) {
-            // A read that ran and failed may be asked of another server.
+            // A read that ran and failed may be sent to another server.
             (Run::Yes, true) => Run::Unknown,
             (run, _) => run,
         };
@@ -405,18 +409,19 @@
             dice: rand::random(),
         };
         match failed.code {
-            // Where to send it was not known well enough: that costs a server nothing.
+            // The routing information was outdated. Such a refusal costs a server nothing, so it is
+            // not charged to the retry budget.
             Code::Lagging | Code::ReadOnly => retry::decide(&attempt, &mut Budget::retries(), now),
             _ => retry::decide(&attempt, &mut self.retry_budget, now),
         }
     }
 
-    /// A moment, no earlier than that at which the statement was asked for, up to which the primary
-    /// is known to have had no successor; `None` where that cannot be shown, and now where it does
-    /// not matter.
+    /// Returns a time, no earlier than the arrival of the statement, at which the primary is known
+    /// to have had no successor. Returns `None` if that cannot be shown, and the current time if
+    /// the statement does not need the primary.
     ///
-    /// By this host's lease, or for a statement that only reads by the word of the service's other
-    /// servers.
+    /// The evidence is this host's lease or, for a read-only statement, the confirmation by the
+    /// service's other servers.
     async fn confirmed_at(
         &self,
         plan: &Plan,
@@ -434,7 +439,8 @@
         }
     }
 
-    /// Why a write is not acknowledged that `server` has answered as the primary, if it is not.
+    /// Returns the reason why a write that `server` answered as the primary is not acknowledged, if
+    /// there is one.
     pub(super) fn reason_to_withhold(
         &self,
         service: &Service<C>,
@@ -446,7 +452,7 @@
         service.is_superseded(server).then_some(REPLACED)
     }
 
-    /// Who may run a statement of `plan`.
+    /// Returns what is required of a server that runs a statement of `plan`.
     pub(super) fn need(&self, plan: &Plan, route: &Route, service: &Rc<Service<C>>) -> Need {
         if plan.access == Access::Write {
             return Need::Lead;
@@ -466,7 +472,8 @@
     }
 }
 
-/// What a server's log must contain for a statement that needs `need`.
+/// Returns the position that a server's log must contain for a statement with the requirement
+/// `need`.
 fn required_position(need: Need) -> Option<Position> {
     match need {
         Need::Lead => None,
@@ -476,16 +483,18 @@
     }
 }
 
-/// After which time without an answer a statement is asked of another server, or again.
+/// Returns the time without an answer after which a statement is sent again, possibly to another
+/// server.
 fn overdue_after(average: Duration) -> Duration {
     (average * OVERDUE_FACTOR).max(MIN_OVERDUE)
 }
 
-/// What goes around a statement that needs `need`.
+/// Returns the transaction frame of a statement with the requirement `need`.
 ///
-/// A server that was replaced as primary, and has not heard of it or has only just, goes on
-/// answering reads outside of transactions that may write. Data that it lacks then show as an
-/// answer that is too old. So whatever relies on a server's lead runs in such a transaction.
+/// A replaced primary that does not know of its replacement, or has only just learned of it,
+/// continues to answer reads outside of writable transactions. Its data may be stale, and so may
+/// its answers. Therefore everything that relies on a server being the primary runs in a writable
+/// transaction.
 fn fence_frame(frame: TransactionFrame, access: Access, need: Need) -> TransactionFrame {
     match (frame, access, need) {
         (TransactionFrame::Bare, Access::Read, Need::Lead) => TransactionFrame::RolledBack,
@@ -494,7 +503,7 @@
     }
 }
 
-/// A statement needs a primary, and this host has no lease.
+/// Returns the refusal of a statement that needs the primary while this host has no lease.
 fn refuse_out_of_touch<C: Codec>() -> StatementResult<C> {
     StatementResult::NotRun(Code::Busy, OUT_OF_TOUCH.to_owned())
 }
--- a/crates/proxy/src/session/respond.rs
+++ b/crates/proxy/src/session/respond.rs
@@ -1,4 +1,4 @@
-//! What a caller is told, and what is remembered and logged of it.
+//! Responses to the caller, and their logs and metrics.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
         meter::statement(&self.database, end, took);
     }
 
-    /// Tells the caller an error of this host's own, and logs why.
+    /// Reports an error raised by this host to the caller, and logs the reason.
     pub(super) fn report_error(
         &mut self,
         query: &Query,
@@ -111,7 +111,7 @@
         self.caller.ready(transaction, None);
     }
 
-    /// Whether a transaction is open, as the caller is told.
+    /// Returns the transaction status that is reported to the caller.
     pub(super) fn transaction_status(&self) -> Transaction {
         match self.transaction {
             TransactionState::Idle => Transaction::Idle,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Bytes of a caller, for logs.
+/// Converts bytes sent by a caller to text for logs.
 pub(super) fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
--- a/crates/proxy/src/session/transaction.rs
+++ b/crates/proxy/src/session/transaction.rs
@@ -1,4 +1,4 @@
-//! Statements inside a caller's transaction, from its first to its end.
+//! Statements inside a caller's transaction, from the first one to the end of the transaction.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::server_connection::Outcome;
 use crate::service::{PooledConnection, Service};
 
-/// Pause before a statement of an open transaction is sent again to a server without room.
+/// Delay before a statement of an open transaction is sent again to a busy server.
 const BUSY_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long the end of a transaction that its caller has left may take at the server.
+/// Time limit for rolling back an abandoned transaction at the server.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A transaction that is open at a server.
@@ -26,12 +26,12 @@
     pub connection: PooledConnection<C>,
     pub service: Rc<Service<C>>,
     pub wrote: bool,
-    /// Only a server that leads answers within it.
+    /// Whether every answer within the transaction proves that the server is the primary.
     pub by_primary: bool,
 }
 
 impl<C: Codec> Session<C> {
-    /// The first statement of a transaction, or its end if it has none.
+    /// Runs the first statement of a transaction, or the end of a transaction without statements.
     pub(super) async fn first_statement(
         &mut self,
         query: &Query,
@@ -45,8 +45,9 @@
             self.refuse(Code::NoDatabase, b"there is no such database any more");
             return;
         };
-        // What a server does not refuse for its role is not safe from a replaced primary: where
-        // only current data will do, the transaction is opened for writing.
+        // Statements that a server does not refuse because of its role may be answered by a
+        // replaced primary. If only current data is acceptable, the transaction is therefore opened
+        // for writing.
         let opens = match route.consistency {
             Consistency::Primary => Access::Write,
             Consistency::Bounded(_) | Consistency::Session(_) => begun.access,
@@ -90,7 +91,7 @@
                 };
                 self.deliver(&outcome, transaction, end, arrived);
             }
-            // Without its end, nothing of a transaction is kept.
+            // Nothing of a transaction is kept unless it is committed.
             StatementResult::NotRun(code, reason) | StatementResult::InDoubt(code, reason) => {
                 self.transaction = TransactionState::Failed;
                 let code = match code.did_not_run() {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// A further statement of an open transaction.
+    /// Runs a further statement of an open transaction.
     pub(super) async fn further_statement(
         &mut self,
         query: &Query,
@@ -231,7 +232,7 @@
                 self.log_transaction_lost(query, &open.service, server, &error.to_string());
                 let code = match open.wrote {
                     true => Code::InDoubt,
-                    // It wrote nothing, so nothing can have been kept.
+                    // The transaction wrote nothing, so nothing can have been committed.
                     false => Code::Aborted,
                 };
                 self.report_error(
@@ -246,7 +247,7 @@
 }
 
 impl<C: Codec> OpenTransaction<C> {
-    /// Takes in what the server's answer to something sent at `sent` shows of it.
+    /// Records what the server's answer to a request sent at `sent` shows.
     fn record_answer(&self, outcome: &Outcome, sent: Duration, by_primary: bool) {
         let server = self.connection.server;
         self.service
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Rolls the transaction back; the caller need not wait for it.
+    /// Rolls the transaction back in the background.
     pub(super) fn roll_back(self: Box<Self>) {
         let mut connection = self.connection;
         if connection.pending() > 0 {
@@ -279,7 +280,7 @@
     }
 }
 
-/// Runs a statement of an open transaction, again while the server has no room for it.
+/// Runs a statement of an open transaction, and repeats it while the server is busy.
 async fn run_with_busy_retries<C: Codec>(
     open: &mut OpenTransaction<C>,
     job: &Job<'_>,
