--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -9,16 +9,16 @@
 
 use crate::key::ServerKey;
 
+mod action;
 mod hold;
-mod next;
 mod server;
 mod ticket;
 mod window;
 
+pub use action::{Action, Unserved};
 pub use hold::Hold;
-pub use next::{Next, Unserved};
-pub use server::{Failure, Server, Standing};
-use ticket::Turn;
+pub use server::{Failure, Server, ServerState};
+use ticket::QueueOrder;
 pub use ticket::{Need, Ticket};
 
 /// Extra cost of a server in another availability zone: a round trip, and bytes between zones
@@ -33,39 +33,39 @@
 
 /// A queue that has not emptied for so long comes from too much work, not from a burst: several
 /// times what a request takes.
-const STANDING: Duration = Duration::from_millis(150);
+const OVERLOAD_AFTER: Duration = Duration::from_millis(150);
 
-/// First wait after a failed connect; doubled up to [`BACKOFF_MOST`].
-const BACKOFF: Duration = Duration::from_millis(40);
+/// First wait after a failed connect; doubled up to [`BACKOFF_MAX`].
+const BACKOFF_MIN: Duration = Duration::from_millis(40);
 
 /// Longest wait between two attempts to connect.
-const BACKOFF_MOST: Duration = Duration::from_millis(500);
+const BACKOFF_MAX: Duration = Duration::from_millis(500);
 
 /// The connections and the queue of one service on one entry host.
 ///
 /// ```
 /// use std::time::Duration;
-/// use flamingopost_core::dispatch::{Dispatch, Need, Next, Server, Ticket};
+/// use flamingopost_core::dispatch::{Dispatch, Need, Action, Server, Ticket};
 /// use flamingopost_core::key::ServerKey;
 ///
 /// let now = Duration::ZERO;
 /// let server = ServerKey::default();
 /// let mut dispatch = Dispatch::default();
 /// dispatch.insert(server, Server::new(true, 2, 2, 2, 4));
-/// dispatch.lead(Some(server));
+/// dispatch.set_leader(Some(server));
 /// let ticket = Ticket {
 ///     id: 1,
-///     need: Need::Lead,
+///     need: Need::Leader,
 ///     priority: 1,
-///     long: false,
+///     opens_transaction: false,
 ///     arrived: now,
 ///     goal: Duration::from_millis(100),
 ///     deadline: Duration::from_secs(1),
 ///     avoid: None,
 /// };
-/// assert_eq!(dispatch.arrive(ticket, now), [Next::Open { server }]);
-/// let lent = Next::Lend { ticket: 1, server, connection: 7 };
-/// assert_eq!(dispatch.opened(server, 7, now), [lent]);
+/// assert_eq!(dispatch.arrive(ticket, now), [Action::Open { server }]);
+/// let assigned = Action::Assign { ticket: 1, server, connection: 7 };
+/// assert_eq!(dispatch.connection_opened(server, 7, now), [assigned]);
 /// ```
 #[derive(Debug, Default)]
 pub struct Dispatch {
@@ -91,15 +91,15 @@
     }
 
     /// Forgets `server`; its idle connections are to be closed.
-    pub fn remove(&mut self, key: ServerKey) -> Vec<Next> {
+    pub fn remove(&mut self, key: ServerKey) -> Vec<Action> {
         if self.leader == Some(key) {
             self.leader = None;
         }
         let Some(mut server) = self.servers.remove(&key) else {
             return Vec::new();
         };
-        let idle = server.take_idle();
-        let close = |connection| Next::Close {
+        let idle = server.drain_idle();
+        let close = |connection| Action::Close {
             server: key,
             connection,
         };
@@ -122,7 +122,7 @@
     }
 
     /// `server` leads from now on, or nobody is known to.
-    pub fn lead(&mut self, server: Option<ServerKey>) {
+    pub fn set_leader(&mut self, server: Option<ServerKey>) {
         self.leader = server;
         self.hold = None;
     }
@@ -150,11 +150,11 @@
     }
 
     /// What was held when the primary's replacement was last heard of.
-    pub fn held(&self) -> Option<Hold> {
+    pub fn current_hold(&self) -> Option<Hold> {
         self.hold
     }
 
-    fn is_held(&self, now: Duration) -> bool {
+    fn is_on_hold(&self, now: Duration) -> bool {
         self.hold
             .is_some_and(|hold| hold.from <= now && now < hold.until)
     }
@@ -165,7 +165,7 @@
     }
 
     /// A request asks for a connection.
-    pub fn arrive(&mut self, ticket: Ticket, now: Duration) -> Vec<Next> {
+    pub fn arrive(&mut self, ticket: Ticket, now: Duration) -> Vec<Action> {
         self.waiting.push(ticket);
         self.run(now)
     }
@@ -176,45 +176,65 @@
     }
 
     /// A new connection to `server` is ready.
-    pub fn opened(&mut self, key: ServerKey, connection: u64, now: Duration) -> Vec<Next> {
+    pub fn connection_opened(
+        &mut self,
+        key: ServerKey,
+        connection: u64,
+        now: Duration,
+    ) -> Vec<Action> {
         let Some(server) = self.servers.get_mut(&key) else {
-            return vec![Next::Close {
+            return vec![Action::Close {
                 server: key,
                 connection,
             }];
         };
-        server.opened(connection, now);
+        server.connection_opened(connection, now);
         self.run(now)
     }
 
     /// No connection to `server` could be opened.
-    pub fn failed(&mut self, key: ServerKey, failure: Failure, now: Duration) -> Vec<Next> {
+    pub fn connect_failed(
+        &mut self,
+        key: ServerKey,
+        failure: Failure,
+        now: Duration,
+    ) -> Vec<Action> {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.failed(failure, now);
+            server.connect_failed(failure, now);
         }
         self.run(now)
     }
 
     /// A lent connection comes back in order.
-    pub fn returned(&mut self, key: ServerKey, connection: u64, now: Duration) -> Vec<Next> {
+    pub fn connection_returned(
+        &mut self,
+        key: ServerKey,
+        connection: u64,
+        now: Duration,
+    ) -> Vec<Action> {
         let usable = match self.servers.get_mut(&key) {
-            Some(server) => server.returned(connection, now),
+            Some(server) => server.connection_returned(connection, now),
             None => false,
         };
-        let mut next = self.run(now);
+        let mut actions = self.run(now);
         if !usable {
-            next.push(Next::Close {
+            actions.push(Action::Close {
                 server: key,
                 connection,
             });
         }
-        next
+        actions
     }
 
     /// A lent connection rests inside a transaction while its caller thinks, or does so no more.
-    pub fn rest(&mut self, key: ServerKey, rests: bool, now: Duration) -> Vec<Next> {
+    pub fn set_idle_in_transaction(
+        &mut self,
+        key: ServerKey,
+        rests: bool,
+        now: Duration,
+    ) -> Vec<Action> {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.rest(rests);
+            server.set_idle_in_transaction(rests);
         }
         match rests {
             true => self.run(now),
@@ -223,106 +243,106 @@
     }
 
     /// A transaction that was lent a connection for it has ended.
-    pub fn ended_long(&mut self, key: ServerKey) {
+    pub fn transaction_ended(&mut self, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.count_long(false);
+            server.count_transaction(false);
         }
     }
 
     /// A server's queue was full.
-    pub fn refused(&mut self, key: ServerKey, now: Duration) {
+    pub fn queue_full(&mut self, key: ServerKey, now: Duration) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.narrow(now);
+            server.shrink_window(now);
         }
     }
 
     /// A lent connection is gone.
-    pub fn lost(&mut self, key: ServerKey, now: Duration) -> Vec<Next> {
+    pub fn connection_lost(&mut self, key: ServerKey, now: Duration) -> Vec<Action> {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.lost();
+            server.connection_lost();
         }
         self.run(now)
     }
 
     /// An idle connection has ended.
-    pub fn ended(&mut self, key: ServerKey, connection: u64) {
+    pub fn idle_connection_closed(&mut self, key: ServerKey, connection: u64) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.forget(connection);
+            server.remove_idle(connection);
         }
     }
 
     /// A replica refused a read because its log lacks a position that a primary had at `at`.
-    pub fn lagged(&mut self, key: ServerKey, at: Duration, now: Duration) {
+    pub fn replica_lagging(&mut self, key: ServerKey, at: Duration, now: Duration) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.lagged(at, now);
+            server.replica_lagging(at, now);
         }
     }
 
     /// Requests whose time is over are refused, and connections nobody needs are given back.
-    pub fn tick(&mut self, now: Duration) -> Vec<Next> {
-        let mut next = Vec::new();
+    pub fn tick(&mut self, now: Duration) -> Vec<Action> {
+        let mut actions = Vec::new();
         for (key, server) in &mut self.servers {
-            let surplus = server.surplus(now, SURPLUS_IDLE);
-            next.extend(surplus.into_iter().map(|connection| Next::Close {
+            let surplus = server.take_surplus(now, SURPLUS_IDLE);
+            actions.extend(surplus.into_iter().map(|connection| Action::Close {
                 server: *key,
                 connection,
             }));
         }
-        next.extend(self.run(now));
-        next.extend(self.warm(now));
-        next
+        actions.extend(self.run(now));
+        actions.extend(self.warm(now));
+        actions
     }
 
     /// Opens the base share of connections ahead of need: a request that has to wait for a
     /// connect pays tens of milliseconds, most of an objective.
-    fn warm(&mut self, now: Duration) -> Vec<Next> {
-        let mut next = Vec::new();
+    fn warm(&mut self, now: Duration) -> Vec<Action> {
+        let mut actions = Vec::new();
         for (key, server) in &mut self.servers {
-            if server.is_cold(now) {
+            if server.needs_warming(now) {
                 server.opening += 1;
-                next.push(Next::Open { server: *key });
+                actions.push(Action::Open { server: *key });
             }
         }
-        next
+        actions
     }
 
-    fn run(&mut self, now: Duration) -> Vec<Next> {
-        let mut next = Vec::new();
+    fn run(&mut self, now: Duration) -> Vec<Action> {
+        let mut actions = Vec::new();
         let mut waiting = std::mem::take(&mut self.waiting);
         // Those that can still be in time go first: served strictly by age, a queue that has
         // once grown past the goal answers everybody late.
-        let turn = self.turn(now);
-        waiting.sort_by_key(|ticket| ticket.order(turn, now));
+        let order = self.order(now);
+        waiting.sort_by_key(|ticket| ticket.queue_key(order, now));
         let mut wanted: BTreeMap<ServerKey, u16> = BTreeMap::new();
         waiting.retain(|ticket| {
             if ticket.deadline <= now {
-                let why = self.unserved(ticket, now);
-                next.push(Next::Refuse {
+                let reason = self.unserved(ticket, now);
+                actions.push(Action::Refuse {
                     ticket: ticket.id,
-                    why,
+                    reason,
                 });
                 return false;
             }
-            match self.place(ticket, &mut wanted, now) {
-                Place::Here(server, connection) => {
-                    next.push(Next::Lend {
+            match self.placement(ticket, &mut wanted, now) {
+                Placement::Assign(server, connection) => {
+                    actions.push(Action::Assign {
                         ticket: ticket.id,
                         server,
                         connection,
                     });
                     false
                 }
-                Place::Open(server) => {
-                    next.push(Next::Open { server });
+                Placement::Open(server) => {
+                    actions.push(Action::Open { server });
                     true
                 }
-                Place::Wait => true,
+                Placement::Wait => true,
             }
         });
         let since = self.queued_since.unwrap_or(now);
         self.queued_since = (!waiting.is_empty()).then_some(since);
         self.waiting = waiting;
-        next
+        actions
     }
 
     /// Who goes first.
@@ -332,10 +352,10 @@
     /// newest, as many as servers bear are in time, and the others would have been late anyhow
     /// (adaptive LIFO). In a model with a quarter too much work, 46 of 250 requests were in time
     /// before and more than 70% since.
-    fn turn(&self, now: Duration) -> Turn {
+    fn order(&self, now: Duration) -> QueueOrder {
         match self.queued_since {
-            Some(since) if now >= since + STANDING => Turn::Newest,
-            _ => Turn::Oldest,
+            Some(since) if now >= since + OVERLOAD_AFTER => QueueOrder::NewestFirst,
+            _ => QueueOrder::OldestFirst,
         }
     }
 
@@ -346,17 +366,17 @@
             .any(|(key, server)| self.may_serve(ticket, *key, server, now));
         match (some, ticket.need) {
             (true, _) => Unserved::Busy,
-            (false, Need::Lead) => Unserved::NoPrimary,
+            (false, Need::Leader) => Unserved::NoPrimary,
             (false, Need::Position { .. }) => Unserved::Lagging,
         }
     }
 
-    fn place(
+    fn placement(
         &mut self,
         ticket: &Ticket,
         wanted: &mut BTreeMap<ServerKey, u16>,
         now: Duration,
-    ) -> Place {
+    ) -> Placement {
         let mut best: Option<(Duration, ServerKey)> = None;
         let mut idle: Option<(Duration, ServerKey)> = None;
         for (key, server) in &self.servers {
@@ -368,21 +388,21 @@
             if smaller(best) {
                 best = Some((cost, *key));
             }
-            if server.may_lend() && smaller(idle) {
+            if server.can_check_out() && smaller(idle) {
                 idle = Some((cost, *key));
             }
         }
         if let Some((_, key)) = idle
             && let Some(server) = self.servers.get_mut(&key)
-            && let Some(connection) = server.lend()
+            && let Some(connection) = server.check_out()
         {
-            if ticket.long {
-                server.count_long(true);
+            if ticket.opens_transaction {
+                server.count_transaction(true);
             }
-            return Place::Here(key, connection);
+            return Placement::Assign(key, connection);
         }
         let Some((_, key)) = best else {
-            return Place::Wait;
+            return Placement::Wait;
         };
         let count = wanted.entry(key).or_default();
         *count += 1;
@@ -391,50 +411,50 @@
             Some(server)
                 if server.opening < *count
                     && server.has_room(server.opening)
-                    && server.may_open(now) =>
+                    && server.can_open(now) =>
             {
                 server.opening += 1;
-                Place::Open(key)
+                Placement::Open(key)
             }
-            _ => Place::Wait,
+            _ => Placement::Wait,
         }
     }
 
     fn may_serve(&self, ticket: &Ticket, key: ServerKey, server: &Server, now: Duration) -> bool {
-        if ticket.long && !server.takes_long(now) {
+        if ticket.opens_transaction && !server.accepts_transaction(now) {
             return false;
         }
         let leads = self.leader == Some(key);
-        if ticket.need == Need::Lead {
+        if ticket.need == Need::Leader {
             // A primary that is leaving serves until another server leads.
-            return leads && !self.is_held(now);
+            return leads && !self.is_on_hold(now);
         }
-        if server.standing != Standing::Serving || ticket.avoid == Some(key) {
+        if server.state != ServerState::Serving || ticket.avoid == Some(key) {
             return false;
         }
         match ticket.need {
-            Need::Lead => leads,
+            Need::Leader => leads,
             Need::Position { position, at } => {
-                let leads = leads && !(self.holds_reads && self.is_held(now));
-                !server.is_broken(now) && (leads || server.may_have(position, at, now))
+                let leads = leads && !(self.holds_reads && self.is_on_hold(now));
+                !server.is_broken(now) && (leads || server.may_have_position(position, at, now))
             }
         }
     }
 
     fn cost(&self, ticket: &Ticket, key: ServerKey, server: &Server) -> Duration {
-        let mut cost = server.expected();
+        let mut cost = server.expected_latency();
         if !server.local {
             cost += REMOTE_COST;
         }
-        if ticket.need != Need::Lead && self.leader == Some(key) {
+        if ticket.need != Need::Leader && self.leader == Some(key) {
             cost += PRIMARY_COST;
         }
         cost
     }
 }
 
-enum Place {
-    Here(ServerKey, u64),
+enum Placement {
+    Assign(ServerKey, u64),
     Open(ServerKey),
     Wait,
 }
--- a/crates/core/src/dispatch/next.rs
+++ b/crates/core/src/dispatch/action.rs
@@ -4,9 +4,9 @@
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Run the request of `ticket` on `connection`.
-    Lend {
+    Assign {
         /// The request.
         ticket: u64,
         /// The server.
@@ -31,7 +31,7 @@
         /// The request.
         ticket: u64,
         /// The reason.
-        why: Unserved,
+        reason: Unserved,
     },
 }
 
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -5,33 +5,33 @@
 use crate::position::Position;
 
 use super::window::Window;
-use super::{BACKOFF, BACKOFF_MOST};
+use super::{BACKOFF_MAX, BACKOFF_MIN};
 
 /// What a server is assumed to take until it was measured.
-pub(super) const FIRST_GUESS: Duration = Duration::from_millis(15);
+pub(super) const INITIAL_LATENCY: Duration = Duration::from_millis(15);
 
 /// Part of a new measurement in the average, as a divisor.
-const SMOOTHING: u32 = 8;
+const SMOOTHING_DIVISOR: u32 = 8;
 
 /// A replica that seems too far behind is tried again after this long: it says itself whether it
 /// has what the read needs, for the price of one round trip.
-const LAG_TRIAL: Duration = Duration::from_millis(200);
+const LAG_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// What a replica is taken to be behind until it was measured.
-const FIRST_LAG: Duration = Duration::from_millis(100);
+const INITIAL_LAG: Duration = Duration::from_millis(100);
 
 /// Added to a measured lag, which moves with each write.
 const LAG_MARGIN: Duration = Duration::from_millis(15);
 
 /// How long a host keeps to its part after another one has asked for connections.
-const SQUEEZE: Duration = Duration::from_millis(1_000);
+const FAIR_SHARE_DURATION: Duration = Duration::from_millis(1_000);
 
 /// How long a server at its limit of connections is not asked for another.
-const FULL_PAUSE: Duration = Duration::from_millis(250);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Whether a server takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerState {
     /// It does.
     Serving,
     /// It is leaving: what runs there goes on, nothing new is sent.
@@ -53,31 +53,31 @@
     /// Whether it is in the availability zone of this host.
     pub local: bool,
     /// Whether it takes requests.
-    pub standing: Standing,
+    pub state: ServerState,
     /// Requests that it runs at once.
     pub slots: u16,
     /// Connections that this host keeps open.
-    pub base: u16,
+    pub base_connections: u16,
     /// Connections that this host may have while nobody lacks one.
-    pub most: u16,
+    pub max_connections: u16,
     /// Connections that this host may have in any case: its part of the server's limit.
-    pub fair: u16,
+    pub fair_connections: u16,
     /// The latest position that its data are known to have reached.
     pub applied: Position,
     pub(super) opening: u16,
     lag: Duration,
-    lag_at: Duration,
-    trial_at: Duration,
+    lag_measured_at: Duration,
+    lag_retry_at: Duration,
     idle: Vec<Idle>,
     busy: u16,
-    average: Duration,
+    average_latency: Duration,
     retry_at: Duration,
     backoff: Duration,
     full_until: Duration,
-    squeezed_until: Duration,
+    fair_share_until: Duration,
     window: Window,
-    resting: u16,
-    long: u16,
+    idle_in_transaction: u16,
+    transactions: u16,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -91,23 +91,23 @@
     pub fn new(local: bool, slots: u16, base: u16, fair: u16, most: u16) -> Server {
         Server {
             local,
-            standing: Standing::Serving,
+            state: ServerState::Serving,
             slots: slots.max(1),
-            base,
-            most: most.max(1),
-            fair: fair.max(1),
-            squeezed_until: Duration::ZERO,
+            base_connections: base,
+            max_connections: most.max(1),
+            fair_connections: fair.max(1),
+            fair_share_until: Duration::ZERO,
             window: Window::default(),
-            resting: 0,
-            long: 0,
+            idle_in_transaction: 0,
+            transactions: 0,
             applied: Position::default(),
             opening: 0,
-            lag: FIRST_LAG,
-            lag_at: Duration::ZERO,
-            trial_at: Duration::ZERO,
+            lag: INITIAL_LAG,
+            lag_measured_at: Duration::ZERO,
+            lag_retry_at: Duration::ZERO,
             idle: Vec::new(),
             busy: 0,
-            average: FIRST_GUESS,
+            average_latency: INITIAL_LATENCY,
             retry_at: Duration::ZERO,
             backoff: Duration::ZERO,
             full_until: Duration::ZERO,
@@ -119,21 +119,21 @@
     ///
     /// The last word counts, also when it is lower: a server may come back from a restart with
     /// less, and a promotion rolls those back that were ahead.
-    pub fn saw(&mut self, position: Position, passed: Option<Duration>, now: Duration) {
+    pub fn record_position(&mut self, position: Position, passed: Option<Duration>, now: Duration) {
         self.applied = position;
         let behind = passed.map_or(Duration::ZERO, |passed| now.saturating_sub(passed));
         self.lag = match behind > self.lag {
             true => behind,
             false => (self.lag * 3 + behind) / 4,
         };
-        self.lag_at = now;
+        self.lag_measured_at = now;
     }
 
     /// The server lacked a position that a primary had at `at`.
-    pub(super) fn lagged(&mut self, at: Duration, now: Duration) {
+    pub(super) fn replica_lagging(&mut self, at: Duration, now: Duration) {
         self.lag = self.lag.max(now.saturating_sub(at));
-        self.lag_at = now;
-        self.trial_at = now + LAG_TRIAL;
+        self.lag_measured_at = now;
+        self.lag_retry_at = now + LAG_RETRY_AFTER;
     }
 
     /// How far the server's data are behind, as a time.
@@ -142,14 +142,15 @@
     }
 
     /// A request took `took` there.
-    pub fn took(&mut self, took: Duration, now: Duration) {
-        self.average = (self.average * (SMOOTHING - 1) + took) / SMOOTHING;
-        self.window.took(took, self.most, now);
+    pub fn record_latency(&mut self, took: Duration, now: Duration) {
+        self.average_latency =
+            (self.average_latency * (SMOOTHING_DIVISOR - 1) + took) / SMOOTHING_DIVISOR;
+        self.window.record_latency(took, self.max_connections, now);
     }
 
     /// How long a request took there lately.
-    pub fn average(&self) -> Duration {
-        self.average
+    pub fn average_latency(&self) -> Duration {
+        self.average_latency
     }
 
     /// Connections that are open or being opened.
@@ -160,42 +161,42 @@
 
     /// Whether connecting failed and the wait before the next attempt is not over.
     pub fn is_broken(&self, now: Duration) -> bool {
-        self.backoff > Duration::ZERO && self.idle.is_empty() && now < self.retry_at + BACKOFF_MOST
+        self.backoff > Duration::ZERO && self.idle.is_empty() && now < self.retry_at + BACKOFF_MAX
     }
 
     pub(super) fn update(&mut self, newer: &Server) {
         self.local = newer.local;
-        self.standing = newer.standing;
+        self.state = newer.state;
         self.slots = newer.slots;
-        self.base = newer.base;
-        self.most = newer.most;
-        self.fair = newer.fair;
+        self.base_connections = newer.base_connections;
+        self.max_connections = newer.max_connections;
+        self.fair_connections = newer.fair_connections;
     }
 
     /// The server's queue was full.
-    pub fn narrow(&mut self, now: Duration) {
-        self.window.refused(now);
+    pub fn shrink_window(&mut self, now: Duration) {
+        self.window.queue_full(now);
     }
 
     /// A connection rests inside a transaction, or does so no more: it takes no slot meanwhile.
-    pub(super) fn rest(&mut self, rests: bool) {
-        self.resting = match rests {
-            true => self.resting.saturating_add(1),
-            false => self.resting.saturating_sub(1),
+    pub(super) fn set_idle_in_transaction(&mut self, rests: bool) {
+        self.idle_in_transaction = match rests {
+            true => self.idle_in_transaction.saturating_add(1),
+            false => self.idle_in_transaction.saturating_sub(1),
         };
     }
 
     /// Whether one more transaction may be opened there. One connection stays for single
     /// statements: with all of them kept by transactions, those wait for as long as callers think.
-    pub(super) fn takes_long(&self, now: Duration) -> bool {
-        self.long + 1 < self.most_at(now).max(2)
+    pub(super) fn accepts_transaction(&self, now: Duration) -> bool {
+        self.transactions + 1 < self.connection_limit(now).max(2)
     }
 
     /// A transaction is opened there, or one has ended.
-    pub(super) fn count_long(&mut self, opened: bool) {
-        self.long = match opened {
-            true => self.long.saturating_add(1),
-            false => self.long.saturating_sub(1),
+    pub(super) fn count_transaction(&mut self, opened: bool) {
+        self.transactions = match opened {
+            true => self.transactions.saturating_add(1),
+            false => self.transactions.saturating_sub(1),
         };
     }
 
@@ -205,7 +206,7 @@
     /// takes a slot of the crowded server for longer than a read does: hosts opened 486 connections
     /// a second, which kept more slots busy than a server has, until it refused connections too.
     pub(super) fn has_room(&self, others: u16) -> bool {
-        self.busy.saturating_sub(self.resting) + others < self.window.size()
+        self.busy.saturating_sub(self.idle_in_transaction) + others < self.window.size()
     }
 
     /// Another host lacks connections to the server: those above this host's part are given
@@ -213,24 +214,24 @@
     ///
     /// Without it, hosts that came first keep what they have while the server is at its limit,
     /// and one that has a single connection serves a queue of a hundred with it.
-    pub fn squeeze(&mut self, now: Duration) {
-        self.squeezed_until = now + SQUEEZE;
+    pub fn limit_to_fair_share(&mut self, now: Duration) {
+        self.fair_share_until = now + FAIR_SHARE_DURATION;
     }
 
     /// Whether this host has less than its part of the server's connections; those that are only
     /// being opened may be refused as well.
-    pub fn is_short(&self) -> bool {
-        self.connections().saturating_sub(self.opening) < self.fair
+    pub fn is_below_fair_share(&self) -> bool {
+        self.connections().saturating_sub(self.opening) < self.fair_connections
     }
 
-    fn most_at(&self, now: Duration) -> u16 {
-        match now < self.squeezed_until {
-            true => self.fair,
-            false => self.most,
+    fn connection_limit(&self, now: Duration) -> u16 {
+        match now < self.fair_share_until {
+            true => self.fair_connections,
+            false => self.max_connections,
         }
     }
 
-    pub(super) fn opened(&mut self, connection: u64, now: Duration) {
+    pub(super) fn connection_opened(&mut self, connection: u64, now: Duration) {
         self.opening = self.opening.saturating_sub(1);
         self.backoff = Duration::ZERO;
         self.idle.push(Idle {
@@ -239,20 +240,20 @@
         });
     }
 
-    pub(super) fn failed(&mut self, failure: Failure, now: Duration) {
+    pub(super) fn connect_failed(&mut self, failure: Failure, now: Duration) {
         self.opening = self.opening.saturating_sub(1);
         match failure {
-            Failure::Full => self.full_until = now + FULL_PAUSE,
+            Failure::Full => self.full_until = now + FULL_RETRY_AFTER,
             Failure::Unreachable => {
-                self.backoff = (self.backoff * 2).clamp(BACKOFF, BACKOFF_MOST);
+                self.backoff = (self.backoff * 2).clamp(BACKOFF_MIN, BACKOFF_MAX);
                 self.retry_at = now + self.backoff;
             }
         }
     }
 
-    pub(super) fn returned(&mut self, connection: u64, now: Duration) -> bool {
+    pub(super) fn connection_returned(&mut self, connection: u64, now: Duration) -> bool {
         self.busy = self.busy.saturating_sub(1);
-        if self.standing == Standing::Leaving || self.connections() >= self.most_at(now) {
+        if self.state == ServerState::Leaving || self.connections() >= self.connection_limit(now) {
             return false;
         }
         self.idle.push(Idle {
@@ -262,41 +263,48 @@
         true
     }
 
-    pub(super) fn lost(&mut self) {
+    pub(super) fn connection_lost(&mut self) {
         self.busy = self.busy.saturating_sub(1);
     }
 
-    pub(super) fn forget(&mut self, connection: u64) {
+    pub(super) fn remove_idle(&mut self, connection: u64) {
         self.idle.retain(|idle| idle.connection != connection);
     }
 
-    pub(super) fn lend(&mut self) -> Option<u64> {
+    pub(super) fn check_out(&mut self) -> Option<u64> {
         let idle = self.idle.pop()?;
         self.busy += 1;
         Some(idle.connection)
     }
 
-    pub(super) fn may_lend(&self) -> bool {
+    pub(super) fn can_check_out(&self) -> bool {
         !self.idle.is_empty() && self.has_room(0)
     }
 
-    pub(super) fn take_idle(&mut self) -> Vec<u64> {
+    pub(super) fn drain_idle(&mut self) -> Vec<u64> {
         let idle = std::mem::take(&mut self.idle);
         idle.into_iter().map(|idle| idle.connection).collect()
     }
 
-    pub(super) fn may_open(&self, now: Duration) -> bool {
-        self.connections() < self.most_at(now) && now >= self.retry_at && now >= self.full_until
+    pub(super) fn can_open(&self, now: Duration) -> bool {
+        self.connections() < self.connection_limit(now)
+            && now >= self.retry_at
+            && now >= self.full_until
     }
 
-    pub(super) fn is_cold(&self, now: Duration) -> bool {
-        self.standing == Standing::Serving
-            && self.connections() < self.base
+    pub(super) fn needs_warming(&self, now: Duration) -> bool {
+        self.state == ServerState::Serving
+            && self.connections() < self.base_connections
             && self.opening == 0
-            && self.may_open(now)
+            && self.can_open(now)
     }
 
-    pub(super) fn may_have(&self, position: Position, at: Duration, now: Duration) -> bool {
+    pub(super) fn may_have_position(
+        &self,
+        position: Position,
+        at: Duration,
+        now: Duration,
+    ) -> bool {
         if self.applied >= position {
             return true;
         }
@@ -306,20 +314,20 @@
             return false;
         }
         let caught_up = now >= at + self.lag + LAG_MARGIN;
-        now >= self.trial_at && (caught_up || now >= self.lag_at + LAG_TRIAL)
+        now >= self.lag_retry_at && (caught_up || now >= self.lag_measured_at + LAG_RETRY_AFTER)
     }
 
-    pub(super) fn expected(&self) -> Duration {
-        self.average * (u32::from(self.busy) + 1) / u32::from(self.slots)
+    pub(super) fn expected_latency(&self) -> Duration {
+        self.average_latency * (u32::from(self.busy) + 1) / u32::from(self.slots)
     }
 
-    pub(super) fn surplus(&mut self, now: Duration, patience: Duration) -> Vec<u64> {
+    pub(super) fn take_surplus(&mut self, now: Duration, patience: Duration) -> Vec<u64> {
         let mut surplus = Vec::new();
-        let leaving = self.standing == Standing::Leaving;
+        let leaving = self.state == ServerState::Leaving;
         // The longest idle stand first: lending takes from the other end.
         while let Some(first) = self.idle.first() {
-            let idle = self.connections() > self.base && now >= first.since + patience;
-            let over = idle || self.connections() > self.most_at(now);
+            let idle = self.connections() > self.base_connections && now >= first.since + patience;
+            let over = idle || self.connections() > self.connection_limit(now);
             if !over && !leaving {
                 break;
             }
--- a/crates/core/src/dispatch/ticket.rs
+++ b/crates/core/src/dispatch/ticket.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Need {
     /// Only the one that leads.
-    Lead,
+    Leader,
     /// Any whose log contains the position.
     Position {
         /// The position.
@@ -22,11 +22,11 @@
 
 /// Who goes first among requests that are alike otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum QueueOrder {
     /// The one that has waited longest.
-    Oldest,
+    OldestFirst,
     /// The one that came last.
-    Newest,
+    NewestFirst,
 }
 
 /// A request that waits for a connection.
@@ -39,7 +39,7 @@
     /// Requests with a lower number go first.
     pub priority: u8,
     /// Whether it opens a transaction, which keeps its connection for many round trips.
-    pub long: bool,
+    pub opens_transaction: bool,
     /// When the caller sent it.
     pub arrived: Duration,
     /// When it should be answered.
@@ -55,11 +55,16 @@
     ///
     /// Transactions wait behind single statements of their priority: while connections are
     /// short, one of them takes the time of dozens of the others.
-    pub(super) fn order(&self, turn: Turn, now: Duration) -> (bool, u8, bool, Duration) {
-        let place = match turn {
-            Turn::Oldest => self.arrived,
-            Turn::Newest => Duration::MAX - self.arrived,
+    pub(super) fn queue_key(&self, order: QueueOrder, now: Duration) -> (bool, u8, bool, Duration) {
+        let place = match order {
+            QueueOrder::OldestFirst => self.arrived,
+            QueueOrder::NewestFirst => Duration::MAX - self.arrived,
         };
-        (now >= self.goal, self.priority, self.long, place)
+        (
+            now >= self.goal,
+            self.priority,
+            self.opens_transaction,
+            place,
+        )
     }
 }
--- a/crates/core/tests/dispatch/crowd.rs
+++ b/crates/core/tests/dispatch/crowd.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{Dispatch, Need, Next, Server};
+use flamingopost_core::dispatch::{Action, Dispatch, Need, Server};
 use flamingopost_core::key::ServerKey;
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -77,7 +77,7 @@
         let host = |_| {
             let mut dispatch = Dispatch::default();
             dispatch.insert(server, Server::new(true, SLOTS as u16, 3, MOST, MOST));
-            dispatch.lead(Some(server));
+            dispatch.set_leader(Some(server));
             Host {
                 dispatch,
                 served: 0,
@@ -119,18 +119,20 @@
         let (server, now) = (self.server, self.now);
         for _ in 0..std::mem::take(&mut self.hosts[host].opening) {
             self.id += 1;
-            let next = self.hosts[host].dispatch.opened(server, self.id, now);
-            self.apply(host, next);
+            let actions = self.hosts[host]
+                .dispatch
+                .connection_opened(server, self.id, now);
+            self.apply(host, actions);
         }
         let all = SLOTS as f64 / WORK * load;
         if self.rng.random_bool(all / self.hosts.len() as f64) {
             self.id += 1;
-            let ticket = ticket(self.id, Need::Lead, now);
-            let next = self.hosts[host].dispatch.arrive(ticket, now);
-            self.apply(host, next);
+            let ticket = ticket(self.id, Need::Leader, now);
+            let actions = self.hosts[host].dispatch.arrive(ticket, now);
+            self.apply(host, actions);
         }
-        let next = self.hosts[host].dispatch.tick(now);
-        self.apply(host, next);
+        let actions = self.hosts[host].dispatch.tick(now);
+        self.apply(host, actions);
     }
 
     /// The server answers what it has run.
@@ -145,10 +147,12 @@
             let host = &mut self.hosts[job.host];
             host.served += 1;
             if let Some(server) = host.dispatch.server_mut(self.server) {
-                server.took(now - job.sent, now);
+                server.record_latency(now - job.sent, now);
             }
-            let next = host.dispatch.returned(self.server, job.connection, now);
-            self.apply(job.host, next);
+            let actions = host
+                .dispatch
+                .connection_returned(self.server, job.connection, now);
+            self.apply(job.host, actions);
         }
     }
 
@@ -163,16 +167,16 @@
         }
     }
 
-    fn apply(&mut self, host: usize, next: Vec<Next>) {
-        for next in next {
-            match next {
-                Next::Lend { connection, .. } => self.queue.push_back(Job {
+    fn apply(&mut self, host: usize, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Assign { connection, .. } => self.queue.push_back(Job {
                     host,
                     connection,
                     sent: self.now,
                 }),
-                Next::Open { .. } => self.hosts[host].opening += 1,
-                Next::Close { .. } | Next::Refuse { .. } => {}
+                Action::Open { .. } => self.hosts[host].opening += 1,
+                Action::Close { .. } | Action::Refuse { .. } => {}
             }
         }
     }
--- a/crates/core/tests/dispatch/load.rs
+++ b/crates/core/tests/dispatch/load.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{Dispatch, Need, Next};
+use flamingopost_core::dispatch::{Action, Dispatch, Need};
 use flamingopost_core::key::ServerKey;
 
-use super::{dispatch, lent, ms, ticket};
+use super::{assigned, dispatch, ms, ticket};
 
 /// A server refuses because its queue is full. Sent again at once, the refused requests keep the
 /// queue full and nothing else gets through: the window narrows, and widens with answers.
@@ -14,16 +14,16 @@
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let leader = keys[0];
-    dispatch.opened(leader, 10, now);
-    dispatch.refused(leader, now);
-    assert!(lent(&dispatch.arrive(ticket(1, Need::Lead, now), now)).is_some());
+    dispatch.connection_opened(leader, 10, now);
+    dispatch.queue_full(leader, now);
+    assert!(assigned(&dispatch.arrive(ticket(1, Need::Leader, now), now)).is_some());
     assert_eq!(
-        lent(&dispatch.arrive(ticket(2, Need::Lead, now), now)),
+        assigned(&dispatch.arrive(ticket(2, Need::Leader, now), now)),
         None
     );
     let server = dispatch.server_mut(leader).unwrap();
-    (0..200).for_each(|_| server.took(ms(15), now));
-    assert!(lent(&dispatch.tick(now + ms(50))).is_some());
+    (0..200).for_each(|_| server.record_latency(ms(15), now));
+    assert!(assigned(&dispatch.tick(now + ms(50))).is_some());
 }
 
 /// Replicas fell behind for six seconds, and the primary's queue filled up. Hosts whose window had
@@ -34,14 +34,14 @@
 fn a_narrow_window_opens_no_connections() {
     let now = ms(1_000);
     let (mut dispatch, keys) = dispatch(now);
-    dispatch.arrive(ticket(1, Need::Lead, now), now);
-    dispatch.refused(keys[0], now);
+    dispatch.arrive(ticket(1, Need::Leader, now), now);
+    dispatch.queue_full(keys[0], now);
     for id in 2..6 {
-        let next = dispatch.arrive(ticket(id, Need::Lead, now), now);
-        assert_eq!(next, [], "the window is full, not the connections");
+        let actions = dispatch.arrive(ticket(id, Need::Leader, now), now);
+        assert_eq!(actions, [], "the window is full, not the connections");
     }
-    let next = dispatch.returned(keys[0], 1, now);
-    assert_eq!(lent(&next), Some(keys[0]), "the next one runs");
+    let actions = dispatch.connection_returned(keys[0], 1, now);
+    assert_eq!(assigned(&actions), Some(keys[0]), "the next one runs");
 }
 
 /// Both replicas of a service were behind for half a minute, and its primary got a sixth more work
@@ -56,7 +56,7 @@
         for _ in 0..count {
             now += ms(10);
             let server = dispatch.server_mut(keys[0]).expect("it is known");
-            server.took(ms(took), now);
+            server.record_latency(ms(took), now);
         }
         window(dispatch, keys[0], now)
     };
@@ -71,12 +71,12 @@
 /// How many requests run at `server` at once, of as many as the host has connections for.
 fn window(dispatch: &mut Dispatch, server: ServerKey, now: Duration) -> usize {
     for connection in 100..103 {
-        dispatch.opened(server, connection, now);
+        dispatch.connection_opened(server, connection, now);
     }
     let mut running = Vec::new();
     for id in 1_000..1_004 {
-        for next in dispatch.arrive(ticket(id, Need::Lead, now), now) {
-            if let Next::Lend { connection, .. } = next {
+        for action in dispatch.arrive(ticket(id, Need::Leader, now), now) {
+            if let Action::Assign { connection, .. } = action {
                 running.push(connection);
             }
         }
@@ -86,10 +86,10 @@
         dispatch.cancel(id);
     }
     for connection in running {
-        dispatch.returned(server, connection, now);
+        dispatch.connection_returned(server, connection, now);
     }
     for connection in 100..103 {
-        dispatch.ended(server, connection);
+        dispatch.idle_connection_closed(server, connection);
     }
     count
 }
@@ -101,14 +101,17 @@
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let leader = keys[0];
-    dispatch.refused(leader, now);
-    assert!(lent(&dispatch.arrive(ticket(1, Need::Lead, now), now)).is_some());
-    dispatch.opened(leader, 10, now);
+    dispatch.queue_full(leader, now);
+    assert!(assigned(&dispatch.arrive(ticket(1, Need::Leader, now), now)).is_some());
+    dispatch.connection_opened(leader, 10, now);
     assert_eq!(
-        lent(&dispatch.arrive(ticket(2, Need::Lead, now), now)),
+        assigned(&dispatch.arrive(ticket(2, Need::Leader, now), now)),
         None
     );
-    assert_eq!(lent(&dispatch.rest(leader, true, now)), Some(leader));
+    assert_eq!(
+        assigned(&dispatch.set_idle_in_transaction(leader, true, now)),
+        Some(leader)
+    );
 }
 
 /// A primary got a sixth more work than it bears. Served by age, each bid waited until just before
@@ -122,21 +125,21 @@
     for tick in 0..2_000 {
         let now = now + ms(tick);
         // One connection, 10 ms a request, one request each 8 ms, a goal of 100 ms.
-        let mut next = Vec::new();
+        let mut actions = Vec::new();
         if tick % 8 == 0 {
             asked += 1;
-            next.extend(dispatch.arrive(ticket(tick, Need::Lead, now), now));
+            actions.extend(dispatch.arrive(ticket(tick, Need::Leader, now), now));
         }
         if let Some((connection, until)) = running.pop() {
             match now >= until {
-                true => next.extend(dispatch.returned(keys[0], connection, now)),
+                true => actions.extend(dispatch.connection_returned(keys[0], connection, now)),
                 false => running.push((connection, until)),
             }
         }
-        for next in next {
-            if let Next::Lend {
+        for action in actions {
+            if let Action::Assign {
                 ticket, connection, ..
-            } = next
+            } = action
             {
                 running.push((connection, now + ms(10)));
                 let arrived = ms(1_000) + ms(ticket);
--- a/crates/core/tests/dispatch/main.rs
+++ b/crates/core/tests/dispatch/main.rs
@@ -6,7 +6,9 @@
 
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{Dispatch, Hold, Need, Next, Server, Standing, Ticket, Unserved};
+use flamingopost_core::dispatch::{
+    Action, Dispatch, Hold, Need, Server, ServerState, Ticket, Unserved,
+};
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
@@ -33,7 +35,7 @@
         id,
         need,
         priority: 1,
-        long: false,
+        opens_transaction: false,
         arrived,
         goal: arrived + ms(100),
         deadline: arrived + ms(800),
@@ -56,21 +58,21 @@
     for (index, key) in keys.into_iter().enumerate() {
         dispatch.insert(key, Server::new(index == 1, 2, 1, 2, 4));
     }
-    dispatch.lead(Some(keys[0]));
+    dispatch.set_leader(Some(keys[0]));
     assert_eq!(
         dispatch.tick(now).len(),
         3,
         "one connection each is opened ahead"
     );
     for (index, key) in keys.into_iter().enumerate() {
-        dispatch.opened(key, index as u64 + 1, now);
+        dispatch.connection_opened(key, index as u64 + 1, now);
     }
     (dispatch, keys)
 }
 
-fn lent(next: &[Next]) -> Option<ServerKey> {
-    next.iter().find_map(|next| match next {
-        Next::Lend { server, .. } => Some(*server),
+fn assigned(actions: &[Action]) -> Option<ServerKey> {
+    actions.iter().find_map(|action| match action {
+        Action::Assign { server, .. } => Some(*server),
         _ => None,
     })
 }
@@ -83,10 +85,10 @@
     let (mut dispatch, keys) = dispatch(now);
     for key in &keys[1..] {
         let server = dispatch.server_mut(*key).unwrap();
-        server.saw(position(1, 50), None, now);
+        server.record_position(position(1, 50), None, now);
     }
-    let next = dispatch.arrive(ticket(1, after(40, now - ms(900)), now), now);
-    assert_eq!(lent(&next), Some(keys[1]));
+    let actions = dispatch.arrive(ticket(1, after(40, now - ms(900)), now), now);
+    assert_eq!(assigned(&actions), Some(keys[1]));
 }
 
 /// Right after a promotion a read asks for the start of the new term, and servers take every log
@@ -97,21 +99,21 @@
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let behind = dispatch.server_mut(keys[1]).unwrap();
-    behind.saw(position(1, 105), None, now - ms(900));
+    behind.record_position(position(1, 105), None, now - ms(900));
     let start = Need::Position {
         position: position(2, 0),
         at: now - ms(2_000),
     };
-    let next = dispatch.arrive(ticket(1, start, now), now);
+    let actions = dispatch.arrive(ticket(1, start, now), now);
     assert_eq!(
-        lent(&next),
+        assigned(&actions),
         Some(keys[0]),
         "only the primary is sure to be there"
     );
     let there = dispatch.server_mut(keys[1]).unwrap();
-    there.saw(position(2, 0), None, now);
-    let next = dispatch.arrive(ticket(2, start, now), now);
-    assert_eq!(lent(&next), Some(keys[1]));
+    there.record_position(position(2, 0), None, now);
+    let actions = dispatch.arrive(ticket(2, start, now), now);
+    assert_eq!(assigned(&actions), Some(keys[1]));
 }
 
 /// A replica lags by seconds. Each read that it refuses costs a round trip, so after the first it
@@ -120,11 +122,11 @@
 fn a_replica_that_refused_for_lag_is_left_alone() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
-    dispatch.lagged(keys[1], now - ms(1_500), now);
-    dispatch.lagged(keys[2], now - ms(1_500), now);
+    dispatch.replica_lagging(keys[1], now - ms(1_500), now);
+    dispatch.replica_lagging(keys[2], now - ms(1_500), now);
     let soon = now + ms(30);
-    let next = dispatch.arrive(ticket(1, after(40, now - ms(1_510)), soon), soon);
-    assert_eq!(lent(&next), Some(keys[0]));
+    let actions = dispatch.arrive(ticket(1, after(40, now - ms(1_510)), soon), soon);
+    assert_eq!(assigned(&actions), Some(keys[0]));
 }
 
 /// A queue has once grown past the goal. Served by age alone, everybody after that would be late
@@ -133,15 +135,15 @@
 fn requests_in_time_go_before_late_ones() {
     let start = ms(5_000);
     let (mut dispatch, keys) = dispatch(start);
-    let next = dispatch.arrive(ticket(1, Need::Lead, start), start);
-    assert_eq!(lent(&next), Some(keys[0]));
-    let more = dispatch.arrive(ticket(2, Need::Lead, start), start);
-    assert_eq!(lent(&more), None);
+    let actions = dispatch.arrive(ticket(1, Need::Leader, start), start);
+    assert_eq!(assigned(&actions), Some(keys[0]));
+    let more = dispatch.arrive(ticket(2, Need::Leader, start), start);
+    assert_eq!(assigned(&more), None);
     let later = start + ms(150);
-    dispatch.arrive(ticket(3, Need::Lead, later), later);
-    let next = dispatch.returned(keys[0], 1, later);
-    let first = next.iter().find_map(|next| match next {
-        Next::Lend { ticket, .. } => Some(*ticket),
+    dispatch.arrive(ticket(3, Need::Leader, later), later);
+    let actions = dispatch.connection_returned(keys[0], 1, later);
+    let first = actions.iter().find_map(|action| match action {
+        Action::Assign { ticket, .. } => Some(*ticket),
         _ => None,
     });
     assert_eq!(first, Some(3));
@@ -153,11 +155,11 @@
 fn a_request_that_cannot_be_served_is_refused_at_its_deadline() {
     let now = ms(5_000);
     let (mut dispatch, _) = dispatch(now);
-    dispatch.lead(None);
-    assert_eq!(dispatch.arrive(ticket(1, Need::Lead, now), now), []);
-    let refused = Next::Refuse {
+    dispatch.set_leader(None);
+    assert_eq!(dispatch.arrive(ticket(1, Need::Leader, now), now), []);
+    let refused = Action::Refuse {
         ticket: 1,
-        why: Unserved::NoPrimary,
+        reason: Unserved::NoPrimary,
     };
     assert!(dispatch.tick(now + ms(800)).contains(&refused));
 }
@@ -172,9 +174,9 @@
         from: now,
         until: now + ms(300),
     });
-    assert_eq!(dispatch.arrive(ticket(1, Need::Lead, now), now), []);
-    dispatch.lead(Some(keys[1]));
-    assert_eq!(lent(&dispatch.tick(now + ms(10))), Some(keys[1]));
+    assert_eq!(dispatch.arrive(ticket(1, Need::Leader, now), now), []);
+    dispatch.set_leader(Some(keys[1]));
+    assert_eq!(assigned(&dispatch.tick(now + ms(10))), Some(keys[1]));
 }
 
 /// A host has just started, and waits with writes until it has asked the first primary that it
@@ -191,11 +193,11 @@
     let (check, change) = (hold(350), hold(1_600));
     dispatch.hold(check);
     dispatch.hold(change);
-    assert_eq!(dispatch.arrive(ticket(1, Need::Lead, now), now), []);
+    assert_eq!(dispatch.arrive(ticket(1, Need::Leader, now), now), []);
     dispatch.release(check);
-    assert_eq!(lent(&dispatch.tick(now + ms(10))), None);
+    assert_eq!(assigned(&dispatch.tick(now + ms(10))), None);
     dispatch.release(change);
-    assert_eq!(lent(&dispatch.tick(now + ms(20))), Some(keys[0]));
+    assert_eq!(assigned(&dispatch.tick(now + ms(20))), Some(keys[0]));
 }
 
 /// A host hears of a newer primary that it did not expect, and does not know yet whether that has its log.
@@ -214,16 +216,16 @@
         position: position(2, 0),
         at: now,
     };
-    assert_eq!(lent(&dispatch.arrive(ticket(1, start, now), now)), None);
+    assert_eq!(assigned(&dispatch.arrive(ticket(1, start, now), now)), None);
     let old = after(40, now - ms(400));
     let replica = dispatch.server_mut(keys[1]).unwrap();
-    replica.saw(position(1, 40), None, now);
+    replica.record_position(position(1, 40), None, now);
     assert_eq!(
-        lent(&dispatch.arrive(ticket(2, old, now), now)),
+        assigned(&dispatch.arrive(ticket(2, old, now), now)),
         Some(keys[1])
     );
     dispatch.release(hold);
-    assert_eq!(lent(&dispatch.tick(now + ms(10))), Some(keys[0]));
+    assert_eq!(assigned(&dispatch.tick(now + ms(10))), Some(keys[0]));
 }
 
 /// Three hosts hold twelve of a server's sixteen connections; a fourth has one and a queue of a
@@ -234,14 +236,17 @@
     let (mut dispatch, keys) = dispatch(now);
     let leader = keys[0];
     for connection in 10..13 {
-        dispatch.opened(leader, connection, now);
+        dispatch.connection_opened(leader, connection, now);
     }
     assert_eq!(dispatch.servers()[&leader].connections(), 4);
-    dispatch.server_mut(leader).unwrap().squeeze(now);
+    dispatch
+        .server_mut(leader)
+        .unwrap()
+        .limit_to_fair_share(now);
     let closed = dispatch.tick(now);
     let closed = closed
         .iter()
-        .filter(|next| matches!(next, Next::Close { .. }));
+        .filter(|action| matches!(action, Action::Close { .. }));
     assert_eq!(closed.count(), 2);
     assert_eq!(dispatch.servers()[&leader].connections(), 2);
 }
@@ -255,12 +260,12 @@
     let leader = keys()[0];
     let mut dispatch = Dispatch::default();
     dispatch.insert(leader, Server::new(true, 2, 1, 2, 4));
-    dispatch.lead(Some(leader));
+    dispatch.set_leader(Some(leader));
     for id in 1..=2 {
-        dispatch.arrive(ticket(id, Need::Lead, now), now);
+        dispatch.arrive(ticket(id, Need::Leader, now), now);
     }
     assert_eq!(dispatch.servers()[&leader].connections(), 2);
-    assert!(dispatch.servers()[&leader].is_short());
+    assert!(dispatch.servers()[&leader].is_below_fair_share());
 }
 
 /// Clerks open transactions and think inside them until every connection is kept. Single bids then
@@ -271,19 +276,22 @@
     let (mut dispatch, keys) = dispatch(now);
     let leader = keys[0];
     for connection in 10..13 {
-        dispatch.opened(leader, connection, now);
+        dispatch.connection_opened(leader, connection, now);
     }
     for id in 1..=4 {
-        let mut transaction = ticket(id, Need::Lead, now);
-        transaction.long = true;
-        let next = dispatch.arrive(transaction, now);
-        assert_eq!(lent(&next).is_some(), id < 4, "transaction {id}");
-        dispatch.rest(leader, true, now);
+        let mut transaction = ticket(id, Need::Leader, now);
+        transaction.opens_transaction = true;
+        let actions = dispatch.arrive(transaction, now);
+        assert_eq!(assigned(&actions).is_some(), id < 4, "transaction {id}");
+        dispatch.set_idle_in_transaction(leader, true, now);
     }
-    let next = dispatch.arrive(ticket(5, Need::Lead, now), now);
-    assert_eq!(lent(&next), Some(leader));
-    dispatch.ended_long(leader);
-    assert_eq!(lent(&dispatch.returned(leader, 10, now)), Some(leader));
+    let actions = dispatch.arrive(ticket(5, Need::Leader, now), now);
+    assert_eq!(assigned(&actions), Some(leader));
+    dispatch.transaction_ended(leader);
+    assert_eq!(
+        assigned(&dispatch.connection_returned(leader, 10, now)),
+        Some(leader)
+    );
 }
 
 /// A server that is leaving gets no reads, and its idle connections close; as primary it takes
@@ -294,11 +302,11 @@
     let (mut dispatch, keys) = dispatch(now);
     for key in [keys[0], keys[1]] {
         let mut leaving = Server::new(true, 2, 1, 2, 4);
-        leaving.standing = Standing::Leaving;
+        leaving.state = ServerState::Leaving;
         dispatch.insert(key, leaving);
     }
     let read = dispatch.arrive(ticket(1, after(1, ms(0)), now), now);
-    assert_eq!(lent(&read), Some(keys[2]));
-    let write = dispatch.arrive(ticket(2, Need::Lead, now), now);
-    assert_eq!(lent(&write), Some(keys[0]));
+    assert_eq!(assigned(&read), Some(keys[2]));
+    let write = dispatch.arrive(ticket(2, Need::Leader, now), now);
+    assert_eq!(assigned(&write), Some(keys[0]));
 }
--- a/crates/core/tests/dispatch/random.rs
+++ b/crates/core/tests/dispatch/random.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{Dispatch, Failure, Need, Next, Server};
+use flamingopost_core::dispatch::{Action, Dispatch, Failure, Need, Server};
 use flamingopost_core::key::ServerKey;
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -58,13 +58,13 @@
     fn play(&mut self) {
         for _ in 0..600 {
             self.now += ms(self.rng.random_range(0..25));
-            let next = self.step();
-            self.apply(next);
+            let actions = self.step();
+            self.apply(actions);
         }
         // Everything that still waits is refused in the end.
         self.now += ms(2_000);
-        let next = self.dispatch.tick(self.now);
-        self.apply(next);
+        let actions = self.dispatch.tick(self.now);
+        self.apply(actions);
         assert!(
             self.waiting.is_empty(),
             "seed {}: {:?}",
@@ -78,7 +78,7 @@
         self.next_id
     }
 
-    fn step(&mut self) -> Vec<Next> {
+    fn step(&mut self) -> Vec<Action> {
         let key = self.keys[self.rng.random_range(0..3)];
         match self.rng.random_range(0..12) {
             0..=3 => self.arrive(),
@@ -86,49 +86,54 @@
             6 | 7 => self.finish(),
             8 => {
                 let leader = self.rng.random_bool(0.8).then_some(key);
-                self.dispatch.lead(leader);
+                self.dispatch.set_leader(leader);
                 self.dispatch.tick(self.now)
             }
             9 => {
                 let server = self.dispatch.server_mut(key).unwrap();
-                server.saw(position(1, self.rng.random_range(0..60)), None, self.now);
+                server.record_position(position(1, self.rng.random_range(0..60)), None, self.now);
                 Vec::new()
             }
             10 => {
-                self.dispatch.refused(key, self.now);
-                self.dispatch.server_mut(key).unwrap().squeeze(self.now);
+                self.dispatch.queue_full(key, self.now);
+                self.dispatch
+                    .server_mut(key)
+                    .unwrap()
+                    .limit_to_fair_share(self.now);
                 Vec::new()
             }
             _ => self.dispatch.tick(self.now),
         }
     }
 
-    fn arrive(&mut self) -> Vec<Next> {
+    fn arrive(&mut self) -> Vec<Action> {
         let id = self.id();
         let need = match self.rng.random_bool(0.5) {
-            true => Need::Lead,
+            true => Need::Leader,
             false => after(self.rng.random_range(1..60), self.now - ms(500)),
         };
         self.waiting.insert(id, need);
         self.dispatch.arrive(ticket(id, need, self.now), self.now)
     }
 
-    fn answer_connect(&mut self) -> Vec<Next> {
+    fn answer_connect(&mut self) -> Vec<Action> {
         let Some(key) = self.opening.pop() else {
             return Vec::new();
         };
         match self.rng.random_range(0..4) {
-            0 => self.dispatch.failed(key, Failure::Full, self.now),
-            1 => self.dispatch.failed(key, Failure::Unreachable, self.now),
+            0 => self.dispatch.connect_failed(key, Failure::Full, self.now),
+            1 => self
+                .dispatch
+                .connect_failed(key, Failure::Unreachable, self.now),
             _ => {
                 let connection = self.id();
                 self.connections.insert(connection, (key, None));
-                self.dispatch.opened(key, connection, self.now)
+                self.dispatch.connection_opened(key, connection, self.now)
             }
         }
     }
 
-    fn finish(&mut self) -> Vec<Next> {
+    fn finish(&mut self) -> Vec<Action> {
         let busy = self
             .connections
             .iter()
@@ -138,16 +143,16 @@
         };
         if self.rng.random_bool(0.2) {
             self.connections.remove(&connection);
-            return self.dispatch.lost(key, self.now);
+            return self.dispatch.connection_lost(key, self.now);
         }
         self.connections.insert(connection, (key, None));
-        self.dispatch.returned(key, connection, self.now)
+        self.dispatch.connection_returned(key, connection, self.now)
     }
 
-    fn apply(&mut self, next: Vec<Next>) {
-        for next in next {
-            match next {
-                Next::Lend {
+    fn apply(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Assign {
                     ticket,
                     server,
                     connection,
@@ -157,20 +162,20 @@
                         .remove(&ticket)
                         .expect("lent to one that waits");
                     assert!(self.done.insert(ticket), "seed {}: served twice", self.seed);
-                    if need == Need::Lead {
+                    if need == Need::Leader {
                         assert_eq!(self.dispatch.leader(), Some(server), "seed {}", self.seed);
                     }
                     let of = self.connections.get_mut(&connection).expect("it exists");
                     assert_eq!(*of, (server, None), "seed {}: one request each", self.seed);
                     of.1 = Some(ticket);
                 }
-                Next::Open { server } => self.opening.push(server),
-                Next::Close { connection, .. } => {
+                Action::Open { server } => self.opening.push(server),
+                Action::Close { connection, .. } => {
                     let closed = self.connections.remove(&connection);
                     let idle = closed.is_some_and(|(_, ticket)| ticket.is_none());
                     assert!(idle, "seed {}: only idle ones close", self.seed);
                 }
-                Next::Refuse { ticket, .. } => {
+                Action::Refuse { ticket, .. } => {
                     assert!(self.waiting.remove(&ticket).is_some(), "seed {}", self.seed);
                 }
             }
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flamingopost_core::dispatch::Standing;
+use flamingopost_core::dispatch::ServerState;
 use flamingopost_core::epoch::Epoch;
 use flamingopost_core::key::{HostKey, ServerKey};
 use flamingopost_core::leader::Role;
@@ -295,7 +295,7 @@
     ) {
         let synchronous = self.fleet.is_synchronous(&service.name);
         for (target, standing) in service.targets() {
-            if standing != Standing::Serving && !synchronous {
+            if standing != ServerState::Serving && !synchronous {
                 continue;
             }
             let (election, service) = (Rc::clone(self), Rc::clone(service));
@@ -443,7 +443,7 @@
         // One that is leaving still receives, and may be the only one to have a commit.
         let candidates = targets
             .iter()
-            .filter(|(_, standing)| synchronous || *standing == Standing::Serving);
+            .filter(|(_, standing)| synchronous || *standing == ServerState::Serving);
         View {
             leader: service.leader(),
             term: service.term(),
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{self, Dispatch, Need, Standing, Ticket, Unserved};
+use flamingopost_core::dispatch::{self, Dispatch, Need, ServerState, Ticket, Unserved};
 use flamingopost_core::extent::Extent;
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
@@ -187,7 +187,7 @@
     pub fn average(&self, server: ServerKey) -> Duration {
         let state = self.state.borrow();
         let server = state.dispatch.servers().get(&server);
-        server.map_or(Duration::ZERO, dispatch::Server::average)
+        server.map_or(Duration::ZERO, dispatch::Server::average_latency)
     }
 
     /// Who leads, as far as this host knows.
@@ -226,7 +226,7 @@
         let passed = state.vouch.passed(position);
         let holds = state.holds(server, position);
         if let Some(server) = state.dispatch.server_mut(server) {
-            server.saw(holds, passed, now);
+            server.record_position(holds, passed, now);
         }
         state.vouch.saw_term(position.term);
         state.leader.saw_term(server, position.term);
@@ -245,14 +245,14 @@
     pub fn took(&self, server: ServerKey, took: Duration) {
         let now = self.site.now();
         if let Some(server) = self.state.borrow_mut().dispatch.server_mut(server) {
-            server.took(took, now);
+            server.record_latency(took, now);
         }
     }
 
     /// A server's queue was full.
     pub fn full(&self, server: ServerKey) {
         let now = self.site.now();
-        self.state.borrow_mut().dispatch.refused(server, now);
+        self.state.borrow_mut().dispatch.queue_full(server, now);
     }
 
     /// A server refused a request because it does not lead.
@@ -264,7 +264,10 @@
     /// A server refused a read because it lacks a position that a primary had at `at`.
     pub fn lags(&self, server: ServerKey, at: Duration) {
         let now = self.site.now();
-        self.state.borrow_mut().dispatch.lagged(server, at, now);
+        self.state
+            .borrow_mut()
+            .dispatch
+            .replica_lagging(server, at, now);
     }
 
     /// How far the primary's log reached when this host last heard of it, and how long ago it was asked.
@@ -314,7 +317,7 @@
         let now = self.site.now();
         let state = self.state.borrow();
         let Some(floor) = state.vouch.floor(since) else {
-            return Need::Lead;
+            return Need::Leader;
         };
         let position = floor.max(state.vouch.current(seen));
         let at = state.vouch.reached(position).unwrap_or(now);
@@ -397,7 +400,7 @@
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         if let Some(server) = state.dispatch.server_mut(server) {
-            server.squeeze(now);
+            server.limit_to_fair_share(now);
         }
     }
 
@@ -426,16 +429,16 @@
             return trouble;
         }
         let server = state.dispatch.servers().get(&leader);
-        let leaving = server.is_some_and(|server| server.standing == Standing::Leaving);
+        let leaving = server.is_some_and(|server| server.state == ServerState::Leaving);
         leaving.then_some(Trouble::Leaving)
     }
 
     /// Servers with where they are, and whether each is leaving.
-    pub fn targets(&self) -> Vec<(Target, Standing)> {
+    pub fn targets(&self) -> Vec<(Target, ServerState)> {
         let state = self.state.borrow();
         let standing = |key: &ServerKey| {
             let server = state.dispatch.servers().get(key);
-            server.map_or(Standing::Leaving, |server| server.standing)
+            server.map_or(ServerState::Leaving, |server| server.state)
         };
         state
             .servers
@@ -494,8 +497,8 @@
                 return;
             };
             let succeeds = state.succeeds(change.after);
-            let hold = state.dispatch.held().filter(|_| !succeeds);
-            state.dispatch.lead(change.after);
+            let hold = state.dispatch.current_hold().filter(|_| !succeeds);
+            state.dispatch.set_leader(change.after);
             if let Some(hold) = hold {
                 state.dispatch.hold(hold);
             }
@@ -533,7 +536,7 @@
         for id in over {
             if let Some(back) = state.idle.remove(&id) {
                 state.broke(back.server);
-                state.dispatch.ended(back.server, id);
+                state.dispatch.idle_connection_closed(back.server, id);
             }
         }
     }
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -36,7 +36,7 @@
                 .state
                 .borrow_mut()
                 .dispatch
-                .failed(server, failure, now);
+                .connect_failed(server, failure, now);
             self.apply(next);
             return;
         };
@@ -53,7 +53,7 @@
                 let next = {
                     let mut state = self.state.borrow_mut();
                     state.idle.insert(id, back);
-                    state.dispatch.opened(server, id, now)
+                    state.dispatch.connection_opened(server, id, now)
                 };
                 self.apply(next);
             }
@@ -102,9 +102,11 @@
         let now = self.site.now();
         let next = {
             let mut state = self.state.borrow_mut();
-            let next = state.dispatch.failed(server, failure, now);
+            let next = state.dispatch.connect_failed(server, failure, now);
             let known = state.dispatch.servers().get(&server);
-            if known.is_some_and(dispatch::Server::is_short) && failure == dispatch::Failure::Full {
+            if known.is_some_and(dispatch::Server::is_below_fair_share)
+                && failure == dispatch::Failure::Full
+            {
                 state.short_of.insert(server);
             }
             next
--- a/crates/proxy/src/service/lent.rs
+++ b/crates/proxy/src/service/lent.rs
@@ -30,7 +30,7 @@
         let server = self.server;
         let next = {
             let mut state = self.service.state.borrow_mut();
-            state.dispatch.rest(server, rests, now)
+            state.dispatch.set_idle_in_transaction(server, rests, now)
         };
         self.service.apply(next);
     }
@@ -65,7 +65,11 @@
         self.rest(false);
         if std::mem::take(&mut self.long) {
             let server = self.server;
-            self.service.state.borrow_mut().dispatch.ended_long(server);
+            self.service
+                .state
+                .borrow_mut()
+                .dispatch
+                .transaction_ended(server);
         }
     }
 
@@ -84,7 +88,7 @@
         let next = {
             let mut state = self.service.state.borrow_mut();
             state.idle.insert(id, back);
-            state.dispatch.returned(server, id, now)
+            state.dispatch.connection_returned(server, id, now)
         };
         self.service.apply(next);
     }
@@ -101,7 +105,7 @@
         let now = self.service.site.now();
         let next = {
             let mut state = self.service.state.borrow_mut();
-            state.dispatch.lost(back.server, now)
+            state.dispatch.connection_lost(back.server, now)
         };
         drop(back);
         self.service.apply(next);
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use flamingopost_core::dispatch::{self, Standing};
+use flamingopost_core::dispatch::{self, ServerState};
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::Role;
 use flamingopost_core::succession::Contact;
@@ -37,7 +37,7 @@
             let local = backend.zone == self.site.zone;
             let mut server = dispatch::Server::new(local, backend.slots, base, fair, most);
             if backend.leaving {
-                server.standing = Standing::Leaving;
+                server.state = ServerState::Leaving;
             }
             state.dispatch.insert(key, server);
             // The role in a copy is one that the server may have had before it was replaced.
@@ -105,9 +105,9 @@
         let keys: Vec<ServerKey> = state.servers.keys().copied().collect();
         for key in keys {
             if let Some(server) = state.dispatch.server_mut(key) {
-                server.base = allotment.base;
-                server.fair = allotment.fair;
-                server.most = allotment.most;
+                server.base_connections = allotment.base;
+                server.fair_connections = allotment.fair;
+                server.max_connections = allotment.most;
             }
         }
     }
--- a/crates/proxy/src/service/loss.rs
+++ b/crates/proxy/src/service/loss.rs
@@ -99,7 +99,7 @@
         self.leader.doubt(server);
         // The start of its term, which it has shown as the primary, is in no log that is empty.
         if let Some(server) = self.dispatch.server_mut(server) {
-            server.saw(Position::default(), None, now);
+            server.record_position(Position::default(), None, now);
         }
     }
 
--- a/crates/proxy/src/service/proof.rs
+++ b/crates/proxy/src/service/proof.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{Hold, Standing};
+use flamingopost_core::dispatch::{Hold, ServerState};
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::Role;
 use flamingopost_core::position::Position;
@@ -184,7 +184,7 @@
     /// Whether nothing is heard of a server: it cannot be reached, or it leaves.
     fn is_unheard(&self, key: ServerKey, known: &Known) -> bool {
         let server = self.dispatch.servers().get(&key);
-        let leaves = server.is_none_or(|server| server.standing == Standing::Leaving);
+        let leaves = server.is_none_or(|server| server.state == ServerState::Leaving);
         leaves || known.contact.is_failing()
     }
 
@@ -196,7 +196,7 @@
         let until = hold.until.max(now + PROOF);
         let longer = Hold { until, ..hold };
         self.unchecked = Some(longer);
-        if self.dispatch.held() == Some(hold) {
+        if self.dispatch.current_hold() == Some(hold) {
             self.dispatch.hold_with_reads(longer);
         }
     }
--- a/crates/proxy/src/service/queue.rs
+++ b/crates/proxy/src/service/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use flamingopost_core::dispatch::{Next, Ticket, Unserved};
+use flamingopost_core::dispatch::{Action, Ticket, Unserved};
 use flamingopost_core::key::ServerKey;
 use tokio::sync::oneshot;
 
@@ -34,31 +34,31 @@
         receiver.await.unwrap_or(Err(Unserved::Busy))
     }
 
-    pub(super) fn apply(self: &Rc<Self>, next: Vec<Next>) {
+    pub(super) fn apply(self: &Rc<Self>, next: Vec<Action>) {
         let mut queue = VecDeque::from(next);
         while let Some(next) = queue.pop_front() {
             match next {
-                Next::Lend {
+                Action::Assign {
                     ticket,
                     server,
                     connection,
                 } => queue.extend(self.lend(ticket, server, connection)),
-                Next::Open { server } => self.open(server),
-                Next::Close { connection, .. } => {
+                Action::Open { server } => self.open(server),
+                Action::Close { connection, .. } => {
                     self.state.borrow_mut().idle.remove(&connection);
                 }
-                Next::Refuse { ticket, why } => {
+                Action::Refuse { ticket, reason } => {
                     let waiter = self.state.borrow_mut().waiters.remove(&ticket);
                     if let Some(waiter) = waiter {
                         // A caller that no longer waits needs no answer.
-                        let _ = waiter.sender.send(Err(why));
+                        let _ = waiter.sender.send(Err(reason));
                     }
                 }
             }
         }
     }
 
-    fn lend(self: &Rc<Self>, ticket: u64, server: ServerKey, connection: u64) -> Vec<Next> {
+    fn lend(self: &Rc<Self>, ticket: u64, server: ServerKey, connection: u64) -> Vec<Action> {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let waiter = state.waiters.remove(&ticket);
@@ -73,7 +73,7 @@
                     life,
                     service: Rc::clone(self),
                     rests: false,
-                    long: waiter.ticket.long,
+                    long: waiter.ticket.opens_transaction,
                 };
                 if let Err(Ok(lent)) = waiter.sender.send(Ok(lent)) {
                     lent.give_back();
@@ -85,7 +85,7 @@
                 if back.is_some() {
                     state.broke(server);
                 }
-                let mut next = state.dispatch.lost(server, now);
+                let mut next = state.dispatch.connection_lost(server, now);
                 let ticket = waiter.ticket.clone();
                 state.waiters.insert(ticket.id, waiter);
                 next.extend(state.dispatch.arrive(ticket, now));
@@ -93,9 +93,9 @@
             }
             (None, Some(back)) => {
                 state.idle.insert(connection, back);
-                state.dispatch.returned(server, connection, now)
+                state.dispatch.connection_returned(server, connection, now)
             }
-            (None, None) => state.dispatch.lost(server, now),
+            (None, None) => state.dispatch.connection_lost(server, now),
         }
     }
 
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -264,7 +264,7 @@
             let hold = Hold { from: now, until };
             self.unchecked = Some(hold);
             self.dispatch.hold_with_reads(hold);
-        } else if let Some(hold) = self.dispatch.held() {
+        } else if let Some(hold) = self.dispatch.current_hold() {
             self.dispatch.hold_with_reads(hold);
         }
     }
@@ -297,7 +297,7 @@
 
     /// Whether nothing is held for another reason, which would last longer.
     fn may_hold_for_check(&self) -> bool {
-        let held = self.dispatch.held();
+        let held = self.dispatch.current_hold();
         held.is_none() || held == self.unchecked
     }
 
--- a/crates/proxy/src/session/place.rs
+++ b/crates/proxy/src/session/place.rs
@@ -128,7 +128,7 @@
                 millis: now.saturating_sub(plan.arrived).as_millis(),
             });
             if failed.code != Code::ReadOnly {
-                let elsewhere = plan.access == Access::Read && failed.need != Need::Lead;
+                let elsewhere = plan.access == Access::Read && failed.need != Need::Leader;
                 avoid = elsewhere.then_some(failed.server);
             }
             tokio::time::sleep(wait).await;
@@ -168,7 +168,7 @@
             current,
         };
         let sent = self.context.site.now();
-        if need == Need::Lead && !self.context.fleet.holds_lease(&service) {
+        if need == Need::Leader && !self.context.fleet.holds_lease(&service) {
             self.context.site.log(&Event::ReadConfirmed {
                 id: text(&query.id),
                 database: self.database.clone(),
@@ -214,14 +214,14 @@
                 id: self.context.site.next_id(),
                 need,
                 priority: route.priority,
-                long: matches!(plan.frame, Frame::Opens(_)),
+                opens_transaction: matches!(plan.frame, Frame::Opens(_)),
                 arrived: plan.arrived,
                 goal: plan.since + route.goal,
                 deadline: plan.deadline,
                 avoid,
             };
             let is_bounded = plan.access == Access::Read && route.consistency.max_age().is_some();
-            let lacks_sample = need == Need::Lead && is_bounded;
+            let lacks_sample = need == Need::Leader && is_bounded;
             if lacks_sample {
                 self.context.fleet.ask_for_sample(service);
             }
@@ -266,7 +266,7 @@
         } = sending;
         let (code, run, error) = match ran {
             Ran::Answered(outcome) => {
-                let led = need == Need::Lead;
+                let led = need == Need::Leader;
                 let refuted = led && service.is_refuted(server, outcome.position, sent);
                 let code = outcome.end.as_ref().err().map(|fault| fault.code);
                 service.heard(
@@ -401,7 +401,7 @@
         need: Need,
         service: &Rc<Service<C>>,
     ) -> Option<Duration> {
-        if need != Need::Lead || self.context.fleet.holds_lease(service) {
+        if need != Need::Leader || self.context.fleet.holds_lease(service) {
             return Some(self.context.site.now());
         }
         match plan.access {
@@ -427,10 +427,10 @@
     /// Who may run a statement of `plan`.
     pub(super) fn need(&self, plan: &Plan, route: &Route, service: &Rc<Service<C>>) -> Need {
         if plan.access == Access::Write {
-            return Need::Lead;
+            return Need::Leader;
         }
         let Some(age) = route.consistency.max_age() else {
-            return Need::Lead;
+            return Need::Leader;
         };
         let since = plan.since.saturating_sub(age.saturating_sub(AGE_MARGIN));
         let seen = self.seen.get(&service.name).copied().unwrap_or_default();
@@ -441,7 +441,7 @@
 /// What a server's log must contain for a statement that needs `need`.
 fn position_of(need: Need) -> Option<Position> {
     match need {
-        Need::Lead => None,
+        Need::Leader => None,
         Need::Position { position, .. } => {
             Some(position).filter(|position| *position > Position::default())
         }
@@ -460,8 +460,8 @@
 /// answer that is too old. So whatever relies on a server's lead runs in such a transaction.
 fn fence(frame: Frame, access: Access, need: Need) -> Frame {
     match (frame, access, need) {
-        (Frame::Bare, Access::Read, Need::Lead) => Frame::Alone,
-        (Frame::Opens(_), _, Need::Lead) => Frame::Opens(Access::Write),
+        (Frame::Bare, Access::Read, Need::Leader) => Frame::Alone,
+        (Frame::Opens(_), _, Need::Leader) => Frame::Opens(Access::Write),
         (frame, _, _) => frame,
     }
 }
