--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{self, Dispatch, Need, Standing, Ticket, Unserved};
+use flamingopost_core::dispatch::{self, Dispatch, Need, ServerState, Ticket, Unserved};
 use flamingopost_core::extent::Extent;
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
@@ -190,7 +190,7 @@
     pub fn average_latency(&self, server: ServerKey) -> Duration {
         let state = self.state.borrow();
         let server = state.dispatch.servers().get(&server);
-        server.map_or(Duration::ZERO, dispatch::Server::average)
+        server.map_or(Duration::ZERO, dispatch::Server::average_latency)
     }
 
     /// Returns the server that this host believes to be the primary.
@@ -231,7 +231,7 @@
         let passed = state.vouch.passed(position);
         let proven = state.proven_position(server, position);
         if let Some(server) = state.dispatch.server_mut(server) {
-            server.saw(proven, passed, now);
+            server.record_position(proven, passed, now);
         }
         state.vouch.saw_term(position.term);
         state.leader.saw_term(server, position.term);
@@ -250,14 +250,14 @@
     pub fn record_latency(&self, server: ServerKey, took: Duration) {
         let now = self.site.now();
         if let Some(server) = self.state.borrow_mut().dispatch.server_mut(server) {
-            server.took(took, now);
+            server.record_latency(took, now);
         }
     }
 
     /// Records that a server's request queue was full.
     pub fn record_busy(&self, server: ServerKey) {
         let now = self.site.now();
-        self.state.borrow_mut().dispatch.refused(server, now);
+        self.state.borrow_mut().dispatch.queue_full(server, now);
     }
 
     /// Records that a server refused a request because it is not the primary.
@@ -270,7 +270,10 @@
     /// at `at`.
     pub fn record_lagging(&self, server: ServerKey, at: Duration) {
         let now = self.site.now();
-        self.state.borrow_mut().dispatch.lagged(server, at, now);
+        self.state
+            .borrow_mut()
+            .dispatch
+            .replica_lagging(server, at, now);
     }
 
     /// Returns the newest known position of the primary's log, and the time since the request that
@@ -325,7 +328,7 @@
         let now = self.site.now();
         let state = self.state.borrow();
         let Some(floor) = state.vouch.floor(since) else {
-            return Need::Lead;
+            return Need::Leader;
         };
         let position = floor.max(state.vouch.current(seen));
         let at = state.vouch.reached(position).unwrap_or(now);
@@ -415,7 +418,7 @@
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         if let Some(server) = state.dispatch.server_mut(server) {
-            server.squeeze(now);
+            server.limit_to_fair_share(now);
         }
     }
 
@@ -444,16 +447,16 @@
             return trouble;
         }
         let server = state.dispatch.servers().get(&leader);
-        let leaving = server.is_some_and(|server| server.standing == Standing::Leaving);
+        let leaving = server.is_some_and(|server| server.state == ServerState::Leaving);
         leaving.then_some(Trouble::Leaving)
     }
 
     /// Returns all servers with their addresses and whether they are leaving.
-    pub fn targets(&self) -> Vec<(Target, Standing)> {
+    pub fn targets(&self) -> Vec<(Target, ServerState)> {
         let state = self.state.borrow();
         let standing = |key: &ServerKey| {
             let server = state.dispatch.servers().get(key);
-            server.map_or(Standing::Leaving, |server| server.standing)
+            server.map_or(ServerState::Leaving, |server| server.state)
         };
         state
             .servers
@@ -513,8 +516,8 @@
                 return;
             };
             let succeeds = state.is_successor(change.after);
-            let hold = state.dispatch.held().filter(|_| !succeeds);
-            state.dispatch.lead(change.after);
+            let hold = state.dispatch.current_hold().filter(|_| !succeeds);
+            state.dispatch.set_leader(change.after);
             if let Some(hold) = hold {
                 state.dispatch.hold(hold);
             }
@@ -553,7 +556,7 @@
         for id in closed {
             if let Some(connection) = state.idle.remove(&id) {
                 state.record_broken_connection(connection.server);
-                state.dispatch.ended(connection.server, id);
+                state.dispatch.idle_connection_closed(connection.server, id);
             }
         }
     }
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -37,7 +37,7 @@
                 .state
                 .borrow_mut()
                 .dispatch
-                .failed(server, failure, now);
+                .connect_failed(server, failure, now);
             self.apply(next);
             return;
         };
@@ -54,7 +54,7 @@
                 let next = {
                     let mut state = self.state.borrow_mut();
                     state.idle.insert(id, connection);
-                    state.dispatch.opened(server, id, now)
+                    state.dispatch.connection_opened(server, id, now)
                 };
                 self.apply(next);
             }
@@ -113,9 +113,11 @@
         let now = self.site.now();
         let next = {
             let mut state = self.state.borrow_mut();
-            let next = state.dispatch.failed(server, failure, now);
+            let next = state.dispatch.connect_failed(server, failure, now);
             let entry = state.dispatch.servers().get(&server);
-            if entry.is_some_and(dispatch::Server::is_short) && failure == dispatch::Failure::Full {
+            if entry.is_some_and(dispatch::Server::is_below_fair_share)
+                && failure == dispatch::Failure::Full
+            {
                 state.connection_shortages.insert(server);
             }
             next
--- a/crates/proxy/src/service/log_loss.rs
+++ b/crates/proxy/src/service/log_loss.rs
@@ -106,7 +106,7 @@
         // An empty log does not contain the start of the term, which the server has shown as the
         // primary.
         if let Some(server) = self.dispatch.server_mut(server) {
-            server.saw(Position::default(), None, now);
+            server.record_position(Position::default(), None, now);
         }
     }
 
--- a/crates/proxy/src/service/log_proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flamingopost_core::dispatch::{Hold, Standing};
+use flamingopost_core::dispatch::{Hold, ServerState};
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::Role;
 use flamingopost_core::position::Position;
@@ -195,7 +195,7 @@
     /// Reports whether a server is unreachable or leaving.
     fn is_unavailable(&self, key: ServerKey, entry: &ServerEntry) -> bool {
         let server = self.dispatch.servers().get(&key);
-        let leaves = server.is_none_or(|server| server.standing == Standing::Leaving);
+        let leaves = server.is_none_or(|server| server.state == ServerState::Leaving);
         leaves || entry.contact.is_failing()
     }
 
@@ -207,7 +207,7 @@
         let until = hold.until.max(now + PROOF_HOLD);
         let longer = Hold { until, ..hold };
         self.check_hold = Some(longer);
-        if self.dispatch.held() == Some(hold) {
+        if self.dispatch.current_hold() == Some(hold) {
             self.dispatch.hold_with_reads(longer);
         }
     }
--- a/crates/proxy/src/service/pooled_connection.rs
+++ b/crates/proxy/src/service/pooled_connection.rs
@@ -33,7 +33,7 @@
         let server = self.server;
         let next = {
             let mut state = self.service.state.borrow_mut();
-            state.dispatch.rest(server, idle, now)
+            state.dispatch.set_idle_in_transaction(server, idle, now)
         };
         self.service.apply(next);
     }
@@ -68,7 +68,11 @@
         self.set_idle_in_transaction(false);
         if std::mem::take(&mut self.is_long) {
             let server = self.server;
-            self.service.state.borrow_mut().dispatch.ended_long(server);
+            self.service
+                .state
+                .borrow_mut()
+                .dispatch
+                .transaction_ended(server);
         }
     }
 
@@ -87,7 +91,7 @@
         let next = {
             let mut state = self.service.state.borrow_mut();
             state.idle.insert(id, connection);
-            state.dispatch.returned(server, id, now)
+            state.dispatch.connection_returned(server, id, now)
         };
         self.service.apply(next);
     }
@@ -104,7 +108,7 @@
         let now = self.service.site.now();
         let next = {
             let mut state = self.service.state.borrow_mut();
-            state.dispatch.lost(connection.server, now)
+            state.dispatch.connection_lost(connection.server, now)
         };
         drop(connection);
         self.service.apply(next);
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -277,7 +277,7 @@
             let hold = Hold { from: now, until };
             self.check_hold = Some(hold);
             self.dispatch.hold_with_reads(hold);
-        } else if let Some(hold) = self.dispatch.held() {
+        } else if let Some(hold) = self.dispatch.current_hold() {
             self.dispatch.hold_with_reads(hold);
         }
     }
@@ -316,7 +316,7 @@
 
     /// Reports whether no other hold is in place, which would last longer.
     fn may_hold_for_check(&self) -> bool {
-        let held = self.dispatch.held();
+        let held = self.dispatch.current_hold();
         held.is_none() || held == self.check_hold
     }
 
--- a/crates/proxy/src/session/placement.rs
+++ b/crates/proxy/src/session/placement.rs
@@ -131,7 +131,7 @@
                 millis: now.saturating_sub(plan.arrived).as_millis(),
             });
             if failed.code != Code::ReadOnly {
-                let elsewhere = plan.access == Access::Read && failed.need != Need::Lead;
+                let elsewhere = plan.access == Access::Read && failed.need != Need::Leader;
                 avoid = elsewhere.then_some(failed.server);
             }
             tokio::time::sleep(wait).await;
@@ -171,7 +171,7 @@
             confirmed_at,
         };
         let sent = self.context.site.now();
-        if need == Need::Lead && !self.context.fleet.holds_lease(&service) {
+        if need == Need::Leader && !self.context.fleet.holds_lease(&service) {
             self.context.site.log(&Event::ReadConfirmed {
                 id: text(&query.id),
                 database: self.database.clone(),
@@ -222,14 +222,14 @@
                 id: self.context.site.next_id(),
                 need,
                 priority: route.priority,
-                long: matches!(plan.frame, TransactionFrame::Opens(_)),
+                opens_transaction: matches!(plan.frame, TransactionFrame::Opens(_)),
                 arrived: plan.arrived,
                 goal: plan.operation_start + route.goal,
                 deadline: plan.deadline,
                 avoid,
             };
             let is_bounded = plan.access == Access::Read && route.consistency.max_age().is_some();
-            let lacks_sample = need == Need::Lead && is_bounded;
+            let lacks_sample = need == Need::Leader && is_bounded;
             if lacks_sample {
                 self.context.fleet.ask_for_sample(service);
             }
@@ -281,7 +281,7 @@
         } = context;
         let (code, run, error) = match ran {
             RunResult::Answered(outcome) => {
-                let by_primary = need == Need::Lead;
+                let by_primary = need == Need::Leader;
                 let refuted = by_primary && service.is_refuted(server, outcome.position, sent);
                 let code = outcome.end.as_ref().err().map(|error| error.code);
                 service.record_answer(
@@ -428,7 +428,7 @@
         need: Need,
         service: &Rc<Service<C>>,
     ) -> Option<Duration> {
-        if need != Need::Lead || self.context.fleet.holds_lease(service) {
+        if need != Need::Leader || self.context.fleet.holds_lease(service) {
             return Some(self.context.site.now());
         }
         match plan.access {
@@ -455,10 +455,10 @@
     /// Returns what is required of a server that runs a statement of `plan`.
     pub(super) fn need(&self, plan: &Plan, route: &Route, service: &Rc<Service<C>>) -> Need {
         if plan.access == Access::Write {
-            return Need::Lead;
+            return Need::Leader;
         }
         let Some(age) = route.consistency.max_age() else {
-            return Need::Lead;
+            return Need::Leader;
         };
         let since = plan
             .operation_start
@@ -476,7 +476,7 @@
 /// `need`.
 fn required_position(need: Need) -> Option<Position> {
     match need {
-        Need::Lead => None,
+        Need::Leader => None,
         Need::Position { position, .. } => {
             Some(position).filter(|position| *position > Position::default())
         }
@@ -497,8 +497,8 @@
 /// transaction.
 fn fence_frame(frame: TransactionFrame, access: Access, need: Need) -> TransactionFrame {
     match (frame, access, need) {
-        (TransactionFrame::Bare, Access::Read, Need::Lead) => TransactionFrame::RolledBack,
-        (TransactionFrame::Opens(_), _, Need::Lead) => TransactionFrame::Opens(Access::Write),
+        (TransactionFrame::Bare, Access::Read, Need::Leader) => TransactionFrame::RolledBack,
+        (TransactionFrame::Opens(_), _, Need::Leader) => TransactionFrame::Opens(Access::Write),
         (frame, _, _) => frame,
     }
 }
