--- a/crates/proxy/src/back.rs
+++ b/crates/proxy/src/back.rs
@@ -252,7 +252,7 @@
 
     /// Whether the server has closed the connection while it was idle.
     pub fn is_over(&self) -> bool {
-        !self.received.is_empty() || socket::is_over(&self.stream)
+        !self.received.is_empty() || socket::is_closed(&self.stream)
     }
 
     async fn next(&mut self) -> Result<Answer, Error> {
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -21,45 +21,45 @@
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::message::Status;
-use crate::peer::{Ended, Socket, Word};
+use crate::peer::{EndedTerm, Payload, Socket};
 use crate::platform::{Error, Platform, Promotion, Revision, Token};
 use crate::service::Service;
 use crate::site::Site;
 
+mod claim_holder;
 mod claims;
+mod empty_log;
 mod handover;
-mod holder;
-mod proof;
-mod talk;
+mod messaging;
 
 /// Time between two steps while something is wrong.
-const STEP: Duration = Duration::from_millis(20);
+const ACTIVE_STEP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time between two looks while nothing is.
-const LOOK: Duration = Duration::from_millis(100);
+const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a server may take to say what it is; its slots may be busy for a while.
-const ASK: Duration = Duration::from_millis(200);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A server that has not answered a question in time is still taken as reached when it has
 /// answered something else within this time.
-const FRESH: Duration = Duration::from_millis(200);
+const RECENT_CONTACT: Duration = Duration::from_millis(200);
 
 /// Time between two questions to all servers while nobody leads.
-const SEEK: Duration = Duration::from_millis(120);
+const LEADER_SEARCH_INTERVAL: Duration = Duration::from_millis(120);
 
 /// Time between two pleas for connections; one holds for a second.
-const PLEA: Duration = Duration::from_millis(200);
+const SHORTAGE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long the store may take to decide a claim before hosts act in turn.
-const CLAIM: Duration = Duration::from_millis(250);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long before an order that rests on a host's turn the others are told of it: several times the way
 /// between zones.
-const ANNOUNCED: Duration = Duration::from_millis(20);
+const ORDER_ANNOUNCEMENT_LEAD: Duration = Duration::from_millis(20);
 
 /// How long an order may take to be answered before it is repeated.
-const ORDER: Duration = Duration::from_millis(500);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Runs the succession of all services of a host.
 pub struct Election<C: Codec, P> {
@@ -68,30 +68,30 @@
     platform: Rc<P>,
     socket: Rc<Socket>,
     services: RefCell<BTreeMap<String, Rc<RefCell<Succession>>>>,
-    reserve: RefCell<Option<Grant>>,
+    reserve_grant: RefCell<Option<Grant>>,
     /// Claims of others, and since when each is known.
-    held: RefCell<BTreeMap<(String, Revision), Duration>>,
+    known_claims: RefCell<BTreeMap<(String, Revision), Duration>>,
     /// Changes of primaries that were claimed or ordered, and when this host heard of each.
     changes: RefCell<BTreeMap<(String, u64), claims::Change>>,
     /// By service: the newest term for the change of whose primary the store has a claim. Nothing before the
     /// claims were read.
     claimed_terms: RefCell<Option<BTreeMap<String, Term>>>,
     /// Whether a host that would know has told of the orders that were given before this one started.
-    orders_heard: Cell<bool>,
+    orders_known: Cell<bool>,
     /// The epoch of the store in which claims were last known to be there.
-    claimed_in: Cell<Epoch>,
+    claims_checked_in: Cell<Epoch>,
     /// Which services are recorded as written to.
-    records: RefCell<proof::Records>,
+    records: RefCell<empty_log::Records>,
     /// What was last read of the store's records.
-    written: Mutex<Option<proof::Written>>,
+    written_services: Mutex<Option<empty_log::WrittenServices>>,
     /// Whether a question to the store is on its way.
-    asking: Cell<bool>,
+    is_reading_claims: Cell<bool>,
     /// When most other hosts were last in touch.
-    in_touch: Cell<Option<Duration>>,
+    last_quorum_at: Cell<Option<Duration>>,
     /// Whether this host has a lease, and since when that is so.
-    lease: Cell<(bool, Duration)>,
+    lease_state: Cell<(bool, Duration)>,
     /// Since when this host has known the servers.
-    servers_known: Cell<Option<Duration>>,
+    servers_known_since: Cell<Option<Duration>>,
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
@@ -102,32 +102,32 @@
         platform: Rc<P>,
         socket: Rc<Socket>,
     ) -> Election<C, P> {
-        let lease = Cell::new((false, site.now()));
+        let lease_state = Cell::new((false, site.now()));
         Election {
-            lease,
+            lease_state,
             site,
             fleet,
             platform,
             socket,
             services: RefCell::default(),
-            reserve: RefCell::default(),
-            held: RefCell::default(),
+            reserve_grant: RefCell::default(),
+            known_claims: RefCell::default(),
             changes: RefCell::default(),
             claimed_terms: RefCell::default(),
-            orders_heard: Cell::new(false),
-            claimed_in: Cell::default(),
+            orders_known: Cell::new(false),
+            claims_checked_in: Cell::default(),
             records: RefCell::default(),
-            written: Mutex::default(),
-            asking: Cell::new(false),
-            in_touch: Cell::new(None),
-            servers_known: Cell::new(None),
+            written_services: Mutex::default(),
+            is_reading_claims: Cell::new(false),
+            last_quorum_at: Cell::new(None),
+            servers_known_since: Cell::new(None),
         }
     }
 
     /// Takes note of a token that may be used while the store is away.
-    pub fn reserve(&self, token: Token) {
+    pub fn reserve_token(&self, token: Token) {
         let grant = Grant(token.0);
-        *self.reserve.borrow_mut() = Some(grant);
+        *self.reserve_grant.borrow_mut() = Some(grant);
         for succession in self.services.borrow().values() {
             succession.borrow_mut().reserve(grant);
         }
@@ -142,13 +142,13 @@
     }
 
     /// Starts a task for each service that has none.
-    pub fn attend(self: &Rc<Self>) {
+    pub fn start_new_services(self: &Rc<Self>) {
         for service in self.fleet.services() {
             if self.services.borrow().contains_key(&service.name) {
                 continue;
             }
             let mut succession = Succession::default();
-            if let Some(grant) = *self.reserve.borrow() {
+            if let Some(grant) = *self.reserve_grant.borrow() {
                 succession.reserve(grant);
             }
             let succession = Rc::new(RefCell::new(succession));
@@ -156,56 +156,66 @@
             services.insert(service.name.clone(), Rc::clone(&succession));
             drop(services);
             let election = Rc::clone(self);
-            tokio::task::spawn_local(async move { election.watch(service, succession).await });
+            tokio::task::spawn_local(
+                async move { election.run_service(service, succession).await },
+            );
         }
     }
 
-    async fn watch(self: Rc<Self>, service: Rc<Service<C>>, succession: Rc<RefCell<Succession>>) {
-        let mut sought = Duration::ZERO;
-        let mut doubted = Duration::ZERO;
-        let mut pleaded = Duration::ZERO;
-        let mut last = self.site.now();
-        let mut epoch = self.epoch_heard();
-        self.tell_of_orders(&service);
+    async fn run_service(
+        self: Rc<Self>,
+        service: Rc<Service<C>>,
+        succession: Rc<RefCell<Succession>>,
+    ) {
+        let mut last_search = Duration::ZERO;
+        let mut last_probe = Duration::ZERO;
+        let mut last_shortage_report = Duration::ZERO;
+        let mut last_step = self.site.now();
+        let mut epoch = self.newest_known_epoch();
+        self.update_known_orders(&service);
         loop {
             let now = self.site.now();
-            if now >= last + PAUSED {
+            if now >= last_step + PAUSED {
                 succession.borrow_mut().paused(now);
             }
-            last = now;
-            let before = std::mem::replace(&mut epoch, self.epoch_heard());
+            last_step = now;
+            let before = std::mem::replace(&mut epoch, self.newest_known_epoch());
             if before < epoch {
                 succession.borrow_mut().restored(now);
             }
             let view = self.view(&service, &succession);
-            let pause = if view.trouble.is_some() { STEP } else { LOOK };
-            if now >= pleaded + PLEA {
-                pleaded = now;
-                self.plead(&service);
+            let pause = if view.trouble.is_some() {
+                ACTIVE_STEP_INTERVAL
+            } else {
+                IDLE_STEP_INTERVAL
+            };
+            if now >= last_shortage_report + SHORTAGE_REPORT_INTERVAL {
+                last_shortage_report = now;
+                self.send_shortages(&service);
             }
             if let Some((target, since)) = service.doubt()
-                && now >= doubted + ASK
+                && now >= last_probe + STATUS_TIMEOUT
             {
-                doubted = now;
-                self.try_primary(&service, target, since);
+                last_probe = now;
+                self.probe_primary(&service, target, since);
             }
             if self.fleet.serves(&service.name)
                 && let Some(target) = service.take_unchecked()
             {
-                self.check(&service, target);
+                self.check_primary(&service, target);
             }
-            self.keep_record(&service, view.rank);
-            if view.leader.is_none() && now >= sought + SEEK {
-                sought = now;
+            self.write_record_if_due(&service, view.rank);
+            if view.leader.is_none() && now >= last_search + LEADER_SEARCH_INTERVAL {
+                last_search = now;
                 self.ask_servers(&service, &succession);
             }
             let answered = succession.borrow().answered();
             let next = succession.borrow_mut().step(&view, now);
             for next in next {
                 if let Next::Promote { server, .. } = next {
-                    self.tell_word(&service, server, &answered);
+                    self.log_order_basis(&service, server, &answered);
                 }
-                self.act(&service, &succession, next, &view);
+                self.perform(&service, &succession, next, &view);
             }
             // Another change of the service's state ends the pause early.
             let _ = timeout(pause, service.alarm.notified()).await;
@@ -214,16 +224,16 @@
 
     /// Tries a primary that is silent on a connection of its own, which tells a slow one from
     /// one that is gone long before the statements there have had their time.
-    fn try_primary(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target, since: Duration) {
+    fn probe_primary(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target, since: Duration) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
-            if let Probe::Silent = election.ask(&service, &target).await {
+            if let Probe::Silent = election.query_status(&service, &target).await {
                 service.silent(target.server, since);
             }
         });
     }
 
-    fn act(
+    fn perform(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         succession: &Rc<RefCell<Succession>>,
@@ -252,7 +262,12 @@
     }
 
     /// Logs whose word an order rests on, and how old it is.
-    fn tell_word(&self, service: &Rc<Service<C>>, server: ServerKey, answered: &BTreeSet<HostKey>) {
+    fn log_order_basis(
+        &self,
+        service: &Rc<Service<C>>,
+        server: ServerKey,
+        answered: &BTreeSet<HostKey>,
+    ) {
         let electors = self.fleet.electors();
         let words = electors.iter().map(|(key, peer)| {
             let said = match answered.contains(key) {
@@ -284,7 +299,11 @@
         let furthest = service.furthest().into();
         for (_, peer) in self.fleet.electors() {
             let server = server.clone();
-            self.send(service, Word::Ask { server, furthest }, peer.address);
+            self.send(
+                service,
+                Payload::ReachabilityQuery { server, furthest },
+                peer.address,
+            );
         }
     }
 
@@ -301,7 +320,7 @@
             let (election, service) = (Rc::clone(self), Rc::clone(service));
             let succession = Rc::clone(succession);
             tokio::task::spawn_local(async move {
-                let Probe::Status(status) = election.ask(&service, &target).await else {
+                let Probe::Status(status) = election.query_status(&service, &target).await else {
                     return;
                 };
                 let report = Report {
@@ -316,9 +335,9 @@
     }
 
     /// Asks a server what it is, on a connection of its own: pooled ones may be stuck.
-    async fn ask(&self, service: &Rc<Service<C>>, target: &Target) -> Probe {
+    async fn query_status(&self, service: &Rc<Service<C>>, target: &Target) -> Probe {
         let sent = self.site.now();
-        let asked = timeout(ASK, async {
+        let asked = timeout(STATUS_TIMEOUT, async {
             let id = self.site.next_id();
             let mut back = Back::<C>::connect(id, target, &self.site.host).await?;
             let status = back.status().await?;
@@ -364,14 +383,18 @@
         let term = service.term();
         if let Some(named) = service.named(server) {
             let successor = (named, succession.borrow().received());
-            let ended = Ended::new(service.name.clone(), term, grant.0, successor, serves);
-            service.end_term(&ended);
+            let ended_term = EndedTerm::new(service.name.clone(), term, grant.0, successor, serves);
+            service.end_term(&ended_term);
             for (_, peer) in self.fleet.peers() {
-                let ended = ended.clone();
-                self.send(&service, Word::Acting { ended }, peer.address);
+                let ended_term = ended_term.clone();
+                self.send(
+                    &service,
+                    Payload::PromotionStarted { ended_term },
+                    peer.address,
+                );
             }
         }
-        if succession.borrow().is_in_turn() && !self.is_first(&service, grant).await {
+        if succession.borrow().is_in_turn() && !self.has_highest_token(&service, grant).await {
             succession
                 .borrow_mut()
                 .ordered(Order::Refused, self.site.now());
@@ -386,7 +409,7 @@
         let token = Token(grant.0);
         let host = &self.site.host;
         let ordered = timeout(
-            ORDER,
+            ORDER_TIMEOUT,
             self.platform.promote(&service.name, &id, host, token),
         );
         let order = match ordered.await {
@@ -399,10 +422,15 @@
         if order == Order::Accepted {
             let next = Term::from_number(term.number() + 1);
             if let Some(replaced) = replaced {
-                self.step_down(&service, &replaced, next, handover::moment(sent, serves));
+                self.step_down(
+                    &service,
+                    &replaced,
+                    next,
+                    handover::step_down_at(sent, serves),
+                );
             }
             if let Some(successor) = target(&service, server) {
-                self.look_for_effect(&service, successor, term, sent);
+                self.await_promotion(&service, successor, term, sent);
             }
         }
         self.site.log(&Event::Ordered {
@@ -420,8 +448,8 @@
     /// Guards against two hosts whose turns have both come while they waited for the leases of others:
     /// where the platform carries out whatever it is told, the order under the lower token comes second
     /// and undoes the change of the first.
-    async fn is_first(&self, service: &Rc<Service<C>>, grant: Grant) -> bool {
-        tokio::time::sleep(ANNOUNCED).await;
+    async fn has_highest_token(&self, service: &Rc<Service<C>>, grant: Grant) -> bool {
+        tokio::time::sleep(ORDER_ANNOUNCEMENT_LEAD).await;
         service.newest_order().is_none_or(|newest| newest <= grant)
     }
 
@@ -478,9 +506,9 @@
     }
 }
 
-/// What the store answers to `call` within [`CLAIM`], or why there is no such answer.
+/// What the store answers to `call` within [`CLAIM_TIMEOUT`], or why there is no such answer.
 async fn in_time<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, String> {
-    match timeout(CLAIM, call).await {
+    match timeout(CLAIM_TIMEOUT, call).await {
         Ok(answer) => answer.map_err(|error| error.to_string()),
         Err(_) => Err("no answer in time".to_owned()),
     }
--- a/crates/proxy/src/election/holder.rs
+++ b/crates/proxy/src/election/claim_holder.rs
@@ -12,7 +12,7 @@
 use crate::service::Service;
 
 /// How long the holder of a claim may take to answer: several times the way between zones.
-const ANSWER: Duration = Duration::from_millis(40);
+const HOLDER_REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl<C: Codec, P: Platform> Election<C, P> {
     /// `by` has claimed to relieve the primary of `service`. Where it does not answer, what needs the
@@ -22,7 +22,7 @@
     /// that leads, and a host that has missed the order, by a cut or because it started after it, goes on
     /// until the list names the successor: what it acknowledges then is gone. A holder that is heard tells of
     /// its order with its answer, or as it gives it.
-    pub(super) fn hold_unless_heard(self: &Rc<Self>, service: &Rc<Service<C>>, by: &str) {
+    pub(super) fn hold_unless_holder_answers(self: &Rc<Self>, service: &Rc<Service<C>>, by: &str) {
         if self.trouble(service) != Some(Trouble::Leaving) {
             return;
         }
@@ -30,11 +30,11 @@
         let holder = listed.into_iter().find(|(_, peer)| peer.host == by);
         let sent = self.site.now();
         if let Some((_, peer)) = &holder {
-            self.tell(String::new(), self.beat(sent), peer.address);
+            self.send_message(String::new(), self.heartbeat(sent), peer.address);
         }
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
-            sleep(ANSWER).await;
+            sleep(HOLDER_REPLY_TIMEOUT).await;
             let is_heard = match holder {
                 Some((key, _)) => election
                     .fleet
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -17,11 +17,11 @@
 
 /// For how long a change of primary is remembered: longer than a copy of the store is old from which
 /// it is restored, which is some seconds.
-const REMEMBERED: Duration = Duration::from_secs(30);
+const CHANGE_RETENTION: Duration = Duration::from_secs(30);
 
 /// So many hosts write the claim of a change that another one made anew, in case that one has gone:
 /// more than one, since the first of them may have gone too.
-const WRITERS: u32 = 2;
+const CLAIM_REWRITERS: u32 = 2;
 
 /// A change of primary that this host has heard of.
 #[derive(Debug, Clone, Copy)]
@@ -37,7 +37,7 @@
     }
 
     /// The newest epoch of the store by anybody's word.
-    pub(super) fn epoch_heard(&self) -> Epoch {
+    pub(super) fn newest_known_epoch(&self) -> Epoch {
         self.fleet.with_epochs(|epochs, _| epochs.heard())
     }
 
@@ -51,24 +51,24 @@
         let epoch = self.epoch();
         let claimed = in_time(async {
             let claim = self.claim_or_take_over(&service, attempt).await?;
-            self.in_epoch(epoch, claim)
+            self.require_epoch(epoch, claim)
         });
         let claimed = claimed.await;
         let now = self.site.now();
         let outcome = match claimed {
             Ok(Claim::Won(token)) => {
-                self.reserve(token);
-                self.claimed(&service.name, attempt);
+                self.reserve_token(token);
+                self.record_own_claim(&service.name, attempt);
                 let next = succession.borrow_mut().won(Grant(token.0), now);
                 let view = self.view(&service, &succession);
                 for next in next {
-                    self.act(&service, &succession, next, &view);
+                    self.perform(&service, &succession, next, &view);
                 }
                 format!("won with token {}", token.0)
             }
             Ok(Claim::Held { by, .. }) => {
                 succession.borrow_mut().held(now);
-                self.hold_unless_heard(&service, &by);
+                self.hold_unless_holder_answers(&service, &by);
                 format!("held by {by}")
             }
             Err(why) => {
@@ -98,7 +98,7 @@
         };
         let now = self.site.now();
         let key = (name.clone(), *revision);
-        let seen = *self.held.borrow_mut().entry(key).or_insert(now);
+        let seen = *self.known_claims.borrow_mut().entry(key).or_insert(now);
         let is_outdated = revision.epoch() != self.epoch();
         if is_outdated || by != host && now < seen + HOLDER {
             return Ok(claim);
@@ -112,12 +112,12 @@
 
     /// `claim`, unless the store was restored since `epoch`: it may have been won in a history that is
     /// gone, and another host wins it again.
-    fn in_epoch(&self, epoch: Epoch, claim: Claim) -> Result<Claim, Error> {
+    fn require_epoch(&self, epoch: Epoch, claim: Claim) -> Result<Claim, Error> {
         let Claim::Won(token) = &claim else {
             return Ok(claim);
         };
         let won = token.revision().epoch();
-        let holds = self.fleet.saw_epoch(won);
+        let holds = self.fleet.observe_epoch(won);
         match holds && won == epoch {
             true => Ok(claim),
             false => Err(Error::Lost("the store was restored meanwhile".to_owned())),
@@ -128,7 +128,7 @@
     /// time.
     pub(super) async fn read_claims(&self) -> Option<BTreeSet<(String, u64)>> {
         let read = in_time(self.platform.claims()).await.ok()?;
-        if !self.fleet.saw_epoch(read.revision.epoch()) {
+        if !self.fleet.observe_epoch(read.revision.epoch()) {
             return None;
         }
         let mut newest: BTreeMap<String, Term> = BTreeMap::new();
@@ -138,27 +138,27 @@
             *known = term.max(*known);
         }
         *self.claimed_terms.borrow_mut() = Some(newest);
-        self.tell_all_of_orders();
+        self.update_all_known_orders();
         Some(read.value)
     }
 
     /// Another host has told which orders it knows of. It has been in touch with most others for
     /// `in_touch`; where that is long enough, any order that it has not heard of has taken effect.
-    pub(super) fn told_of_orders(&self, in_touch: Duration) {
-        if in_touch >= EFFECT && !self.orders_heard.replace(true) {
-            self.tell_all_of_orders();
+    pub(super) fn peer_knows_orders(&self, in_touch: Duration) {
+        if in_touch >= EFFECT && !self.orders_known.replace(true) {
+            self.update_all_known_orders();
         }
     }
 
-    fn tell_all_of_orders(&self) {
+    fn update_all_known_orders(&self) {
         for service in self.fleet.services() {
-            self.tell_of_orders(&service);
+            self.update_known_orders(&service);
         }
     }
 
     /// Tells `service` what is known of orders that were given before this host started.
-    pub(super) fn tell_of_orders(&self, service: &Service<C>) {
-        if self.orders_heard.get() {
+    pub(super) fn update_known_orders(&self, service: &Service<C>) {
+        if self.orders_known.get() {
             service.told_of_orders();
         } else if let Some(claimed) = &*self.claimed_terms.borrow() {
             service.told_of_claims(claimed.get(&service.name).copied());
@@ -166,19 +166,19 @@
     }
 
     /// A change of the primary of `service` was claimed by this host.
-    fn claimed(&self, service: &str, attempt: u64) {
-        self.remember(service, attempt, true);
+    fn record_own_claim(&self, service: &str, attempt: u64) {
+        self.record_change(service, attempt, true);
     }
 
     /// Another host has ordered a change of the primary of `service`.
-    pub(super) fn changed(&self, service: &str, attempt: u64) {
-        self.remember(service, attempt, false);
+    pub(super) fn record_peer_change(&self, service: &str, attempt: u64) {
+        self.record_change(service, attempt, false);
     }
 
-    fn remember(&self, service: &str, attempt: u64, own: bool) {
+    fn record_change(&self, service: &str, attempt: u64, own: bool) {
         let at = self.site.now();
         let mut changes = self.changes.borrow_mut();
-        changes.retain(|_, change| at < change.at + REMEMBERED);
+        changes.retain(|_, change| at < change.at + CHANGE_RETENTION);
         let key = (service.to_owned(), attempt);
         changes.entry(key).or_insert(Change { at, own });
     }
@@ -190,15 +190,15 @@
     /// older than the claim.
     pub(super) fn rewrite_claims(self: &Rc<Self>) {
         let epoch = self.epoch();
-        let before = self.claimed_in.replace(epoch);
+        let before = self.claims_checked_in.replace(epoch);
         let restored = self.fleet.with_epochs(|epochs, _| epochs.restored());
         if before >= epoch || restored.is_none() {
             return;
         }
         let now = self.site.now();
         for ((service, attempt), change) in self.changes.borrow().iter() {
-            let writes = change.own || self.fleet.rank(service) < WRITERS;
-            if writes && now < change.at + REMEMBERED {
+            let writes = change.own || self.fleet.rank(service) < CLAIM_REWRITERS;
+            if writes && now < change.at + CHANGE_RETENTION {
                 self.rewrite_claim(service.clone(), *attempt);
             }
         }
--- a/crates/proxy/src/election/proof.rs
+++ b/crates/proxy/src/election/empty_log.rs
@@ -9,7 +9,7 @@
 use flamingopost_core::position::Position;
 use tokio::time::{sleep, timeout};
 
-use super::{ASK, CLAIM, Election, Probe, STEP, in_time};
+use super::{ACTIVE_STEP_INTERVAL, CLAIM_TIMEOUT, Election, Probe, STATUS_TIMEOUT, in_time};
 use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::event::Event;
@@ -18,19 +18,19 @@
 use crate::service::{Missing, Service};
 
 /// So many times a primary is asked whether its log is empty; its slots may be busy.
-const QUESTIONS: u32 = 3;
+const EMPTY_LOG_ATTEMPTS: u32 = 3;
 
 /// Pause after a record that the store has not taken.
-const RECORD_PAUSE: Duration = Duration::from_secs(1);
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// For how long what was read of the records serves all services: a host that starts checks many
 /// primaries at once.
-const RECORD_AGE: Duration = Duration::from_secs(1);
+const RECORD_CACHE_TTL: Duration = Duration::from_secs(1);
 
 /// Services that are recorded as written to.
 #[derive(Debug)]
-pub(super) struct Written {
-    asked: Duration,
+pub(super) struct WrittenServices {
+    read_at: Duration,
     services: BTreeSet<String>,
 }
 
@@ -38,44 +38,56 @@
 #[derive(Debug, Default)]
 pub(super) struct Records {
     /// By service: the epoch of the store in which its record is there.
-    there: BTreeMap<String, Epoch>,
+    recorded_in: BTreeMap<String, Epoch>,
     /// By service: when this host last began to write it.
-    tried: BTreeMap<String, Duration>,
+    attempted_at: BTreeMap<String, Duration>,
 }
 
 impl Records {
     /// Whether the record of `service` is to be written at `now`, as far as is known.
     fn is_due(&self, service: &str, epoch: Epoch, now: Duration) -> bool {
-        let there = self.there.get(service).is_some_and(|there| *there >= epoch);
-        let tried = self.tried.get(service);
-        !there && tried.is_none_or(|tried| now >= *tried + RECORD_PAUSE)
+        let there = self
+            .recorded_in
+            .get(service)
+            .is_some_and(|there| *there >= epoch);
+        let tried = self.attempted_at.get(service);
+        !there && tried.is_none_or(|tried| now >= *tried + RECORD_RETRY_INTERVAL)
     }
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
     /// Asks a server that is believed to lead what it is; its answer is weighed as it comes. Where it
     /// shows no write of its term, this goes on until it is known whether its log is empty.
-    pub(super) fn check(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target) {
+    pub(super) fn check_primary(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
-            let Probe::Status(status) = election.ask(&service, &target).await else {
+            let Probe::Status(status) = election.query_status(&service, &target).await else {
                 return;
             };
             if service.missing(target.server, &status) == Missing::Orders {
-                election.find_order(&service, &target, &status).await;
+                election
+                    .check_for_unheard_order(&service, &target, &status)
+                    .await;
                 return;
             }
             if service.missing(target.server, &status) == Missing::Record {
                 election.read_record(&service).await;
             }
             if service.missing(target.server, &status) == Missing::Proof {
-                election.prove(&service, &target, status.received).await;
+                election
+                    .check_log_empty(&service, &target, status.received)
+                    .await;
             }
         });
     }
 
     /// Finds out by the claims in the store whether the successor of a primary may be ordered already.
-    async fn find_order(&self, service: &Rc<Service<C>>, target: &Target, status: &Status) {
+    async fn check_for_unheard_order(
+        &self,
+        service: &Rc<Service<C>>,
+        target: &Target,
+        status: &Status,
+    ) {
         let is_read = self.claimed_terms.borrow().is_some();
         if !is_read && self.read_claims().await.is_none() {
             return;
@@ -90,14 +102,14 @@
     }
 
     /// Asks whether the log of a primary that shows no more than `position` is empty.
-    async fn prove(&self, service: &Rc<Service<C>>, target: &Target, position: Position) {
-        for _ in 0..QUESTIONS {
-            match timeout(ASK, self.has_entries(target)).await {
+    async fn check_log_empty(&self, service: &Rc<Service<C>>, target: &Target, position: Position) {
+        for _ in 0..EMPTY_LOG_ATTEMPTS {
+            match timeout(STATUS_TIMEOUT, self.has_entries(target)).await {
                 Ok(Ok(has_entries)) => {
                     service.proved(target.server, position, has_entries);
                     return;
                 }
-                Ok(Err(_)) => sleep(STEP).await,
+                Ok(Err(_)) => sleep(ACTIVE_STEP_INTERVAL).await,
                 Err(_) => {}
             }
         }
@@ -111,7 +123,8 @@
 
     async fn read_record(&self, service: &Rc<Service<C>>) {
         // Where the store does not tell, what it knows of the servers is no newer either.
-        if let Ok(Some(is_written)) = timeout(CLAIM, self.is_recorded(&service.name)).await {
+        if let Ok(Some(is_written)) = timeout(CLAIM_TIMEOUT, self.is_recorded(&service.name)).await
+        {
             service.recorded(is_written);
         }
     }
@@ -120,19 +133,19 @@
     /// at the same time wait for one answer.
     async fn is_recorded(&self, service: &str) -> Option<bool> {
         let now = self.site.now();
-        let mut written = self.written.lock().await;
-        let is_fresh = |it: &Written| now < it.asked + RECORD_AGE;
+        let mut written = self.written_services.lock().await;
+        let is_fresh = |it: &WrittenServices| now < it.read_at + RECORD_CACHE_TTL;
         if !written.as_ref().is_some_and(is_fresh) {
-            let asked = self.site.now();
+            let read_at = self.site.now();
             let services = self.platform.written_services().await.ok()?.value;
-            *written = Some(Written { asked, services });
+            *written = Some(WrittenServices { read_at, services });
         }
         written.as_ref().map(|it| it.services.contains(service))
     }
 
     /// Records that something was written to `service`, once for each epoch of the store. The host that
     /// comes first in the service's order does that: the one of `rank` 0.
-    pub(super) fn keep_record(self: &Rc<Self>, service: &Rc<Service<C>>, rank: u32) {
+    pub(super) fn write_record_if_due(self: &Rc<Self>, service: &Rc<Service<C>>, rank: u32) {
         if rank > 0 {
             return;
         }
@@ -143,22 +156,22 @@
             return;
         }
         let mut records = self.records.borrow_mut();
-        records.tried.insert(name.clone(), now);
+        records.attempted_at.insert(name.clone(), now);
         drop(records);
         let (election, name) = (Rc::clone(self), name.clone());
-        tokio::task::spawn_local(async move { election.record(name, epoch).await });
+        tokio::task::spawn_local(async move { election.write_record(name, epoch).await });
     }
 
-    async fn record(&self, service: String, epoch: Epoch) {
+    async fn write_record(&self, service: String, epoch: Epoch) {
         let host = &self.site.host;
         let recorded = in_time(self.platform.record_written(&service, host)).await;
         let outcome = match recorded {
             Ok(recorded) => {
                 let mut records = self.records.borrow_mut();
-                records.there.insert(service.clone(), epoch);
+                records.recorded_in.insert(service.clone(), epoch);
                 match recorded {
                     Recorded::New => "it is new".to_owned(),
-                    Recorded::Before => "it was there".to_owned(),
+                    Recorded::AlreadyPresent => "it was there".to_owned(),
                 }
             }
             Err(why) => why,
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -10,30 +10,30 @@
 use flamingopost_core::term::Term;
 use tokio::time::timeout;
 
-use super::{ASK, Election, STEP};
+use super::{ACTIVE_STEP_INTERVAL, Election, STATUS_TIMEOUT};
 use crate::back::{self, Back, Target};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::Status;
-use crate::peer::Word;
+use crate::peer::Payload;
 use crate::platform::Platform;
 use crate::service::Service;
 
 /// A primary that leaves is told to step down this long after the last write was sent there, so
 /// that its replicas receive what it has acknowledged: half of the time that is left until the
 /// earliest moment at which its successor leads.
-const DELIVERY: Duration = Duration::from_millis(30);
+const REPLICATION_GRACE: Duration = Duration::from_millis(30);
 
 /// How often a replaced primary is tried to be told of it: it may be cut off for a moment, and
 /// notices by itself a second after it can reach its successor.
-const STEP_DOWNS: u32 = 8;
+const STEP_DOWN_ATTEMPTS: u32 = 8;
 
 /// When a primary is told to step down whose successor was ordered at `ordered`: at once, or where it
-/// serves for `serves` more, [`DELIVERY`] after that.
-pub(super) fn moment(ordered: Duration, serves: Duration) -> Duration {
+/// serves for `serves` more, [`REPLICATION_GRACE`] after that.
+pub(super) fn step_down_at(ordered: Duration, serves: Duration) -> Duration {
     match serves.is_zero() {
         true => ordered,
-        false => ordered + serves + DELIVERY,
+        false => ordered + serves + REPLICATION_GRACE,
     }
 }
 
@@ -43,7 +43,7 @@
     ///
     /// The platform's list tells as well, but is away or late at times: on a day with an outage of
     /// the store, hosts found out 1.1 s after the change, and nothing was written until then.
-    pub(super) fn look_for_effect(
+    pub(super) fn await_promotion(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         successor: Target,
@@ -55,20 +55,20 @@
             let mut effect = Effect::ordered(ordered);
             let until = ordered + EFFECT;
             while election.site.now() < until {
-                let seen = election.watch_lead(&service, &successor, term, &mut effect);
+                let seen = election.poll_until_leading(&service, &successor, term, &mut effect);
                 if let Ok(led) = seen.await {
                     let took = effect.took(election.site.now());
-                    election.tell_of_lead(&service, successor.server, led, took);
+                    election.announce_lead(&service, successor.server, led, took);
                     return;
                 }
-                tokio::time::sleep(STEP).await;
+                tokio::time::sleep(ACTIVE_STEP_INTERVAL).await;
             }
         });
     }
 
     /// Asks a server on one connection until it leads a term after `term`; `effect` is told when it
     /// did not.
-    async fn watch_lead(
+    async fn poll_until_leading(
         &self,
         service: &Rc<Service<C>>,
         target: &Target,
@@ -77,22 +77,26 @@
     ) -> Result<Term, back::Error> {
         let timed_out = |_| back::Error::Io(std::io::ErrorKind::TimedOut.into());
         let id = self.site.next_id();
-        let back = timeout(ASK, Back::<C>::connect(id, target, &self.site.host)).await;
+        let back = timeout(
+            STATUS_TIMEOUT,
+            Back::<C>::connect(id, target, &self.site.host),
+        )
+        .await;
         let mut back = back.map_err(timed_out)??;
         loop {
             let asked = self.site.now();
-            let status = timeout(ASK, back.status()).await;
+            let status = timeout(STATUS_TIMEOUT, back.status()).await;
             let status = status.map_err(timed_out)??;
             service.said(target.server, &status, asked);
             if status.role == Role::Primary && status.term > term {
                 return Ok(status.term);
             }
             effect.follows(asked);
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(ACTIVE_STEP_INTERVAL).await;
         }
     }
 
-    fn tell_of_lead(
+    fn announce_lead(
         &self,
         service: &Rc<Service<C>>,
         server: ServerKey,
@@ -100,18 +104,18 @@
         took: Option<Duration>,
     ) {
         if let Some(took) = took {
-            self.site.promoted(took);
+            self.site.record_promotion_time(took);
         }
         let Some(server) = service.named(server) else {
             return;
         };
         for (_, peer) in self.fleet.peers() {
-            let word = Word::Leads {
+            let payload = Payload::PrimaryObserved {
                 server: server.clone(),
                 term: term.number(),
                 took: took.and_then(|took| u32::try_from(took.as_millis()).ok()),
             };
-            self.send(service, word, peer.address);
+            self.send(service, payload, peer.address);
         }
     }
 
@@ -130,9 +134,9 @@
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         let target = target.clone();
         tokio::task::spawn_local(async move {
-            for _ in 0..STEP_DOWNS {
-                let Ok(status) = election.tell_to_step_down(&target, term, at).await else {
-                    tokio::time::sleep(ASK).await;
+            for _ in 0..STEP_DOWN_ATTEMPTS {
+                let Ok(status) = election.send_step_down(&target, term, at).await else {
+                    tokio::time::sleep(STATUS_TIMEOUT).await;
                     continue;
                 };
                 service.said(target.server, &status, election.site.now());
@@ -147,7 +151,7 @@
         });
     }
 
-    async fn tell_to_step_down(
+    async fn send_step_down(
         &self,
         target: &Target,
         term: Term,
@@ -155,10 +159,14 @@
     ) -> Result<Status, back::Error> {
         let id = self.site.next_id();
         let timed_out = |_| back::Error::Io(std::io::ErrorKind::TimedOut.into());
-        let back = timeout(ASK, Back::<C>::connect(id, target, &self.site.host)).await;
+        let back = timeout(
+            STATUS_TIMEOUT,
+            Back::<C>::connect(id, target, &self.site.host),
+        )
+        .await;
         let mut back = back.map_err(timed_out)??;
         tokio::time::sleep(at.saturating_sub(self.site.now())).await;
-        let status = timeout(ASK, back.step_down(term)).await;
+        let status = timeout(STATUS_TIMEOUT, back.step_down(term)).await;
         status.map_err(timed_out)?
     }
 }
--- a/crates/proxy/src/election/talk.rs
+++ b/crates/proxy/src/election/messaging.rs
@@ -9,26 +9,26 @@
 use flamingopost_core::quorum::HEARTBEAT;
 use flamingopost_core::term::Term;
 
-use super::{Election, FRESH, Probe, target};
+use super::{Election, Probe, RECENT_CONTACT, target};
 use crate::codec::Codec;
 use crate::event::Event;
-use crate::peer::{Ended, Led, Log, Message, Sample, Server, Word};
+use crate::peer::{EndedTerm, LedTerm, LogReport, Message, Payload, Sample, Server};
 use crate::platform::Platform;
 use crate::service::{Meant, Service};
 
 /// For how long hosts tell each other of a change of primary: datagrams are lost, and a host that
 /// has heard nothing of it for so long has no lease either.
-const TELL: Duration = Duration::from_millis(1_000);
+const PROPAGATION_WINDOW: Duration = Duration::from_millis(1_000);
 
 /// Changes that one message tells of: it has to fit into a datagram. What is left out is told with
 /// the next one, as those before it come of age.
-const ENDED_MOST: usize = 12;
+const MAX_ENDED_TERMS: usize = 12;
 
 /// Services whose samples one message asks for or holds, which has to fit into a datagram.
-const SAMPLES_MOST: usize = 16;
+const MAX_SAMPLES: usize = 16;
 
 /// Logs that one message tells of, which has to fit into a datagram.
-const LOGS_MOST: usize = 8;
+const MAX_LOG_REPORTS: usize = 8;
 
 impl<C: Codec, P: Platform> Election<C, P> {
     /// Answers what other hosts ask and takes in what they tell, for ever.
@@ -38,12 +38,12 @@
     pub async fn listen(self: Rc<Self>) -> std::io::Result<()> {
         loop {
             let (message, from) = self.socket.receive().await?;
-            self.take(message, from);
+            self.handle(message, from);
         }
     }
 
     /// Keeps in contact with the other hosts, for ever.
-    pub async fn keep_contact(self: Rc<Self>) {
+    pub async fn send_heartbeats(self: Rc<Self>) {
         let mut interval = tokio::time::interval(HEARTBEAT);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -53,49 +53,49 @@
                 _ = interval.tick() => {}
                 () = self.fleet.contact_due.notified() => {}
             }
-            self.fleet.look_at_feeds();
+            self.fleet.check_feeds();
             let now = self.site.now();
-            let with_most = self.is_with_most();
+            let with_most = self.has_quorum();
             self.rewrite_claims();
-            let beat = self.beat(now);
-            let looks = self.looks(with_most, now);
+            let beat = self.heartbeat(now);
+            let looks = self.needs_log_reports(with_most, now);
             for (_, peer) in self.fleet.electors() {
-                self.tell(String::new(), beat.clone(), peer.address);
+                self.send_message(String::new(), beat.clone(), peer.address);
                 if looks {
-                    self.tell(String::new(), Word::Look, peer.address);
+                    self.send_message(String::new(), Payload::LogQuery, peer.address);
                 }
             }
             if !with_most {
-                self.ask_store();
+                self.check_claims_in_store();
             }
         }
     }
 
     /// Whether this host is in touch with most others.
-    fn is_with_most(&self) -> bool {
+    fn has_quorum(&self) -> bool {
         self.fleet
             .with_quorum(|quorum, now| quorum.holds_lease(now))
     }
 
     /// A heartbeat of this host at `now`.
-    pub(super) fn beat(&self, now: Duration) -> Word {
-        Word::Beat {
+    pub(super) fn heartbeat(&self, now: Duration) -> Payload {
+        Payload::Heartbeat {
             sent: micros(now),
-            out_of_touch: self.out_of_touch(now),
-            epoch: self.epoch_heard().0,
-            lacks: self.lacks(),
-            ended: self.ended(TELL),
+            out_of_touch: self.quorum_age_ms(now),
+            epoch: self.newest_known_epoch().0,
+            sample_requests: self.sample_requests(),
+            ended_terms: self.recent_ended_terms(PROPAGATION_WINDOW),
         }
     }
 
     /// For how many milliseconds this host may have missed what the others heard.
-    fn out_of_touch(&self, now: Duration) -> u32 {
-        let with_most = self.is_with_most();
-        self.tell_of_lease(with_most, now);
+    fn quorum_age_ms(&self, now: Duration) -> u32 {
+        let with_most = self.has_quorum();
+        self.log_lease_change(with_most, now);
         if with_most {
-            self.in_touch.set(Some(now));
+            self.last_quorum_at.set(Some(now));
         }
-        let since = self.in_touch.get().map(|at| now.saturating_sub(at));
+        let since = self.last_quorum_at.get().map(|at| now.saturating_sub(at));
         let millis = since.and_then(|since| u32::try_from(since.as_millis()).ok());
         millis.unwrap_or(u32::MAX)
     }
@@ -105,51 +105,51 @@
     /// Guards against a primary that has started again without its log, on a host that has just
     /// started or was cut off: it knows of nothing that the primary lacks, and wrote to it for 350 ms
     /// beside hosts that did not believe it. What it had acknowledged was rolled back.
-    fn looks(&self, with_most: bool, now: Duration) -> bool {
-        if self.servers_known.get().is_none() && self.fleet.is_known() {
-            self.servers_known.set(Some(now));
+    fn needs_log_reports(&self, with_most: bool, now: Duration) -> bool {
+        if self.servers_known_since.get().is_none() && self.fleet.is_known() {
+            self.servers_known_since.set(Some(now));
         }
         let is_new = self
-            .servers_known
+            .servers_known_since
             .get()
-            .is_none_or(|known| now < known + TELL);
-        let (_, since) = self.lease.get();
-        is_new || !with_most || now < since + TELL
+            .is_none_or(|known| now < known + PROPAGATION_WINDOW);
+        let (_, since) = self.lease_state.get();
+        is_new || !with_most || now < since + PROPAGATION_WINDOW
     }
 
     /// Tells `to` how far this host has seen logs reach.
-    fn tell_logs(&self, to: SocketAddr) {
+    fn send_logs(&self, to: SocketAddr) {
         let services = self.fleet.services();
         let logs = services.iter().filter(|service| service.furthest().log > 0);
-        let logs: Vec<Log> = logs
-            .map(|service| Log {
+        let logs: Vec<LogReport> = logs
+            .map(|service| LogReport {
                 service: service.name.clone(),
                 furthest: service.furthest().into(),
                 term_start: service.newest_term_start(),
                 doubted: service.doubted_servers(),
-                led: self.led(service),
+                led: self.led_terms(service),
             })
             .collect();
-        for logs in logs.chunks(LOGS_MOST) {
+        for logs in logs.chunks(MAX_LOG_REPORTS) {
             let logs = logs.to_vec();
-            self.tell(String::new(), Word::Logs { logs }, to);
+            self.send_message(String::new(), Payload::LogReply { logs }, to);
         }
     }
 
     /// Servers of `service` that were seen to lead.
-    fn led(&self, service: &Rc<Service<C>>) -> Vec<Led> {
+    fn led_terms(&self, service: &Rc<Service<C>>) -> Vec<LedTerm> {
         let services = self.services.borrow();
         let Some(succession) = services.get(&service.name) else {
             return Vec::new();
         };
         let succession = succession.borrow();
         let led = succession.led().iter();
-        led.filter_map(|(server, term)| Some(Led::new(service.named(*server)?, *term)))
+        led.filter_map(|(server, term)| Some(LedTerm::new(service.named(*server)?, *term)))
             .collect()
     }
 
     /// Another host has seen servers of `service` lead.
-    fn take_led(&self, service: &Rc<Service<C>>, led: &[Led]) {
+    fn apply_led_terms(&self, service: &Rc<Service<C>>, led: &[LedTerm]) {
         let services = self.services.borrow();
         let Some(succession) = services.get(&service.name) else {
             return;
@@ -162,37 +162,37 @@
     }
 
     /// Another host has seen logs reach so far.
-    fn take_logs(&self, logs: &[Log]) {
+    fn apply_logs(&self, logs: &[LogReport]) {
         for log in logs {
-            if let Some(service) = self.fleet.named(&log.service) {
+            if let Some(service) = self.fleet.find_service(&log.service) {
                 service.told(log.furthest.into());
                 log.term_start.iter().for_each(|it| service.term_began(it));
                 log.doubted
                     .iter()
                     .for_each(|it| service.doubted_elsewhere(it));
-                self.take_led(&service, &log.led);
+                self.apply_led_terms(&service, &log.led);
             }
         }
     }
 
     /// For how many milliseconds this host has been in touch with most others without a break.
-    fn in_touch_for(&self) -> u32 {
+    fn quorum_held_ms(&self) -> u32 {
         let now = self.site.now();
-        let (holds, since) = self.lease.get();
+        let (holds, since) = self.lease_state.get();
         let lasts = now.saturating_sub(since).as_millis();
-        match holds && self.is_with_most() {
+        match holds && self.has_quorum() {
             true => u32::try_from(lasts).unwrap_or(u32::MAX),
             false => 0,
         }
     }
 
     /// Logs that this host has lost its lease, or has it back.
-    fn tell_of_lease(&self, holds: bool, now: Duration) {
-        let (held, since) = self.lease.get();
+    fn log_lease_change(&self, holds: bool, now: Duration) {
+        let (held, since) = self.lease_state.get();
         if held == holds {
             return;
         }
-        self.lease.set((holds, now));
+        self.lease_state.set((holds, now));
         let (heard, hosts) = self
             .fleet
             .with_quorum(|quorum, now| (quorum.in_touch(now).len(), quorum.hosts()));
@@ -205,17 +205,17 @@
     }
 
     /// Services whose reads wait for a sample of how far the primary is.
-    fn lacks(&self) -> Vec<String> {
+    fn sample_requests(&self) -> Vec<String> {
         let services = self.fleet.services();
         let lacking = services.iter().filter(|service| service.lacks_sample.get());
         let names = lacking.map(|service| service.name.clone());
-        names.take(SAMPLES_MOST).collect()
+        names.take(MAX_SAMPLES).collect()
     }
 
     /// This host's newest samples of the primaries of `services`.
     fn samples(&self, services: &[String]) -> Vec<Sample> {
         let sample = |name: &String| {
-            let (position, age) = self.fleet.named(name)?.newest_sample()?;
+            let (position, age) = self.fleet.find_service(name)?.newest_sample()?;
             Some(Sample {
                 service: name.clone(),
                 position: position.into(),
@@ -224,17 +224,17 @@
         };
         services
             .iter()
-            .take(SAMPLES_MOST)
+            .take(MAX_SAMPLES)
             .filter_map(sample)
             .collect()
     }
 
     /// Another host has answered what was sent at `sent`: a primary that it asked some time before it
     /// answered, it asked no earlier than that long before `sent`.
-    fn take_samples(&self, samples: &[Sample], sent: Duration) {
+    fn apply_samples(&self, samples: &[Sample], sent: Duration) {
         let sent = sent.min(self.site.now());
         for sample in samples {
-            if let Some(service) = self.fleet.named(&sample.service) {
+            if let Some(service) = self.fleet.find_service(&sample.service) {
                 let age = Duration::from_millis(u64::from(sample.age));
                 service.told_sample(sample.position.into(), sent.saturating_sub(age));
             }
@@ -245,21 +245,21 @@
     ///
     /// An order is announced by one datagram to each host, which may be lost, and a host that was
     /// cut off meanwhile hears none. What keeps a lease alive tells of the change as well.
-    fn ended(&self, age: Duration) -> Vec<Ended> {
+    fn recent_ended_terms(&self, age: Duration) -> Vec<EndedTerm> {
         let services = self.fleet.services();
         let ended = services.iter().filter_map(|service| service.ended(age));
-        ended.take(ENDED_MOST).collect()
+        ended.take(MAX_ENDED_TERMS).collect()
     }
 
     /// Another host tells that a primary is replaced.
-    fn take_ended(&self, host: &str, ended: &Ended) {
-        let Some(service) = self.fleet.named(&ended.service) else {
+    fn apply_ended_term(&self, host: &str, ended: &EndedTerm) {
+        let Some(service) = self.fleet.find_service(&ended.service) else {
             return;
         };
         if !service.end_term(ended) {
             return;
         }
-        self.changed(&service.name, ended.term().number().unsigned_abs());
+        self.record_peer_change(&service.name, ended.term().number().unsigned_abs());
         self.site.log(&Event::OtherActs {
             service: service.name.clone(),
             host: host.to_owned(),
@@ -271,15 +271,15 @@
 
     /// Asks the store which primaries are being replaced; with most hosts silent, only it can
     /// tell that this host is not the one that is cut off.
-    fn ask_store(self: &Rc<Self>) {
-        if self.asking.replace(true) {
+    fn check_claims_in_store(self: &Rc<Self>) {
+        if self.is_reading_claims.replace(true) {
             return;
         }
         let election = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let sent = election.site.now();
             let claims = election.read_claims().await;
-            election.asking.set(false);
+            election.is_reading_claims.set(false);
             let Some(claims) = claims else {
                 return;
             };
@@ -297,78 +297,79 @@
         });
     }
 
-    fn take(self: &Rc<Self>, message: Message, from: SocketAddr) {
+    fn handle(self: &Rc<Self>, message: Message, from: SocketAddr) {
         if let Some(host) = self.fleet.peer(&message.host) {
             self.fleet
                 .with_quorum(|quorum, now| quorum.heard(host, now));
-            match message.word {
-                Word::Beat {
+            match message.payload {
+                Payload::Heartbeat {
                     sent,
                     out_of_touch,
                     epoch,
-                    lacks,
-                    ended,
+                    sample_requests,
+                    ended_terms,
                 } => {
-                    self.fleet.told_epoch(host, Epoch(epoch));
-                    let missed = Duration::from_millis(u64::from(out_of_touch)) + TELL;
-                    let echo = Word::Echo {
+                    self.fleet.record_peer_epoch(host, Epoch(epoch));
+                    let missed =
+                        Duration::from_millis(u64::from(out_of_touch)) + PROPAGATION_WINDOW;
+                    let echo = Payload::HeartbeatAck {
                         sent,
-                        news: self.fleet.news(),
-                        in_touch: self.in_touch_for(),
-                        ended: self.ended(missed),
-                        samples: self.samples(&lacks),
+                        progress: self.fleet.feed_progress(),
+                        in_touch: self.quorum_held_ms(),
+                        ended_terms: self.recent_ended_terms(missed),
+                        samples: self.samples(&sample_requests),
                     };
-                    self.tell(String::new(), echo, from);
-                    ended
+                    self.send_message(String::new(), echo, from);
+                    ended_terms
                         .iter()
-                        .for_each(|it| self.take_ended(&message.host, it));
+                        .for_each(|it| self.apply_ended_term(&message.host, it));
                     return;
                 }
-                Word::Echo {
+                Payload::HeartbeatAck {
                     sent,
-                    news,
+                    progress,
                     in_touch,
-                    ended,
+                    ended_terms,
                     samples,
                 } => {
-                    self.fleet.told_epoch(host, Epoch(news.epoch));
-                    self.fleet.told(news);
+                    self.fleet.record_peer_epoch(host, Epoch(progress.epoch));
+                    self.fleet.record_peer_progress(progress);
                     // Before the answer prolongs the lease.
-                    ended
+                    ended_terms
                         .iter()
-                        .for_each(|it| self.take_ended(&message.host, it));
-                    self.told_of_orders(Duration::from_millis(u64::from(in_touch)));
+                        .for_each(|it| self.apply_ended_term(&message.host, it));
+                    self.peer_knows_orders(Duration::from_millis(u64::from(in_touch)));
                     let sent = Duration::from_micros(sent);
                     self.fleet
                         .with_quorum(|quorum, _| quorum.answered(host, sent));
-                    self.take_samples(&samples, sent);
+                    self.apply_samples(&samples, sent);
                     return;
                 }
                 _ => {}
             }
         }
-        match &message.word {
-            Word::Look => return self.tell_logs(from),
-            Word::Logs { logs } => return self.take_logs(logs),
+        match &message.payload {
+            Payload::LogQuery => return self.send_logs(from),
+            Payload::LogReply { logs } => return self.apply_logs(logs),
             _ => {}
         }
-        let Some(service) = self.fleet.named(&message.service) else {
+        let Some(service) = self.fleet.find_service(&message.service) else {
             return;
         };
         let succession = self.services.borrow().get(&service.name).cloned();
-        match message.word {
+        match message.payload {
             // From a host that is not listed yet.
-            Word::Beat { .. } | Word::Echo { .. } => {}
+            Payload::Heartbeat { .. } | Payload::HeartbeatAck { .. } => {}
             // They are about no service.
-            Word::Look | Word::Logs { .. } => {}
-            Word::Ask { server, furthest } => {
+            Payload::LogQuery | Payload::LogReply { .. } => {}
+            Payload::ReachabilityQuery { server, furthest } => {
                 service.told(furthest.into());
                 let election = Rc::clone(self);
                 tokio::task::spawn_local(async move {
-                    election.answer(service, server, from).await;
+                    election.answer_reachability(service, server, from).await;
                 });
             }
-            Word::Tell {
+            Payload::ReachabilityReply {
                 server,
                 furthest,
                 reaches,
@@ -378,28 +379,36 @@
                 if let (Some(succession), Some(host)) = (succession, host)
                     && is_about_leader(&service, server.as_ref())
                 {
-                    let opinion = Word::opinion(reaches);
+                    let opinion = Payload::opinion(reaches);
                     succession.borrow_mut().opinion(host, opinion);
                     service.alarm.notify_one();
                 }
             }
-            Word::Short { server } => {
+            Payload::ConnectionShortage { server } => {
                 if let Meant::Listed(server) = service.meant(&server) {
                     service.squeeze(server);
                 }
             }
-            Word::Leads { server, term, took } => {
+            Payload::PrimaryObserved { server, term, took } => {
                 if let Some(took) = took {
-                    self.site.promoted(Duration::from_millis(u64::from(took)));
+                    self.site
+                        .record_promotion_time(Duration::from_millis(u64::from(took)));
                 }
                 service.seen_to_lead(&server, Term::from_number(term));
             }
-            Word::Acting { ended } => self.take_ended(&message.host, &ended),
+            Payload::PromotionStarted { ended_term } => {
+                self.apply_ended_term(&message.host, &ended_term)
+            }
         }
     }
 
     /// Tells whether this host reaches `server`, which it tries first.
-    async fn answer(&self, service: Rc<Service<C>>, server: Option<Server>, from: SocketAddr) {
+    async fn answer_reachability(
+        &self,
+        service: Rc<Service<C>>,
+        server: Option<Server>,
+        from: SocketAddr,
+    ) {
         let meant = match &server {
             Some(server) => service.meant(server),
             None => service.leader().map_or(Meant::Unknown, Meant::Listed),
@@ -411,12 +420,12 @@
             // Of a start that is not listed here yet, nothing can be said.
             Meant::Newer => return,
         };
-        let word = Word::Tell {
+        let payload = Payload::ReachabilityReply {
             server,
             furthest: service.furthest().into(),
             reaches,
         };
-        self.send(&service, word, from);
+        self.send(&service, payload, from);
     }
 
     /// Whether this host reaches a server, and believes that it has the service's log.
@@ -424,7 +433,7 @@
         let Some(target) = target(service, server) else {
             return false;
         };
-        match self.ask(service, &target).await {
+        match self.query_status(service, &target).await {
             Probe::Status(_) => !service.is_doubted(server),
             Probe::Alive => true,
             Probe::Refused => false,
@@ -432,32 +441,36 @@
             Probe::Silent => {
                 let now = self.site.now();
                 let contact = service.contact(server).unwrap_or_default();
-                contact.age(now).is_some_and(|age| age < FRESH)
+                contact.age(now).is_some_and(|age| age < RECENT_CONTACT)
             }
         }
     }
 
     /// Tells the other hosts of which servers this one lacks connections.
-    pub(super) fn plead(&self, service: &Rc<Service<C>>) {
+    pub(super) fn send_shortages(&self, service: &Rc<Service<C>>) {
         let short = service.take_short();
         for server in short.into_iter().filter_map(|it| service.named(it)) {
             for (_, peer) in self.fleet.peers() {
                 let server = server.clone();
-                self.send(service, Word::Short { server }, peer.address);
+                self.send(
+                    service,
+                    Payload::ConnectionShortage { server },
+                    peer.address,
+                );
             }
         }
     }
 
-    pub(super) fn send(&self, service: &Rc<Service<C>>, word: Word, to: SocketAddr) {
-        self.tell(service.name.clone(), word, to);
+    pub(super) fn send(&self, service: &Rc<Service<C>>, payload: Payload, to: SocketAddr) {
+        self.send_message(service.name.clone(), payload, to);
     }
 
-    pub(super) fn tell(&self, service: String, word: Word, to: SocketAddr) {
+    pub(super) fn send_message(&self, service: String, payload: Payload, to: SocketAddr) {
         let host = self.site.host.clone();
         let message = Message {
             host,
             service,
-            word,
+            payload,
         };
         self.socket.send(&message, to);
     }
--- a/crates/proxy/src/event.rs
+++ b/crates/proxy/src/event.rs
@@ -97,36 +97,39 @@
 
 /// Lines of one event that are written within a second; what is more is counted. Bounds what
 /// logging costs while everything fails at once.
-const LINES_A_SECOND: u64 = 20;
+const MAX_LINES_PER_SECOND: u64 = 20;
 
 /// Keeps the volume of repeated events bounded.
 #[derive(Debug, Default)]
-pub struct Limit {
+pub struct LogLimit {
     second: std::cell::Cell<u64>,
     counts: std::cell::RefCell<std::collections::BTreeMap<u16, u64>>,
 }
 
-impl Limit {
+impl LogLimit {
     /// Writes `event`, unless too many of its kind were written within the second of `now`.
     pub fn log(&self, event: &Event, now: std::time::Duration) {
         use flamingopost_daemon::event::Event as _;
         if self.second.replace(now.as_secs()) != now.as_secs() {
-            self.tell();
+            self.log_suppressed();
         }
         let kind = event.kind().number;
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(kind).or_default();
         *count += 1;
-        if *count <= LINES_A_SECOND {
+        if *count <= MAX_LINES_PER_SECOND {
             event.log();
         }
     }
 
-    fn tell(&self) {
+    fn log_suppressed(&self) {
         use flamingopost_daemon::event::Event as _;
         let counts = std::mem::take(&mut *self.counts.borrow_mut());
         for (event, count) in counts {
-            if let Some(count) = count.checked_sub(LINES_A_SECOND).filter(|more| *more > 0) {
+            if let Some(count) = count
+                .checked_sub(MAX_LINES_PER_SECOND)
+                .filter(|more| *more > 0)
+            {
                 Event::Suppressed { event, count }.log();
             }
         }
--- a/crates/proxy/src/fault.rs
+++ b/crates/proxy/src/fault.rs
@@ -2,7 +2,7 @@
 
 /// Longest quotation from an entry, in characters. Entries have up to 64 KiB, and a log line that
 /// quotes one has to stay readable.
-const QUOTED: usize = 80;
+const MAX_QUOTED_CHARS: usize = 80;
 
 /// What is wrong with an entry of the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
@@ -66,7 +66,7 @@
 /// ```
 pub fn quote(text: &str) -> String {
     let mut escaped = text.escape_debug();
-    let mut quoted: String = escaped.by_ref().take(QUOTED).collect();
+    let mut quoted: String = escaped.by_ref().take(MAX_QUOTED_CHARS).collect();
     if escaped.next().is_some() {
         quoted.push_str("...");
     }
--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -26,47 +26,47 @@
     feed: RefCell<Feed>,
     behind: Notify,
     outage: Notify,
-    untold: Notify,
+    peers_lost: Notify,
     restored: Notify,
-    copied: Notify,
+    possibly_stale: Notify,
     wait: Duration,
     /// Who looks after the call that was made last.
-    patience: Cell<Patience>,
+    stuck_detection: Cell<StuckDetection>,
 }
 
 /// Who notices that a feed is stuck.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum StuckDetection {
     /// This host, for itself and for those that it tells.
-    Own,
+    Local,
     /// Others, who tell this host.
-    Told,
+    ByPeers,
 }
 
 /// Why a call that waits may wait for nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
-pub enum Doubt {
+pub enum CancelReason {
     /// others have read more
     Behind,
     /// another call was lost before the platform answered again
     Outage,
     /// the hosts that would tell of changes are no longer heard
-    Untold,
+    PeersLost,
     /// the store was restored from a copy
     Restored,
     /// what was read then may have been outdated
-    Copied,
+    PossiblyStale,
     /// the answer is of before the store was restored
-    Former,
+    FormerEpoch,
 }
 
 /// How a call that waits for changes has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended<T> {
+pub enum WaitOutcome<T> {
     /// With this.
     Answered(T),
     /// It was given up.
-    GivenUp(Doubt),
+    Cancelled(CancelReason),
 }
 
 impl Feeds {
@@ -74,19 +74,19 @@
     /// from 4 s after the end of an outage on, the shortest time that the platform's settings give.
     /// A call that is lost in an outage's last moment may use up this wait, 1.2 s for its answer
     /// and 0.2 s of pause; where others are told, they know 0.65 s later.
-    pub const CONFIGURATION: Duration = Duration::from_millis(1_800);
+    pub const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_800);
 
     /// How long a call for the list of servers may wait: a server that leaves may be used for 7 s
     /// after it said so, the shortest time that the platform's settings give.
-    pub const BACKENDS: Duration = Duration::from_secs(5);
+    pub const BACKENDS_WAIT: Duration = Duration::from_secs(5);
 
     /// How long a call for the list of entry hosts may wait: they change rarely, and the platform's
     /// limit is 30 s.
-    pub const PEERS: Duration = Duration::from_secs(25);
+    pub const PEERS_WAIT: Duration = Duration::from_secs(25);
 
     /// The store was restored from a copy: calls that wait were made for what it had before. Those
     /// that are made next find out by themselves.
-    pub fn restored(&self) {
+    pub fn cancel_after_restore(&self) {
         for follower in [&self.configuration, &self.backends, &self.peers] {
             follower.restored.notify_waiters();
         }
@@ -94,7 +94,7 @@
 
     /// The platform answers again after a call was lost. What waits was asked before, and may wait
     /// for nothing: lost calls and answers come together.
-    pub fn ask_again(&self) {
+    pub fn cancel_after_outage(&self) {
         for follower in [&self.configuration, &self.backends, &self.peers] {
             follower.outage.notify_waiters();
         }
@@ -104,9 +104,9 @@
 impl Default for Feeds {
     fn default() -> Feeds {
         Feeds {
-            configuration: Follower::new(Feeds::CONFIGURATION),
-            backends: Follower::new(Feeds::BACKENDS),
-            peers: Follower::new(Feeds::PEERS),
+            configuration: Follower::new(Feeds::CONFIGURATION_WAIT),
+            backends: Follower::new(Feeds::BACKENDS_WAIT),
+            peers: Follower::new(Feeds::PEERS_WAIT),
         }
     }
 }
@@ -118,37 +118,37 @@
             feed: RefCell::default(),
             behind: Notify::new(),
             outage: Notify::new(),
-            untold: Notify::new(),
+            peers_lost: Notify::new(),
             restored: Notify::new(),
-            copied: Notify::new(),
+            possibly_stale: Notify::new(),
             wait,
-            patience: Cell::new(Patience::Own),
+            stuck_detection: Cell::new(StuckDetection::Local),
         }
     }
 
     /// What was read may be that of a copy: all of it is read once more.
-    pub fn read_again(&self) {
-        self.copied.notify_one();
+    pub fn request_full_read(&self) {
+        self.possibly_stale.notify_one();
     }
 
     /// How long a call that is made now may wait for a change.
-    pub fn wait(&self, patience: Patience) -> Duration {
-        self.patience.set(patience);
+    pub fn max_wait(&self, patience: StuckDetection) -> Duration {
+        self.stuck_detection.set(patience);
         match patience {
-            Patience::Own => self.wait,
-            Patience::Told => Patience::TOLD,
+            StuckDetection::Local => self.wait,
+            StuckDetection::ByPeers => StuckDetection::BY_PEERS_WAIT,
         }
     }
 
     /// Everything up to `revision` was read.
-    pub fn read(&self, revision: u64, newest: Option<u64>) {
+    pub fn record_read(&self, revision: u64, newest: Option<u64>) {
         self.feed.borrow_mut().read(revision, newest);
     }
 
     /// Takes in how far `read` goes.
-    pub fn took<T>(&self, read: &Read<T>) {
+    pub fn record<T>(&self, read: &Read<T>) {
         let newest = read.newest.map(|Revision(newest)| newest);
-        self.read(read.revision.0, newest);
+        self.record_read(read.revision.0, newest);
     }
 
     /// The newest change that was read.
@@ -157,7 +157,7 @@
     }
 
     /// Another host has read a change at `newest`.
-    pub fn told(&self, newest: u64, now: Duration) {
+    pub fn record_peer_read(&self, newest: u64, now: Duration) {
         self.feed.borrow_mut().told(newest, now);
     }
 
@@ -168,10 +168,12 @@
 
     /// Has the call that waits given up if it is stuck, or if it was made while others would have
     /// told that, and they no longer can.
-    pub fn look(&self, patience: Patience, now: Duration) {
-        if (self.patience.get(), patience) == (Patience::Told, Patience::Own) {
-            self.patience.set(patience);
-            self.untold.notify_waiters();
+    pub fn check_stuck(&self, patience: StuckDetection, now: Duration) {
+        if (self.stuck_detection.get(), patience)
+            == (StuckDetection::ByPeers, StuckDetection::Local)
+        {
+            self.stuck_detection.set(patience);
+            self.peers_lost.notify_waiters();
         }
         let mut feed = self.feed.borrow_mut();
         if feed.is_stuck(now) {
@@ -181,21 +183,21 @@
     }
 
     /// What `call` gives, unless there is a doubt whether it ever gives anything.
-    pub async fn unless_in_doubt<T>(&self, call: impl Future<Output = T>) -> Ended<T> {
+    pub async fn run_cancellable<T>(&self, call: impl Future<Output = T>) -> WaitOutcome<T> {
         tokio::select! {
             biased;
-            answer = call => Ended::Answered(answer),
-            () = self.behind.notified() => Ended::GivenUp(Doubt::Behind),
-            () = self.outage.notified() => Ended::GivenUp(Doubt::Outage),
-            () = self.untold.notified() => Ended::GivenUp(Doubt::Untold),
-            () = self.restored.notified() => Ended::GivenUp(Doubt::Restored),
-            () = self.copied.notified() => Ended::GivenUp(Doubt::Copied),
+            answer = call => WaitOutcome::Answered(answer),
+            () = self.behind.notified() => WaitOutcome::Cancelled(CancelReason::Behind),
+            () = self.outage.notified() => WaitOutcome::Cancelled(CancelReason::Outage),
+            () = self.peers_lost.notified() => WaitOutcome::Cancelled(CancelReason::PeersLost),
+            () = self.restored.notified() => WaitOutcome::Cancelled(CancelReason::Restored),
+            () = self.possibly_stale.notified() => WaitOutcome::Cancelled(CancelReason::PossiblyStale),
         }
     }
 }
 
-impl Patience {
+impl StuckDetection {
     /// How long a call may wait whose host is told when it is stuck: the platform's limit is 30 s.
     /// With 5 s for all, 65 hosts made 3,200 calls a minute, more than any other call.
-    const TOLD: Duration = Duration::from_secs(25);
+    const BY_PEERS_WAIT: Duration = Duration::from_secs(25);
 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -15,36 +15,36 @@
 
 use crate::codec::Codec;
 use crate::event::Event;
-use crate::feeds::{Feeds, Patience};
+use crate::feeds::{Feeds, StuckDetection};
 use crate::meter;
-use crate::peer::News;
+use crate::peer::FeedProgress;
 use crate::platform::{Backend, Change, Configuration, Entry, Peer, Service as Configured};
+use crate::reported_faults::ReportedFaults;
 use crate::route::Route;
 use crate::service::{Service, Source};
 use crate::site::Site;
-use crate::told::Told;
 
-mod copied;
-mod homes;
+mod incarnations;
 mod peers;
-mod starts;
-mod strangers;
+mod placement;
+mod restored;
+mod unusable_entries;
 
-pub use homes::Home;
-use homes::spread;
-use strangers::{CONFIGURATION, SERVERS, backend_id};
+pub use placement::ServingHost;
+use placement::rendezvous_hash;
+use unusable_entries::{CONFIGURATION, SERVERS, backend_id};
 
 /// How long an entry that has gone from the list is still believed in. Entries of living servers
 /// lapse while the platform's store is away and are back within two seconds of its return; the
 /// bound on work for servers that have left is several seconds.
-pub const LAPSE: Duration = Duration::from_millis(2_300);
+pub const UNLISTED_GRACE: Duration = Duration::from_millis(2_300);
 
 /// For how long a server that was dropped is remembered: longer than a copy of the store is old
 /// from which it is restored, which is some seconds.
-const DROPPED: Duration = Duration::from_secs(30);
+const DROPPED_RETENTION: Duration = Duration::from_secs(30);
 
 /// Up to this many hosts all ask each other whether they are in touch.
-const SMALL: usize = 9;
+const SMALL_FLEET_HOSTS: usize = 9;
 
 /// What this host knows of the fleet.
 pub struct Fleet<C: Codec> {
@@ -53,38 +53,38 @@
     services: RefCell<BTreeMap<String, Rc<Service<C>>>>,
     servers: RefCell<Servers>,
     /// Entries of servers whose service no configuration names yet, by id.
-    unnamed: RefCell<BTreeMap<String, Backend>>,
-    told: RefCell<Told>,
+    unconfigured: RefCell<BTreeMap<String, Backend>>,
+    reported_faults: RefCell<ReportedFaults>,
     peers: RefCell<Peers>,
     quorum: RefCell<Quorum>,
     epochs: RefCell<Epochs>,
     /// The other hosts whose majority counts; worked out anew with each change of the list, since
     /// heartbeats and elections ask for them many times a second.
     electors: RefCell<Vec<(HostKey, Peer)>>,
-    /// Other hosts are to be asked at once: who they are, or which servers there are, is news.
+    /// Other hosts are to be asked at once: who they are, or which servers there are, is progress.
     pub contact_due: Notify,
     /// How far the platform's feeds have been read.
     pub feeds: Rc<Feeds>,
-    listed: Cell<bool>,
+    server_list_read: Cell<bool>,
 }
 
 #[derive(Default)]
 struct Servers {
     keys: SlotMap<ServerKey, String>,
-    by_id: BTreeMap<String, Listed>,
+    by_id: BTreeMap<String, ListedServer>,
     /// Entries that name no server, by id.
     unreadable: BTreeSet<String>,
     /// Starts of servers that were dropped lately, and when.
     dropped: BTreeMap<String, (Incarnation, Duration)>,
 }
 
-struct Listed {
+struct ListedServer {
     /// Stands for one start of the server: what is kept by it goes with it.
     key: ServerKey,
     incarnation: Incarnation,
     service: String,
     /// When it went from the list.
-    gone: Option<Duration>,
+    missing_since: Option<Duration>,
     /// It has said that it is about to leave.
     leaving: bool,
 }
@@ -103,15 +103,15 @@
             configuration: RefCell::default(),
             services: RefCell::default(),
             servers: RefCell::default(),
-            unnamed: RefCell::default(),
-            told: RefCell::default(),
+            unconfigured: RefCell::default(),
+            reported_faults: RefCell::default(),
             peers: RefCell::default(),
             quorum: RefCell::default(),
             epochs: RefCell::default(),
             electors: RefCell::default(),
             contact_due: Notify::new(),
             feeds: Rc::default(),
-            listed: Cell::new(false),
+            server_list_read: Cell::new(false),
         }
     }
 
@@ -129,7 +129,7 @@
     /// Whether enough is known to serve callers.
     pub fn is_known(&self) -> bool {
         let hosts = self.quorum.borrow().knows_hosts();
-        hosts && self.listed.get() && self.version() > 0
+        hosts && self.server_list_read.get() && self.version() > 0
     }
 
     /// Whether the list of servers names all that may lead, as far as can be told.
@@ -139,7 +139,7 @@
     pub fn knows_all_servers(&self) -> bool {
         let copied = self.epochs.borrow().may_be_copied(self.site.now());
         let unreadable = !self.servers.borrow().unreadable.is_empty();
-        !copied && !unreadable && self.unnamed.borrow().is_empty()
+        !copied && !unreadable && self.unconfigured.borrow().is_empty()
     }
 
     /// Whether the configuration in force is that of a copy: the store was restored a moment ago, and other
@@ -147,7 +147,7 @@
     ///
     /// Guards against callers that are sent to a host which has just started, and is the only one that does
     /// not know what operators have changed lately.
-    pub fn has_copied_configuration(&self) -> bool {
+    pub fn has_outdated_configuration(&self) -> bool {
         let now = self.site.now();
         self.feeds.configuration.is_behind() && self.epochs.borrow().may_be_copied(now)
     }
@@ -156,7 +156,7 @@
     pub fn route(&self, database: &str) -> Option<(Route, Rc<Service<C>>)> {
         let configuration = self.configuration()?;
         let route = configuration.routes.get(database)?;
-        Some((route.clone(), self.service(&route.service)))
+        Some((route.clone(), self.service_or_new(&route.service)))
     }
 
     /// How long a statement on `database` may take, by its route.
@@ -166,7 +166,7 @@
     }
 
     /// The service called `name`, if it has servers.
-    pub fn named(&self, name: &str) -> Option<Rc<Service<C>>> {
+    pub fn find_service(&self, name: &str) -> Option<Rc<Service<C>>> {
         self.services.borrow().get(name).cloned()
     }
 
@@ -189,82 +189,82 @@
             millis: took.as_millis(),
         });
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
-        self.told.borrow_mut().all_mended(CONFIGURATION);
+        self.reported_faults.borrow_mut().clear_table(CONFIGURATION);
         invariant::check(Invariant::UpwardConfiguration, version > before, || {
             format!("version {version} after {before}")
         });
         // Servers may register before the operators configure their service.
-        let unnamed = std::mem::take(&mut *self.unnamed.borrow_mut());
+        let unnamed = std::mem::take(&mut *self.unconfigured.borrow_mut());
         for backend in unnamed.into_values() {
-            self.change(Change::Put(backend));
+            self.apply_server_change(Change::Put(backend));
         }
-        self.allot();
+        self.allot_connections();
     }
 
     /// Takes a whole list of servers: what it lacks has gone.
     ///
     /// One that a store was restored with may be outdated: it takes back nothing that was known
     /// before, until servers have written their entries anew.
-    pub fn list(&self, entries: Vec<Entry<Backend>>) {
+    pub fn apply_server_list(&self, entries: Vec<Entry<Backend>>) {
         let named: BTreeSet<&str> = entries.iter().map(backend_id).collect();
         let missing: Vec<String> = {
-            let (servers, unnamed) = (self.servers.borrow(), self.unnamed.borrow());
+            let (servers, unnamed) = (self.servers.borrow(), self.unconfigured.borrow());
             let known = servers.by_id.keys().chain(unnamed.keys());
             let known = known.chain(&servers.unreadable);
             let missing = known.filter(|id| !named.contains(id.as_str()));
             missing.cloned().collect()
         };
         for id in missing {
-            self.change(Change::Gone(id));
+            self.apply_server_change(Change::Removed(id));
         }
         let copied = self.epochs.borrow().may_be_copied(self.site.now());
         for entry in entries {
             match Change::from(entry) {
-                Change::Put(backend) if copied => self.put_copied(backend),
-                change => self.change(change),
+                Change::Put(backend) if copied => self.put_restored(backend),
+                change => self.apply_server_change(change),
             }
         }
-        if !self.listed.replace(true) {
+        if !self.server_list_read.replace(true) {
             self.contact_due.notify_one();
         }
     }
 
     /// Takes one change of the list of servers.
-    pub fn change(&self, change: Change<Backend>) {
+    pub fn apply_server_change(&self, change: Change<Backend>) {
         match change {
-            Change::Put(backend) if self.names(&backend.service) => {
-                self.put(&backend, Source::Server);
+            Change::Put(backend) if self.has_service(&backend.service) => {
+                self.put_server(&backend, Source::Server);
             }
             Change::Put(backend) if self.is_former(&backend) => {}
-            Change::Put(backend) => self.put_aside(backend),
-            Change::Spoilt(unusable) => {
-                self.spoilt(SERVERS, &unusable);
-                self.gone(&unusable.id);
+            Change::Put(backend) => self.set_aside(backend),
+            Change::Unusable(unusable) => {
+                self.report_unusable(SERVERS, &unusable);
+                self.mark_missing(&unusable.id);
                 let mut servers = self.servers.borrow_mut();
                 servers.unreadable.insert(unusable.id);
             }
-            Change::Gone(id) => self.gone(&id),
+            Change::Removed(id) => self.mark_missing(&id),
         }
     }
 
     /// The entry of server `id` has gone or names no server any more. Both may pass: entries of
     /// living servers lapse, and a server writes its entry anew over what somebody else has put in
-    /// its place. So the server is used for [`LAPSE`] longer, which is within the time in which
+    /// its place. So the server is used for [`UNLISTED_GRACE`] longer, which is within the time in which
     /// servers that have left still serve; dropped at once, a primary would lose its transactions
     /// and be replaced for an entry that is good again a heartbeat later.
-    fn gone(&self, id: &str) {
-        self.unnamed.borrow_mut().remove(id);
+    fn mark_missing(&self, id: &str) {
+        self.unconfigured.borrow_mut().remove(id);
         let now = self.site.now();
         let mut servers = self.servers.borrow_mut();
         servers.unreadable.remove(id);
         if let Some(listed) = servers.by_id.get_mut(id) {
-            listed.gone.get_or_insert(now);
+            listed.missing_since.get_or_insert(now);
         }
     }
 
     /// Drops servers whose entries have been gone for long enough. While `blind`, the list cannot
     /// be read, so nothing is known to be missing.
-    pub fn drop_lapsed(&self, blind: bool) {
+    pub fn drop_missing_servers(&self, list_unreadable: bool) {
         let now = self.site.now();
         let mut lapsed = Vec::new();
         {
@@ -275,16 +275,16 @@
                 dropped,
                 ..
             } = &mut *servers;
-            dropped.retain(|_, (_, at)| now < *at + DROPPED);
+            dropped.retain(|_, (_, at)| now < *at + DROPPED_RETENTION);
             by_id.retain(|id, entry| {
-                let Some(gone) = &mut entry.gone else {
+                let Some(gone) = &mut entry.missing_since else {
                     return true;
                 };
-                if blind {
+                if list_unreadable {
                     *gone = now;
                     return true;
                 }
-                if now < *gone + LAPSE {
+                if now < *gone + UNLISTED_GRACE {
                     return true;
                 }
                 keys.remove(entry.key);
@@ -299,16 +299,16 @@
                 server,
                 millis: since.as_millis(),
             });
-            self.service(&service).unlisted(key);
+            self.service_or_new(&service).unlisted(key);
         }
     }
 
     /// How far this host has read what the platform tells.
-    pub fn news(&self) -> News {
+    pub fn feed_progress(&self) -> FeedProgress {
         let now = self.site.now();
         let epochs = self.epochs.borrow();
         let restored = epochs.restored().map(|at| now.saturating_sub(at));
-        News {
+        FeedProgress {
             configuration: self.feeds.configuration.newest(),
             backends: self.feeds.backends.newest(),
             epoch: epochs.heard().0,
@@ -317,49 +317,51 @@
     }
 
     /// Reads of `service` wait for a sample of how far its primary is: the other hosts are asked at once.
-    pub fn ask_for_sample(&self, service: &Service<C>) {
+    pub fn request_sample(&self, service: &Service<C>) {
         if service.want_sample() {
             self.contact_due.notify_one();
         }
     }
 
-    /// Another host has read as far as `news`.
-    pub fn told(&self, news: News) {
+    /// Another host has read as far as `progress`.
+    pub fn record_peer_progress(&self, progress: FeedProgress) {
         let now = self.site.now();
-        let epoch = Epoch(news.epoch);
-        if let Some(millis) = news.restored {
+        let epoch = Epoch(progress.epoch);
+        if let Some(millis) = progress.restored {
             let age = Duration::from_millis(u64::from(millis));
             let mut epochs = self.epochs.borrow_mut();
             epochs.told_of_restore(epoch, now.saturating_sub(age));
         }
-        self.feeds.configuration.told(news.configuration, now);
-        self.feeds.backends.told(news.backends, now);
+        self.feeds
+            .configuration
+            .record_peer_read(progress.configuration, now);
+        self.feeds.backends.record_peer_read(progress.backends, now);
     }
 
     /// Has calls given up that wait for what others have read already, or that others no longer
     /// look after.
-    pub fn look_at_feeds(&self) {
+    pub fn check_feeds(&self) {
         let now = self.site.now();
-        let patience = self.patience();
-        self.feeds.configuration.look(patience, now);
-        self.feeds.backends.look(patience, now);
+        let patience = self.stuck_detection();
+        self.feeds.configuration.check_stuck(patience, now);
+        self.feeds.backends.check_stuck(patience, now);
     }
 
     /// Whether all hosts ask all others.
     pub fn is_small(&self) -> bool {
-        self.peers.borrow().by_host.len() < SMALL
+        self.peers.borrow().by_host.len() < SMALL_FLEET_HOSTS
     }
 
     /// Who notices that a call which waits for changes is stuck.
     ///
     /// The hosts that all others ask find out for themselves whether a feed is stuck, and so do
     /// all where they are few. The others are told, for as long as they hear most of those.
-    pub fn patience(&self) -> Patience {
+    pub fn stuck_detection(&self) -> StuckDetection {
         let quorum = self.quorum.borrow();
         let is_told = !quorum.takes_part() && quorum.holds_lease(self.site.now());
         match is_told && !self.is_small() {
-            true => Patience::Told,
-            false => Patience::Own,
+            true => StuckDetection::ByPeers,
+            false => StuckDetection::Local,
         }
     }
 
@@ -369,20 +371,20 @@
     }
 
     /// Another host has heard of `epoch`.
-    pub fn told_epoch(&self, host: HostKey, epoch: Epoch) {
+    pub fn record_peer_epoch(&self, host: HostKey, epoch: Epoch) {
         if self.with_epochs(|epochs, now| epochs.told(host, epoch, now)) {
-            self.feeds.restored();
+            self.feeds.cancel_after_restore();
         }
     }
 
     /// The store has answered in `epoch`. Returns whether what it said holds: it does not where the
     /// epoch is over.
-    pub fn saw_epoch(&self, epoch: Epoch) -> bool {
+    pub fn observe_epoch(&self, epoch: Epoch) -> bool {
         match self.with_epochs(|epochs, now| epochs.saw(epoch, now)) {
             Sighting::Known => true,
             Sighting::Former => false,
             Sighting::Restored { before } => {
-                self.restored(before, epoch);
+                self.handle_store_restore(before, epoch);
                 true
             }
         }
@@ -390,7 +392,7 @@
 
     /// The store has come back from a copy: all lists are read anew, that of servers once more when
     /// they have had the time to write their entries.
-    fn restored(&self, before: Epoch, epoch: Epoch) {
+    fn handle_store_restore(&self, before: Epoch, epoch: Epoch) {
         meter::store_restored();
         self.site.log(&Event::StoreRestored {
             before: before.0,
@@ -399,11 +401,11 @@
             servers: self.servers.borrow().by_id.len(),
             hosts: self.peers.borrow().by_host.len(),
         });
-        self.feeds.restored();
+        self.feeds.cancel_after_restore();
         let feeds = Rc::clone(&self.feeds);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(SERVERS_REWRITTEN).await;
-            feeds.backends.read_again();
+            feeds.backends.request_full_read();
         });
     }
 
@@ -434,11 +436,13 @@
         configuration.as_ref()?.services.get(service).copied()
     }
 
-    fn put(&self, backend: &Backend, source: Source) {
-        self.told.borrow_mut().mended(SERVERS, &backend.id);
-        self.unnamed.borrow_mut().remove(&backend.id);
+    fn put_server(&self, backend: &Backend, source: Source) {
+        self.reported_faults
+            .borrow_mut()
+            .clear(SERVERS, &backend.id);
+        self.unconfigured.borrow_mut().remove(&backend.id);
         self.servers.borrow_mut().unreadable.remove(&backend.id);
-        let Some((key, start)) = self.take_in(backend) else {
+        let Some((key, start)) = self.resolve_incarnation(backend) else {
             return;
         };
         self.site.log(&Event::Listed {
@@ -447,9 +451,9 @@
             address: backend.address,
             role: backend.role,
             leaving: backend.leaving,
-            revision: backend.changed,
+            revision: backend.revision,
         });
-        let service = self.service(&backend.service);
+        let service = self.service_or_new(&backend.service);
         let slots = service.slots();
         service.listed(key, backend, start, source);
         // Which hosts serve it depends on what its servers run at once.
@@ -458,8 +462,8 @@
         }
     }
 
-    fn service(&self, name: &str) -> Rc<Service<C>> {
-        if let Some(service) = self.named(name) {
+    fn service_or_new(&self, name: &str) -> Rc<Service<C>> {
+        if let Some(service) = self.find_service(name) {
             return service;
         }
         let service = Rc::new(Service::new(name.to_owned(), Rc::clone(&self.site)));
--- a/crates/proxy/src/fleet/starts.rs
+++ b/crates/proxy/src/fleet/incarnations.rs
@@ -3,29 +3,32 @@
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
 
-use super::{Fleet, Listed, Servers};
+use super::{Fleet, ListedServer, Servers};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::platform::Backend;
 use crate::service::Start;
 
 /// Which start of a server an entry of the list speaks of.
-enum Sighting {
+enum IncarnationMatch {
     /// The one that is known, or the first.
     Known(ServerKey),
     /// A newer one, or the same as a server of another service.
-    Newer { key: ServerKey, before: Listed },
+    Newer {
+        key: ServerKey,
+        before: ListedServer,
+    },
     /// One before the one that is known.
     Former(Incarnation),
 }
 
-impl Listed {
-    fn new(key: ServerKey, backend: &Backend) -> Listed {
-        Listed {
+impl ListedServer {
+    fn new(key: ServerKey, backend: &Backend) -> ListedServer {
+        ListedServer {
             key,
             incarnation: backend.incarnation,
             service: backend.service.clone(),
-            gone: None,
+            missing_since: None,
             leaving: backend.leaving,
         }
     }
@@ -37,11 +40,11 @@
     /// Guards against what was known of a former start: a key stands for one start of a server, and
     /// connections, positions, lag, window, contact and roles are kept by it, so that they go with
     /// it. An entry that comes late, by a store that answers from the past, changes nothing.
-    pub(super) fn take_in(&self, backend: &Backend) -> Option<(ServerKey, Start)> {
-        match self.sight(backend) {
-            Sighting::Known(key) => Some((key, Start::Known)),
-            Sighting::Newer { key, before } => {
-                self.service(&before.service).restarted(before.key);
+    pub(super) fn resolve_incarnation(&self, backend: &Backend) -> Option<(ServerKey, Start)> {
+        match self.match_incarnation(backend) {
+            IncarnationMatch::Known(key) => Some((key, Start::Known)),
+            IncarnationMatch::Newer { key, before } => {
+                self.service_or_new(&before.service).restarted(before.key);
                 if backend.incarnation == before.incarnation {
                     return Some((key, Start::Known));
                 }
@@ -53,7 +56,7 @@
                 });
                 Some((key, Start::Again(before.key)))
             }
-            Sighting::Former(newest) => {
+            IncarnationMatch::Former(newest) => {
                 self.site.log(&Event::FormerStart {
                     service: backend.service.clone(),
                     server: backend.id.clone(),
@@ -65,26 +68,26 @@
         }
     }
 
-    fn sight(&self, backend: &Backend) -> Sighting {
+    fn match_incarnation(&self, backend: &Backend) -> IncarnationMatch {
         let mut servers = self.servers.borrow_mut();
         let Servers { keys, by_id, .. } = &mut *servers;
         let Some(listed) = by_id.get_mut(&backend.id) else {
             let key = keys.insert(backend.id.clone());
-            by_id.insert(backend.id.clone(), Listed::new(key, backend));
-            return Sighting::Known(key);
+            by_id.insert(backend.id.clone(), ListedServer::new(key, backend));
+            return IncarnationMatch::Known(key);
         };
         if backend.incarnation < listed.incarnation {
-            return Sighting::Former(listed.incarnation);
+            return IncarnationMatch::Former(listed.incarnation);
         }
-        listed.gone = None;
+        listed.missing_since = None;
         listed.leaving = backend.leaving;
         if backend.incarnation == listed.incarnation && backend.service == listed.service {
-            return Sighting::Known(listed.key);
+            return IncarnationMatch::Known(listed.key);
         }
         keys.remove(listed.key);
         let key = keys.insert(backend.id.clone());
-        let before = std::mem::replace(listed, Listed::new(key, backend));
-        Sighting::Newer { key, before }
+        let before = std::mem::replace(listed, ListedServer::new(key, backend));
+        IncarnationMatch::Newer { key, before }
     }
 
     /// Whether `backend` speaks of a start before the one that is listed.
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -5,22 +5,22 @@
 
 use flamingopost_core::key::HostKey;
 
-use super::strangers::{HOSTS, peer_id};
-use super::{Fleet, spread};
+use super::unusable_entries::{HOSTS, peer_id};
+use super::{Fleet, rendezvous_hash};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::platform::{Change, Entry, Peer};
 
 /// In larger fleets so many hosts, spread over the availability zones, are asked by all: what a
 /// host sends stays the same however many there are. Odd, so that halves cannot tie.
-const ELECTORS: usize = 7;
+const MAX_ELECTORS: usize = 7;
 
 impl<C: Codec> Fleet<C> {
     /// Takes a whole list of hosts.
     ///
     /// Hosts that are missing where the store was just restored have announced themselves after the
     /// copy was taken, and do so again. Guards against majorities that are counted without them.
-    pub fn list_peers(&self, entries: Vec<Entry<Peer>>) {
+    pub fn apply_host_list(&self, entries: Vec<Entry<Peer>>) {
         let named: BTreeSet<&str> = entries.iter().map(peer_id).collect();
         let copied = self.epochs.borrow().may_be_copied(self.site.now());
         let missing: Vec<String> = {
@@ -29,25 +29,25 @@
             let missing = known.filter(|host| !named.contains(host.as_str()));
             missing.cloned().collect()
         };
-        let gone = missing.into_iter().map(Change::Gone);
+        let gone = missing.into_iter().map(Change::Removed);
         let rest = entries.into_iter().map(Change::from);
-        self.take_peers(gone.chain(rest).collect());
+        self.update_hosts(gone.chain(rest).collect());
     }
 
     /// Takes changes of the list of hosts.
-    pub fn change_peers(&self, changes: Vec<Change<Peer>>) {
+    pub fn apply_host_changes(&self, changes: Vec<Change<Peer>>) {
         if !changes.is_empty() {
-            self.take_peers(changes);
+            self.update_hosts(changes);
         }
     }
 
     /// Takes changes, and works out what follows from the list once for all of them: that walks over
     /// all hosts, and a host that starts is told of each.
-    fn take_peers(&self, changes: Vec<Change<Peer>>) {
+    fn update_hosts(&self, changes: Vec<Change<Peer>>) {
         for change in changes {
-            self.change_peer(change);
+            self.apply_host_change(change);
         }
-        let (electors, takes_part) = self.elect();
+        let (electors, takes_part) = self.choose_electors();
         let others = electors.iter().map(|(key, _)| *key).collect();
         *self.electors.borrow_mut() = electors;
         let now = self.site.now();
@@ -57,14 +57,14 @@
             quorum.list(others, now);
         }
         self.contact_due.notify_one();
-        self.allot();
+        self.allot_connections();
     }
 
-    fn change_peer(&self, change: Change<Peer>) {
+    fn apply_host_change(&self, change: Change<Peer>) {
         match change {
             Change::Put(peer) if peer.host == self.site.host => {}
             Change::Put(peer) => {
-                self.told.borrow_mut().mended(HOSTS, &peer.host);
+                self.reported_faults.borrow_mut().clear(HOSTS, &peer.host);
                 self.site.log(&Event::PeerListed {
                     host: peer.host.clone(),
                     zone: peer.zone.clone(),
@@ -79,8 +79,8 @@
             }
             // A host that is known stays: it has not withdrawn, and without it fewer hosts would
             // be a majority than without its word may be one.
-            Change::Spoilt(unusable) => self.spoilt(HOSTS, &unusable),
-            Change::Gone(host) => {
+            Change::Unusable(unusable) => self.report_unusable(HOSTS, &unusable),
+            Change::Removed(host) => {
                 let mut peers = self.peers.borrow_mut();
                 if let Some((key, _)) = peers.by_host.remove(&host) {
                     peers.keys.remove(key);
@@ -123,7 +123,7 @@
     }
 
     /// The other hosts whose majority counts, and whether this one is of their number.
-    fn elect(&self) -> (Vec<(HostKey, Peer)>, bool) {
+    fn choose_electors(&self) -> (Vec<(HostKey, Peer)>, bool) {
         let peers = self.peers();
         if self.is_small() {
             return (peers, true);
@@ -135,7 +135,7 @@
             .iter()
             .map(|(_, peer)| (peer.zone.as_str(), peer.host.as_str()));
         for (zone, host) in hosts.chain([own]) {
-            let order = spread("electors", host);
+            let order = rendezvous_hash("electors", host);
             zones.entry(zone).or_default().push((order, host));
         }
         let mut order: Vec<(usize, &str)> = Vec::new();
@@ -149,7 +149,7 @@
             );
         }
         order.sort_by_key(|(place, _)| *place);
-        order.truncate(ELECTORS);
+        order.truncate(MAX_ELECTORS);
         let elected = |host: &str| order.iter().any(|(_, elected)| *elected == host);
         let takes_part = elected(&self.site.host);
         let chosen = peers.iter().filter(|(_, peer)| elected(&peer.host));
--- a/crates/proxy/src/fleet/copied.rs
+++ b/crates/proxy/src/fleet/restored.rs
@@ -12,7 +12,7 @@
     /// Guards against new work for servers that had left or were about to: the copy lists them as they
     /// were before they said so. A server that is alive writes its entry anew within two seconds, and
     /// the list is read once more when it has.
-    pub(super) fn put_copied(&self, mut backend: Backend) {
+    pub(super) fn put_restored(&self, mut backend: Backend) {
         if self.has_dropped(&backend) {
             self.site.log(&Event::CopyIgnored {
                 service: backend.service.clone(),
@@ -21,9 +21,9 @@
             return;
         }
         backend.leaving |= self.is_leaving(&backend);
-        match self.names(&backend.service) {
-            true => self.put(&backend, Source::Copy),
-            false => self.put_aside(backend),
+        match self.has_service(&backend.service) {
+            true => self.put_server(&backend, Source::Copy),
+            false => self.set_aside(backend),
         }
     }
 
--- a/crates/proxy/src/fleet/strangers.rs
+++ b/crates/proxy/src/fleet/unusable_entries.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Fleet;
 use crate::meter;
 use crate::platform::{Backend, Entry, Peer};
-use crate::unusable::Unusable;
+use crate::unusable::UnusableEntry;
 
 /// What entries that cannot be used are of.
 pub(super) const CONFIGURATION: &str = "configuration";
@@ -15,8 +15,8 @@
 
 impl<C: Codec> Fleet<C> {
     /// Says that a configuration cannot be read; the one in force stays.
-    pub fn refuse(&self, unusable: &Unusable) {
-        if !self.is_news(CONFIGURATION, unusable) {
+    pub fn refuse_configuration(&self, unusable: &UnusableEntry) {
+        if !self.record_fault(CONFIGURATION, unusable) {
             return;
         }
         let version = unusable.version.map(|version| version.to_string());
@@ -24,51 +24,53 @@
             version: version.unwrap_or_else(|| "unknown".to_owned()),
             kept: self.version(),
             fault: unusable.fault.to_string(),
-            revision: unusable.changed,
+            revision: unusable.revision,
         });
     }
 
     /// Keeps the entry of a server whose service no configuration names, for one that does. Nothing
     /// may connect to it before: only the operators say which services there are.
-    pub(super) fn put_aside(&self, backend: Backend) {
+    pub(super) fn set_aside(&self, backend: Backend) {
         if self.version() > 0 {
-            let unusable = Unusable {
+            let unusable = UnusableEntry {
                 id: backend.id.clone(),
                 fault: Fault::Service(quote(&backend.service)),
                 version: None,
-                changed: backend.changed,
+                revision: backend.revision,
             };
-            self.spoilt(SERVERS, &unusable);
+            self.report_unusable(SERVERS, &unusable);
         }
-        self.gone(&backend.id);
-        let mut unnamed = self.unnamed.borrow_mut();
+        self.mark_missing(&backend.id);
+        let mut unnamed = self.unconfigured.borrow_mut();
         unnamed.insert(backend.id.clone(), backend);
     }
 
     /// Says that an entry of `table` names nothing, once for each fault that it has.
-    pub(super) fn spoilt(&self, table: &'static str, unusable: &Unusable) {
-        if self.is_news(table, unusable) {
+    pub(super) fn report_unusable(&self, table: &'static str, unusable: &UnusableEntry) {
+        if self.record_fault(table, unusable) {
             self.site.log(&Event::Spoilt {
                 table,
                 id: quote(&unusable.id),
                 fault: unusable.fault.to_string(),
-                revision: unusable.changed,
+                revision: unusable.revision,
             });
         }
     }
 
-    fn is_news(&self, table: &'static str, unusable: &Unusable) -> bool {
-        let is_news = self.told.borrow_mut().is_news(table, unusable);
-        if is_news {
-            meter::unusable(table, unusable.fault.label());
+    fn record_fault(&self, table: &'static str, unusable: &UnusableEntry) -> bool {
+        let is_new = self.reported_faults.borrow_mut().record(table, unusable);
+        if is_new {
+            meter::unusable_entry(table, unusable.fault.label());
         }
-        is_news
+        is_new
     }
 
     /// Whether the configuration in force knows the service `name`.
-    pub(super) fn names(&self, name: &str) -> bool {
+    pub(super) fn has_service(&self, name: &str) -> bool {
         let configuration = self.configuration.borrow();
-        configuration.as_ref().is_some_and(|it| it.names(name))
+        configuration
+            .as_ref()
+            .is_some_and(|it| it.has_service(name))
     }
 }
 
--- a/crates/proxy/src/host.rs
+++ b/crates/proxy/src/host.rs
@@ -32,18 +32,18 @@
 const NAME: &str = "flamingopost";
 
 /// Time between two looks at what is due by time alone.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long a caller that stops reading or is cut off keeps its session.
 const CALLER_SILENCE: Duration = Duration::from_secs(8);
 
 /// New callers still come for this long after the host says that it is not ready: the balancer
 /// asks once a second and believes the second refusal.
-const ROTATION: Duration = Duration::from_millis(2_300);
+const BALANCER_ROTATION: Duration = Duration::from_millis(2_300);
 
 /// A host that misses a primary which others reach says that it is not ready after this long: a
 /// moment's disagreement is no reason to move callers.
-const UNFIT: Duration = Duration::from_millis(200);
+const UNREADY_DELAY: Duration = Duration::from_millis(200);
 
 /// What a host is told by its settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -112,7 +112,7 @@
 
     /// Ends all sessions that are open now, each as soon as it has no transaction: their callers
     /// are served better by other hosts.
-    pub fn move_away(&self) {
+    pub fn move_sessions(&self) {
         self.moves.send_modify(|moves| *moves += 1);
     }
 
@@ -122,21 +122,21 @@
     }
 
     /// Returns when a session without a transaction, which began after `moves` moves, has to end.
-    pub async fn sessions(&self, moves: u64) {
+    pub async fn sessions_must_end(&self, moves: u64) {
         let mut moved = self.moves.subscribe();
         tokio::select! {
-            () = self.reached(Phase::Closing) => {}
+            () = self.wait_for_phase(Phase::Closing) => {}
             // The sender lives in `self`, so waiting cannot fail.
             _ = moved.wait_for(|now| *now > moves) => {}
         }
     }
 
     /// Returns when transactions have to end.
-    pub async fn transactions(&self) {
-        self.reached(Phase::Ending).await;
+    pub async fn transactions_must_end(&self) {
+        self.wait_for_phase(Phase::Ending).await;
     }
 
-    async fn reached(&self, phase: Phase) {
+    async fn wait_for_phase(&self, phase: Phase) {
         let mut receiver = self.phase.subscribe();
         // The sender lives in `self`, so waiting cannot fail.
         let _ = receiver.wait_for(|current| *current >= phase).await;
@@ -201,9 +201,11 @@
         let (fleet, stop) = (Rc::clone(&fleet), Rc::clone(&stop));
         let election = Rc::clone(&election);
         move |_path: &str| {
-            let knows = fleet.is_known() && !fleet.has_copied_configuration();
+            let knows = fleet.is_known() && !fleet.has_outdated_configuration();
             let running = stop.phase() == Phase::Running && knows;
-            let fit = election.outvoted().is_none_or(|lasts| lasts < UNFIT);
+            let fit = election
+                .outvoted()
+                .is_none_or(|lasts| lasts < UNREADY_DELAY);
             match running && fit {
                 true => (StatusCode::OK, String::new()),
                 false => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
@@ -212,12 +214,15 @@
     };
     tokio::task::spawn_local(probe::serve(probes, readiness));
     tokio::task::spawn_local(Rc::clone(&election).listen());
-    tokio::task::spawn_local(Rc::clone(&election).keep_contact());
-    tokio::task::spawn_local(Rc::clone(&watch).configuration());
-    tokio::task::spawn_local(Rc::clone(&watch).backends());
-    tokio::task::spawn_local(Rc::clone(&watch).peers(own));
+    tokio::task::spawn_local(Rc::clone(&election).send_heartbeats());
+    tokio::task::spawn_local(Rc::clone(&watch).follow_configuration());
+    tokio::task::spawn_local(Rc::clone(&watch).follow_servers());
+    tokio::task::spawn_local(Rc::clone(&watch).follow_hosts(own));
     tokio::task::spawn_local(tick(Rc::clone(&fleet), Rc::clone(&watch)));
-    tokio::task::spawn_local(move_away(Rc::clone(&election), Rc::clone(&stop)));
+    tokio::task::spawn_local(move_sessions_when_outvoted(
+        Rc::clone(&election),
+        Rc::clone(&stop),
+    ));
 
     let context = Rc::new(Context {
         site: Rc::clone(&site),
@@ -245,20 +250,20 @@
 /// new, then idle sessions end, and transactions get half of the grace to end by themselves.
 async fn drain(stop: &Stop, open: &Cell<usize>, grace: Duration) {
     stop.advance(Phase::Unready);
-    let rotation = ROTATION.min(grace / 3);
+    let rotation = BALANCER_ROTATION.min(grace / 3);
     tokio::time::sleep(rotation).await;
     stop.advance(Phase::Closing);
-    if all_over(open, (grace / 2).saturating_sub(rotation)).await {
+    if wait_for_sessions(open, (grace / 2).saturating_sub(rotation)).await {
         return;
     }
     stop.advance(Phase::Ending);
-    all_over(open, grace / 3).await;
+    wait_for_sessions(open, grace / 3).await;
 }
 
-async fn all_over(open: &Cell<usize>, limit: Duration) -> bool {
+async fn wait_for_sessions(open: &Cell<usize>, limit: Duration) -> bool {
     let over = async {
         while open.get() > 0 {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
     };
     tokio::time::timeout(limit, over).await.is_ok()
@@ -269,27 +274,30 @@
 ///
 /// Callers in a zone that is cut off reach its hosts only by the balancer's choice: while none of
 /// a zone's hosts is ready, it uses those of other zones. Open sessions stay until they are ended.
-async fn move_away<C: Codec, P: Platform>(election: Rc<Election<C, P>>, stop: Rc<Stop>) {
-    let mut interval = tokio::time::interval(TICK);
+async fn move_sessions_when_outvoted<C: Codec, P: Platform>(
+    election: Rc<Election<C, P>>,
+    stop: Rc<Stop>,
+) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut moved = false;
+    let mut has_moved = false;
     loop {
         interval.tick().await;
         let lasts = election.outvoted().unwrap_or_default();
-        let due = lasts >= UNFIT + ROTATION;
-        if due && !moved {
-            stop.move_away();
+        let due = lasts >= UNREADY_DELAY + BALANCER_ROTATION;
+        if due && !has_moved {
+            stop.move_sessions();
         }
-        moved = due;
+        has_moved = due;
     }
 }
 
 async fn tick<C: Codec, P: Platform>(fleet: Rc<Fleet<C>>, watch: Rc<Watch<C, P>>) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        fleet.drop_lapsed(watch.is_blind());
+        fleet.drop_missing_servers(watch.may_miss_servers());
         for service in fleet.services() {
             service.tick();
         }
@@ -300,16 +308,16 @@
     listener: TcpListener,
     context: Rc<Context<C>>,
     open: Rc<Cell<usize>>,
-    most: usize,
+    max_sessions: usize,
     place: Place,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Out of descriptors or memory for a moment: callers wait in the queue meanwhile.
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             continue;
         };
-        if open.get() >= most {
+        if open.get() >= max_sessions {
             // Closed before anything was read: the caller knows that nothing has run.
             drop(stream);
             continue;
@@ -325,7 +333,7 @@
 
 async fn session<C: Codec>(context: Rc<Context<C>>, stream: TcpStream, place: Place) {
     let site = Rc::clone(&context.site);
-    if socket::guard(&stream, CALLER_SILENCE).is_err() {
+    if socket::set_options(&stream, CALLER_SILENCE).is_err() {
         return;
     }
     let served = Session::serve(context, Front::new(stream), place).await;
--- a/crates/proxy/src/meter.rs
+++ b/crates/proxy/src/meter.rs
@@ -6,7 +6,7 @@
 
 /// How a statement ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum StatementEnd {
     /// With success, at the primary.
     Primary,
     /// With success, at a replica.
@@ -16,11 +16,11 @@
 }
 
 /// Counts one statement of `database` and how long it took.
-pub fn statement(database: &str, end: End, took: Duration) {
+pub fn statement(database: &str, end: StatementEnd, took: Duration) {
     let outcome = match end {
-        End::Primary => "primary",
-        End::Replica => "replica",
-        End::Error(code) => error(code),
+        StatementEnd::Primary => "primary",
+        StatementEnd::Replica => "replica",
+        StatementEnd::Error(code) => error_label(code),
     };
     let database = database.to_owned();
     metrics::counter!("flamingopost_statements_total", "database" => database.clone(), "outcome" => outcome)
@@ -30,13 +30,13 @@
 }
 
 /// Counts a connection opened to a server of `service`.
-pub fn connected(service: &str) {
+pub fn server_connected(service: &str) {
     metrics::counter!("flamingopost_server_connections_total", "service" => service.to_owned())
         .increment(1);
 }
 
 /// Counts an entry of `table` that cannot be used, once for each fault that it has.
-pub fn unusable(table: &'static str, fault: &'static str) {
+pub fn unusable_entry(table: &'static str, fault: &'static str) {
     metrics::counter!("flamingopost_unusable_entries_total", "table" => table, "fault" => fault)
         .increment(1);
 }
@@ -53,7 +53,7 @@
         .increment(1);
 }
 
-fn error(code: Code) -> &'static str {
+fn error_label(code: Code) -> &'static str {
     match code {
         Code::Busy => "busy",
         Code::Aborted => "aborted",
--- a/crates/proxy/src/peer.rs
+++ b/crates/proxy/src/peer.rs
@@ -16,7 +16,7 @@
 use tokio::net::UdpSocket;
 
 /// Longest datagram; larger ones are not ours.
-const LONGEST: usize = 1_200;
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// What one host tells another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,14 +26,16 @@
     /// The service that it is about.
     pub service: String,
     /// What it says.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub payload: Payload,
 }
 
 /// What a message says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Payload {
     /// Do you hear me? Sent at intervals, about no service.
-    Beat {
+    #[serde(rename = "Beat")]
+    Heartbeat {
         /// When it was sent, by the sender's clock, in microseconds.
         sent: u64,
         /// How long ago the sender was last in touch with most hosts, in milliseconds.
@@ -41,48 +43,57 @@
         /// The newest epoch of the platform's store that the sender has heard of.
         epoch: u64,
         /// Services whose reads wait for the primary there, since nobody has vouched for replicas.
-        lacks: Vec<String>,
+        #[serde(rename = "lacks")]
+        sample_requests: Vec<String>,
         /// Primaries that are replaced, as the sender has lately heard.
-        ended: Vec<Ended>,
+        #[serde(rename = "ended")]
+        ended_terms: Vec<EndedTerm>,
     },
-    /// An answer to [`Word::Beat`].
-    Echo {
+    /// An answer to [`Payload::Heartbeat`].
+    #[serde(rename = "Echo")]
+    HeartbeatAck {
         /// What the question carried.
         sent: u64,
         /// How far the host that answers has read what the platform tells.
-        news: News,
+        #[serde(rename = "news")]
+        progress: FeedProgress,
         /// For how long the host that answers has been in touch with most others without a break, in
         /// milliseconds: it has heard of all orders of that time.
         in_touch: u32,
         /// Primaries that are replaced, as the host that answers has heard since the one that asks
         /// was in touch.
-        ended: Vec<Ended>,
+        #[serde(rename = "ended")]
+        ended_terms: Vec<EndedTerm>,
         /// What the host that answers knows of the primaries that the other asked for.
         samples: Vec<Sample>,
     },
     /// Do you reach server `server`, or, where none is named, any that leads?
-    Ask {
+    #[serde(rename = "Ask")]
+    ReachabilityQuery {
         /// The server.
         server: Option<Server>,
         /// How far the host that asks has seen the service's log reach.
-        furthest: Extent,
+        furthest: WirePosition,
     },
-    /// An answer to [`Word::Ask`].
-    Tell {
+    /// An answer to [`Payload::ReachabilityQuery`].
+    #[serde(rename = "Tell")]
+    ReachabilityReply {
         /// The server, if one was named.
         server: Option<Server>,
         /// How far the host that answers has seen the service's log reach.
-        furthest: Extent,
+        furthest: WirePosition,
         /// Whether the host has just heard from it.
         reaches: bool,
     },
     /// I lack connections to `server`, which is at its limit.
-    Short {
+    #[serde(rename = "Short")]
+    ConnectionShortage {
         /// The server.
         server: Server,
     },
     /// Server `server` leads `term`, as I have just seen.
-    Leads {
+    #[serde(rename = "Leads")]
+    PrimaryObserved {
         /// The server.
         server: Server,
         /// The term.
@@ -91,47 +102,51 @@
         took: Option<u32>,
     },
     /// I replace a primary.
-    Acting {
+    #[serde(rename = "Acting")]
+    PromotionStarted {
         /// Which, and by whom.
-        ended: Ended,
+        #[serde(rename = "ended")]
+        ended_term: EndedTerm,
     },
     /// How far have you seen the logs of services reach? Asked about no service.
-    Look,
-    /// An answer to [`Word::Look`].
-    Logs {
+    #[serde(rename = "Look")]
+    LogQuery,
+    /// An answer to [`Payload::LogQuery`].
+    #[serde(rename = "Logs")]
+    LogReply {
         /// The logs, or some of them where one message cannot hold all.
-        logs: Vec<Log>,
+        logs: Vec<LogReport>,
     },
 }
 
 /// How far the log of a service has been seen to reach, at whichever of its servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Log {
+pub struct LogReport {
     /// The service.
     pub service: String,
     /// How far.
-    pub furthest: Extent,
+    pub furthest: WirePosition,
     /// Where the newest term began that was ordered, as far as is known.
     pub term_start: Option<TermStart>,
     /// Servers whose claims to lead are not believed.
     pub doubted: Vec<Server>,
     /// Servers that were seen to lead.
-    pub led: Vec<Led>,
+    pub led: Vec<LedTerm>,
 }
 
 /// A server was seen to lead a term, and none newer than that.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Led {
+pub struct LedTerm {
     /// The server.
     pub server: Server,
     term: i64,
 }
 
-impl Led {
+impl LedTerm {
     /// `server` was seen to lead `term`.
-    pub fn new(server: Server, term: Term) -> Led {
+    pub fn new(server: Server, term: Term) -> LedTerm {
         let term = term.number();
-        Led { server, term }
+        LedTerm { server, term }
     }
 
     /// The term.
@@ -148,16 +163,17 @@
     /// The newest term that was known then.
     before: i64,
     /// How far the server had received the log, by its own word.
-    had: Extent,
+    #[serde(rename = "had")]
+    received: WirePosition,
 }
 
 impl TermStart {
     /// `server` had received `had` when it was ordered to lead after the primary of `before`.
-    pub fn new(server: String, before: Term, had: Position) -> TermStart {
+    pub fn new(server: String, before: Term, received: Position) -> TermStart {
         TermStart {
             server,
             before: before.number(),
-            had: had.into(),
+            received: received.into(),
         }
     }
 
@@ -167,14 +183,14 @@
     }
 
     /// How far the server had received the log, by its own word.
-    pub fn had(&self) -> Position {
-        self.had.into()
+    pub fn received(&self) -> Position {
+        self.received.into()
     }
 }
 
 /// A primary's term is over: its successor is being ordered, or leads already.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedTerm {
     /// The service.
     pub service: String,
     /// The newest term that was known when the order was given.
@@ -184,28 +200,29 @@
     /// The server that is to lead.
     pub successor: Server,
     /// How far that one has received the log, by its own word.
-    had: Extent,
+    #[serde(rename = "had")]
+    received: WirePosition,
     /// For how long the primary still serves, in milliseconds: one that is about to leave does
     /// until shortly before its successor leads.
     serves: u32,
 }
 
-impl Ended {
+impl EndedTerm {
     /// The primary of `term` of `service` serves for `serves` more; `successor`, which has received
     /// `had`, is to lead, by an order under `token`.
     pub fn new(
         service: String,
         term: Term,
         token: u64,
-        (successor, had): (Server, Position),
+        (successor, received): (Server, Position),
         serves: Duration,
-    ) -> Ended {
-        Ended {
+    ) -> EndedTerm {
+        EndedTerm {
             service,
             term: term.number(),
             token,
             successor,
-            had: had.into(),
+            received: received.into(),
             serves: u32::try_from(serves.as_millis()).unwrap_or(u32::MAX),
         }
     }
@@ -216,8 +233,8 @@
     }
 
     /// How far the server that is to lead has received the log, by its own word.
-    pub fn had(&self) -> Position {
-        self.had.into()
+    pub fn received(&self) -> Position {
+        self.received.into()
     }
 
     /// For how long the primary still serves.
@@ -250,22 +267,22 @@
 
 /// How far a log has been seen to reach.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Extent {
+pub struct WirePosition {
     term: i64,
     log: u64,
 }
 
-impl From<Position> for Extent {
-    fn from(position: Position) -> Extent {
-        Extent {
+impl From<Position> for WirePosition {
+    fn from(position: Position) -> WirePosition {
+        WirePosition {
             term: position.term.number(),
             log: position.log,
         }
     }
 }
 
-impl From<Extent> for Position {
-    fn from(extent: Extent) -> Position {
+impl From<WirePosition> for Position {
+    fn from(extent: WirePosition) -> Position {
         Position {
             term: Term::from_number(extent.term),
             log: extent.log,
@@ -279,14 +296,14 @@
     /// The service.
     pub service: String,
     /// How far.
-    pub position: Extent,
+    pub position: WirePosition,
     /// How long before the answer the primary was asked, in milliseconds.
     pub age: u32,
 }
 
 /// How far a host has read what the platform tells: the newest change of each.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct FeedProgress {
     /// Of the configuration.
     pub configuration: u64,
     /// Of the list of backend servers.
@@ -297,7 +314,7 @@
     pub restored: Option<u32>,
 }
 
-impl Word {
+impl Payload {
     /// What a host that answered `reaches` thinks.
     pub fn opinion(reaches: bool) -> Opinion {
         match reaches {
@@ -344,7 +361,7 @@
     /// # Errors
     /// The socket is unusable.
     pub async fn receive(&self) -> io::Result<(Message, SocketAddr)> {
-        let mut buffer = [0; LONGEST];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = self.socket.recv_from(&mut buffer).await?;
             if let Ok(message) = postcard::from_bytes(&buffer[..length]) {
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -10,7 +10,7 @@
 use flamingopost_core::leader::Role;
 
 use crate::route::Route;
-use crate::unusable::Unusable;
+use crate::unusable::UnusableEntry;
 
 /// Why a call to the platform has no result.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
@@ -50,8 +50,8 @@
 impl Revision {
     /// Transaction `count` of `epoch`.
     pub fn new(epoch: Epoch, count: u64) -> Revision {
-        let most = (1 << COUNT_BITS) - 1;
-        Revision(epoch.0 << COUNT_BITS | count.min(most))
+        let max_count = (1 << COUNT_BITS) - 1;
+        Revision(epoch.0 << COUNT_BITS | count.min(max_count))
     }
 
     /// The epoch of the store.
@@ -130,10 +130,10 @@
     ///     services: BTreeMap::from([("ledger".to_owned(), ledger)]),
     ///     transaction_idle: Duration::from_secs(3),
     /// };
-    /// assert!(configuration.names("ledger"));
-    /// assert!(!configuration.names("tanks"));
+    /// assert!(configuration.has_service("ledger"));
+    /// assert!(!configuration.has_service("tanks"));
     /// ```
-    pub fn names(&self, name: &str) -> bool {
+    pub fn has_service(&self, name: &str) -> bool {
         let routed = || self.routes.values().any(|route| route.service == name);
         self.services.contains_key(name) || routed()
     }
@@ -168,11 +168,11 @@
     /// How it sees its own role.
     pub role: Role,
     /// Its entry was last changed here.
-    pub changed: Revision,
+    pub revision: Revision,
 }
 
 /// An entry as it was read, which somebody else may have written.
-pub type Entry<T> = Result<T, Unusable>;
+pub type Entry<T> = Result<T, UnusableEntry>;
 
 /// A change of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -180,16 +180,16 @@
     /// The entry of `id` is new or has changed.
     Put(T),
     /// An entry is new or has changed, and cannot be used as it is now.
-    Spoilt(Unusable),
+    Unusable(UnusableEntry),
     /// The entry of this id is gone.
-    Gone(String),
+    Removed(String),
 }
 
 impl<T> From<Entry<T>> for Change<T> {
     fn from(entry: Entry<T>) -> Change<T> {
         match entry {
             Ok(value) => Change::Put(value),
-            Err(unusable) => Change::Spoilt(unusable),
+            Err(unusable) => Change::Unusable(unusable),
         }
     }
 }
@@ -243,7 +243,7 @@
     /// The store did not have it.
     New,
     /// It was there.
-    Before,
+    AlreadyPresent,
 }
 
 /// How an order to change a primary ended.
@@ -257,10 +257,10 @@
 
 /// How long a call may take, beside what it waits: the platform needs milliseconds, and some
 /// hundreds of them while it is slow.
-pub const ANSWER: Duration = Duration::from_millis(1_200);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The platform, as an entry host uses it. Calls end within [`ANSWER`], those that wait for changes
-/// within their wait and [`ANSWER`].
+/// The platform, as an entry host uses it. Calls end within [`CALL_TIMEOUT`], those that wait for changes
+/// within their wait and [`CALL_TIMEOUT`].
 pub trait Platform: 'static {
     /// The configuration that the store holds, if there is one.
     fn configuration(&self)
@@ -304,7 +304,7 @@
         service: &str,
         attempt: u64,
         host: &str,
-        over: Option<Revision>,
+        take_over: Option<Revision>,
     ) -> impl Future<Output = Result<Claim, Error>>;
 
     /// All claims that can be read: the service and the number of the change.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -136,8 +136,8 @@
             biased;
             request = self.front.request() => Ok(Next::Request(request?)),
             () = self.back.ended() => Ok(Next::End),
-            () = stop.sessions(self.moves), if idle => Ok(Next::End),
-            () = stop.transactions(), if !idle => Ok(Next::End),
+            () = stop.sessions_must_end(self.moves), if idle => Ok(Next::End),
+            () = stop.transactions_must_end(), if !idle => Ok(Next::End),
         }
     }
 }
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -43,7 +43,7 @@
         let id = self.site.next_id();
         match self.connect_examined(id, &target).await {
             Ok(back) => {
-                meter::connected(&self.name);
+                meter::server_connected(&self.name);
                 self.heard(server, back.position, now, false);
                 if let Some(position) = back.position {
                     self.weigh(server, position, now);
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -12,7 +12,7 @@
 use super::{Meant, Service, State};
 use crate::codec::Codec;
 use crate::event::Event;
-use crate::peer::{self, Ended};
+use crate::peer::{self, EndedTerm};
 
 /// A primary that is about to leave serves until shortly before its successor leads. What it
 /// acknowledges within this time before, its successor might not have received: many times the
@@ -98,7 +98,7 @@
         if known.before <= start.before() {
             *known = Ordered {
                 before: start.before(),
-                had: start.had(),
+                had: start.received(),
             };
         }
     }
@@ -122,7 +122,7 @@
     pub fn serves_until_relieved(&self) -> Duration {
         match self.state.borrow().held {
             Some(_) => Duration::ZERO,
-            None => self.site.promotion().saturating_sub(HANDOVER),
+            None => self.site.shortest_promotion().saturating_sub(HANDOVER),
         }
     }
 
@@ -142,7 +142,7 @@
     ///
     /// Statements that need it are held for its successor. From then on no server is relied on that
     /// leads the term that has ended, however well it looks: the order may be carried out late.
-    pub fn end_term(&self, ended: &Ended) -> bool {
+    pub fn end_term(&self, ended: &EndedTerm) -> bool {
         let now = self.site.now();
         let successor = self.listed_as(&ended.successor);
         let mut state = self.state.borrow_mut();
@@ -160,13 +160,13 @@
             term: ended.term(),
             token: ended.token,
             successor: ended.successor.clone(),
-            had: ended.had(),
+            had: ended.received(),
             from,
             over,
             heard: now,
         });
         let id = ended.successor.id.clone();
-        state.term_began(&peer::TermStart::new(id, ended.term(), ended.had()));
+        state.term_began(&peer::TermStart::new(id, ended.term(), ended.received()));
         state.leader.end(ended.term(), successor);
         let leads = state.dispatch.leader();
         let is_done = state.vouch.term() > ended.term() || leads.is_some() && leads == successor;
@@ -179,14 +179,14 @@
 
     /// The newest replacement of the primary, for hosts that may not have heard of it, if this host
     /// has heard of it within `age`.
-    pub fn ended(&self, age: Duration) -> Option<Ended> {
+    pub fn ended(&self, age: Duration) -> Option<EndedTerm> {
         let now = self.site.now();
         let state = self.state.borrow();
         let known = state.replacement.as_ref()?;
         let serves = known.from.saturating_sub(now);
         (now <= known.heard + age).then(|| {
             let successor = (known.successor.clone(), known.had);
-            Ended::new(
+            EndedTerm::new(
                 self.name.clone(),
                 known.term,
                 known.token,
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -42,7 +42,7 @@
             state.dispatch.insert(key, server);
             // The role in a copy is one that the server may have had before it was replaced.
             if source == Source::Server || !state.servers.contains_key(&key) {
-                state.leader.listed(key, backend.role, backend.changed.0);
+                state.leader.listed(key, backend.role, backend.revision.0);
             }
             let target = Target {
                 server: key,
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -12,11 +12,11 @@
 use crate::back::Back;
 use crate::carry::Carry;
 use crate::codec::Codec;
-use crate::fleet::{Fleet, Home};
+use crate::fleet::{Fleet, ServingHost};
 use crate::front::{self, Front};
 use crate::host::Stop;
 use crate::message::{Access, Code, Query, Request, Shape, Statement, Transaction};
-use crate::meter::End;
+use crate::meter::StatementEnd;
 use crate::relay::{self, Relay};
 use crate::site::Site;
 
@@ -199,13 +199,13 @@
                 biased;
                 request = self.front.request() => Ok(Incoming::Request(request?)),
                 () = tokio::time::sleep(idle.min(front::IDLE_MOST)) => Ok(Incoming::Idle),
-                () = stop.transactions() => Ok(Incoming::Stop),
+                () = stop.transactions_must_end() => Ok(Incoming::Stop),
             };
         }
         tokio::select! {
             biased;
             request = self.front.request() => Ok(Incoming::Request(request?)),
-            () = stop.sessions(self.moves) => Ok(Incoming::Stop),
+            () = stop.sessions_must_end(self.moves) => Ok(Incoming::Stop),
         }
     }
 
@@ -321,7 +321,11 @@
                     service.acknowledged(&query.id, outcome.position);
                 }
                 self.saw(&service, outcome.position.filter(|_| outcome.end.is_ok()));
-                let end = if led { End::Primary } else { End::Replica };
+                let end = if led {
+                    StatementEnd::Primary
+                } else {
+                    StatementEnd::Replica
+                };
                 self.deliver(&outcome, Transaction::Idle, end, arrived);
                 lent.give_back();
             }
@@ -349,14 +353,14 @@
 /// A session at a host that serves `database` for this one, if there is one that can be reached.
 async fn elsewhere<C: Codec>(context: &Context<C>, database: &str) -> Option<Back<C>> {
     let (route, _) = context.fleet.route(database)?;
-    let homes = context.fleet.homes(&route.service)?;
-    if homes.contains(&Home::Here) {
+    let homes = context.fleet.serving_hosts(&route.service)?;
+    if homes.contains(&ServingHost::Local) {
         return None;
     }
     let first = usize::try_from(context.site.next_id()).unwrap_or_default();
     for place in 0..homes.len() {
         // Sessions take turns among the hosts that serve.
-        if let Home::Peer(address) = homes[(first + place) % homes.len()]
+        if let ServingHost::Remote(address) = homes[(first + place) % homes.len()]
             && let Some(back) = relay::open(context, database, address).await
         {
             return Some(back);
--- a/crates/proxy/src/session/place.rs
+++ b/crates/proxy/src/session/place.rs
@@ -223,7 +223,7 @@
             let is_bounded = plan.access == Access::Read && route.consistency.max_age().is_some();
             let lacks_sample = need == Need::Lead && is_bounded;
             if lacks_sample {
-                self.context.fleet.ask_for_sample(service);
+                self.context.fleet.request_sample(service);
             }
             tokio::select! {
                 biased;
--- a/crates/proxy/src/session/tell.rs
+++ b/crates/proxy/src/session/tell.rs
@@ -11,7 +11,7 @@
 use crate::event::Event;
 use crate::front;
 use crate::message::{Code, Query, Transaction};
-use crate::meter::{self, End};
+use crate::meter::{self, StatementEnd};
 use crate::service::Service;
 
 impl<C: Codec> Session<C> {
@@ -31,13 +31,13 @@
         &mut self,
         outcome: &Outcome,
         transaction: Transaction,
-        end: End,
+        end: StatementEnd,
         since: Duration,
     ) {
         self.front.answer(outcome, transaction);
         let end = match &outcome.end {
             Ok(_) => end,
-            Err(fault) => End::Error(fault.code),
+            Err(fault) => StatementEnd::Error(fault.code),
         };
         let took = self.context.site.now().saturating_sub(since);
         meter::statement(&self.database, end, took);
@@ -56,7 +56,7 @@
             leader: leader.unwrap_or_default(),
             version: self.context.fleet.version(),
         });
-        meter::statement(&self.database, End::Error(code), took);
+        meter::statement(&self.database, StatementEnd::Error(code), took);
         self.refuse(code, reason.as_bytes());
     }
 
--- a/crates/proxy/src/session/transaction.rs
+++ b/crates/proxy/src/session/transaction.rs
@@ -11,7 +11,7 @@
 use crate::back::Outcome;
 use crate::codec::Codec;
 use crate::message::{Access, Code, Command, Query, Shape, Transaction};
-use crate::meter::End;
+use crate::meter::StatementEnd;
 use crate::route::Consistency;
 use crate::service::{Lent, Service};
 
@@ -66,7 +66,11 @@
                     service,
                     led,
                 } = *answered;
-                let end = if led { End::Primary } else { End::Replica };
+                let end = if led {
+                    StatementEnd::Primary
+                } else {
+                    StatementEnd::Replica
+                };
                 let wrote = access == Access::Write;
                 let transaction = outcome.transaction;
                 self.transaction = match transaction {
@@ -125,7 +129,11 @@
                 let led = open.led && holds_lease && !is_past && outcome.end.is_ok();
                 open.heard(&outcome, arrived, led);
                 let transaction = outcome.transaction;
-                let end = if open.led { End::Primary } else { End::Replica };
+                let end = if open.led {
+                    StatementEnd::Primary
+                } else {
+                    StatementEnd::Replica
+                };
                 self.transaction = match transaction {
                     Transaction::Idle => {
                         open.lent.give_back();
@@ -198,7 +206,11 @@
                 if open.wrote && outcome.end.is_ok() {
                     open.service.acknowledged(&query.id, outcome.position);
                 }
-                let end = if open.led { End::Primary } else { End::Replica };
+                let end = if open.led {
+                    StatementEnd::Primary
+                } else {
+                    StatementEnd::Replica
+                };
                 self.deliver(&outcome, Transaction::Idle, end, arrived);
                 if outcome.transaction == Transaction::Idle {
                     open.lent.give_back();
--- a/crates/proxy/src/site.rs
+++ b/crates/proxy/src/site.rs
@@ -6,7 +6,7 @@
 
 use flamingopost_core::clock::Clock;
 
-use crate::event::{Event, Limit};
+use crate::event::{Event, LogLimit};
 
 /// What all of a host's parts share.
 pub struct Site {
@@ -17,11 +17,11 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Keeps logs bounded.
-    pub limit: Limit,
-    /// How long a promotion takes at the least, until one was measured.
-    assumed: Duration,
-    /// How long a promotion has taken at the least.
-    measured: Cell<Option<Duration>>,
+    pub limit: LogLimit,
+    /// How long a promotion takes at the shortest, until one was measured.
+    assumed_promotion: Duration,
+    /// How long a promotion has taken at the shortest.
+    measured_promotion: Cell<Option<Duration>>,
     ids: Cell<u64>,
 }
 
@@ -30,12 +30,12 @@
     /// measured.
     pub fn new(host: String, zone: String, promotion: Duration, clock: Arc<dyn Clock>) -> Site {
         Site {
-            assumed: promotion,
-            measured: Cell::new(None),
+            assumed_promotion: promotion,
+            measured_promotion: Cell::new(None),
             host,
             zone,
             clock,
-            limit: Limit::default(),
+            limit: LogLimit::default(),
             ids: Cell::new(0),
         }
     }
@@ -50,9 +50,11 @@
         self.limit.log(event, self.now());
     }
 
-    /// How long a promotion takes at the least.
-    pub fn promotion(&self) -> Duration {
-        self.measured.get().unwrap_or(self.assumed)
+    /// How long a promotion takes at the shortest.
+    pub fn shortest_promotion(&self) -> Duration {
+        self.measured_promotion
+            .get()
+            .unwrap_or(self.assumed_promotion)
     }
 
     /// A server that was ordered to lead did not `took` after the order.
@@ -60,9 +62,9 @@
     /// A bound from below is what counts: taken for longer than it is, the primary before would
     /// still be written to while its successor leads. When a change is seen is no such bound, since
     /// the list of servers may be late by seconds.
-    pub fn promoted(&self, took: Duration) {
-        let least = self.measured.get().unwrap_or(took).min(took);
-        self.measured.set(Some(least));
+    pub fn record_promotion_time(&self, took: Duration) {
+        let shortest = self.measured_promotion.get().unwrap_or(took).min(took);
+        self.measured_promotion.set(Some(shortest));
     }
 
     /// A number that this process has not used.
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -10,10 +10,10 @@
 /// First keep-alive probe of an idle connection after this long, and the time between probes.
 ///
 /// A peer that lost power or is cut off closes nothing; only probes show it.
-const PROBE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Unanswered probes after which a connection is over.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Connects to `address` within `limit`, and bounds how long data may stay unacknowledged by the
 /// peer's kernel to `silence`: a slow peer still acknowledges, a dead or cut-off one does not.
@@ -29,7 +29,7 @@
     let stream = connecting
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    guard(&stream, silence)?;
+    set_options(&stream, silence)?;
     Ok(stream)
 }
 
@@ -37,19 +37,19 @@
 ///
 /// # Errors
 /// The system refuses an option.
-pub fn guard(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+pub fn set_options(stream: &TcpStream, silence: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, PROBE)?;
-    sockopt::set_tcp_keepintvl(stream, PROBE)?;
-    sockopt::set_tcp_keepcnt(stream, PROBES)?;
+    sockopt::set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
     let millis = u32::try_from(silence.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, millis)?;
     Ok(())
 }
 
 /// Whether the peer has closed an idle connection, or sent something that nobody asked for.
-pub fn is_over(stream: &TcpStream) -> bool {
+pub fn is_closed(stream: &TcpStream) -> bool {
     let mut byte = [0];
     match stream.try_read(&mut byte) {
         Ok(_) => true,
--- a/crates/proxy/src/unusable.rs
+++ b/crates/proxy/src/unusable.rs
@@ -5,7 +5,7 @@
 
 /// An entry that names nothing which this host could use; the others of its table hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unusable {
+pub struct UnusableEntry {
     /// Name of the entry.
     pub id: String,
     /// What is wrong with it.
@@ -13,5 +13,5 @@
     /// Version that the entry gives itself, where it has one that can be read.
     pub version: Option<u64>,
     /// It was last changed here.
-    pub changed: Revision,
+    pub revision: Revision,
 }
