--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -1,4 +1,5 @@
-//! Carries the succession of each service's primary out: asks hosts and servers, claims, orders.
+//! Runs the failover of each service's primary: queries hosts and servers, claims a change in the
+//! platform's store, and orders the promotion.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,36 +33,36 @@
 mod handover;
 mod messaging;
 
-/// Time between two steps while something is wrong.
+/// Interval between two steps of a service's state machine while its primary is in trouble.
 const ACTIVE_STEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks while nothing is.
+/// Interval between two steps while the primary is healthy.
 const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a server may take to say what it is; its slots may be busy for a while.
+/// Timeout of a status query to a server. It allows for request slots that are busy for a while.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A server that has not answered a question in time is still taken as reached when it has
-/// answered something else within this time.
+/// A server that misses [`STATUS_TIMEOUT`] still counts as reachable if it answered any other
+/// request within this time.
 const RECENT_CONTACT: Duration = Duration::from_millis(200);
 
-/// Time between two questions to all servers while nobody leads.
+/// Interval between two status queries to all servers while a service has no primary.
 const LEADER_SEARCH_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Time between two pleas for connections; one holds for a second.
+/// Interval between two connection shortage reports. Each report is in effect for one second.
 const SHORTAGE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long the store may take to decide a claim before hosts act in turn.
+/// Timeout of a claim in the store. After it, hosts act in turn without the store.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long before an order that rests on a host's turn the others are told of it: several times the way
-/// between zones.
+/// How long before an order given in turn, without the store, the other hosts are notified of it.
+/// This is several times the latency between availability zones.
 const ORDER_ANNOUNCEMENT_LEAD: Duration = Duration::from_millis(20);
 
-/// How long an order may take to be answered before it is repeated.
+/// Timeout of a promotion order, after which it is repeated.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs the succession of all services of a host.
+/// Runs the failover of all services on one host.
 pub struct Election<C: Codec, P> {
     site: Rc<Site>,
     fleet: Rc<Fleet<C>>,
@@ -69,33 +70,34 @@
     socket: Rc<Socket>,
     services: RefCell<BTreeMap<String, Rc<RefCell<Succession>>>>,
     reserve_grant: RefCell<Option<Grant>>,
-    /// Claims of others, and since when each is known.
+    /// Claims held by other hosts, and when this host first saw each of them.
     known_claims: RefCell<BTreeMap<(String, Revision), Duration>>,
-    /// Changes of primaries that were claimed or ordered, and when this host heard of each.
+    /// Changes of primaries that were claimed or ordered, by service and change number.
     changes: RefCell<BTreeMap<(String, u64), claims::Change>>,
-    /// By service: the newest term for the change of whose primary the store has a claim. Nothing before the
-    /// claims were read.
+    /// The newest term of each service for which the store holds a claim on the change of its
+    /// primary. `None` until the claims were read.
     claimed_terms: RefCell<Option<BTreeMap<String, Term>>>,
-    /// Whether a host that would know has told of the orders that were given before this one started.
+    /// Whether another host that was connected for long enough has reported the orders given before
+    /// this host started.
     orders_known: Cell<bool>,
-    /// The epoch of the store in which claims were last known to be there.
+    /// The store epoch for which claims were last checked, and rewritten where necessary.
     claims_checked_in: Cell<Epoch>,
-    /// Which services are recorded as written to.
+    /// Which services are recorded in the store as written to.
     records: RefCell<empty_log::Records>,
-    /// What was last read of the store's records.
+    /// The store's records as last read, cached for a short time.
     written_services: Mutex<Option<empty_log::WrittenServices>>,
-    /// Whether a question to the store is on its way.
+    /// Whether a read of the store's claims is in flight.
     is_reading_claims: Cell<bool>,
-    /// When most other hosts were last in touch.
+    /// When this host was last in contact with a majority of the other hosts.
     last_quorum_at: Cell<Option<Duration>>,
-    /// Whether this host has a lease, and since when that is so.
+    /// Whether this host holds its lease, and since when that has been the case.
     lease_state: Cell<(bool, Duration)>,
-    /// Since when this host has known the servers.
+    /// When this host first knew the list of servers.
     servers_known_since: Cell<Option<Duration>>,
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// Ready to run.
+    /// Creates an election that has not started yet.
     pub fn new(
         site: Rc<Site>,
         fleet: Rc<Fleet<C>>,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Takes note of a token that may be used while the store is away.
+    /// Stores a fencing token that may be used for one promotion while the store is unavailable.
     pub fn reserve_token(&self, token: Token) {
         let grant = Grant(token.0);
         *self.reserve_grant.borrow_mut() = Some(grant);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// For how long this host has missed a primary that others reach.
+    /// Returns for how long this host has been unable to reach a primary that others reach.
     pub fn outvoted(&self) -> Option<Duration> {
         let now = self.site.now();
         let services = self.services.borrow();
@@ -141,7 +143,7 @@
         since.min().map(|since| now.saturating_sub(since))
     }
 
-    /// Starts a task for each service that has none.
+    /// Starts a task for each service that does not have one yet.
     pub fn start_new_services(self: &Rc<Self>) {
         for service in self.fleet.services() {
             if self.services.borrow().contains_key(&service.name) {
@@ -217,13 +219,13 @@
                 }
                 self.perform(&service, &succession, next, &view);
             }
-            // Another change of the service's state ends the pause early.
+            // A change of the service's state ends the pause early.
             let _ = timeout(pause, service.alarm.notified()).await;
         }
     }
 
-    /// Tries a primary that is silent on a connection of its own, which tells a slow one from
-    /// one that is gone long before the statements there have had their time.
+    /// Probes a silent primary on a separate connection. This distinguishes a slow primary from a
+    /// dead one long before pending statements reach their timeout.
     fn probe_primary(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target, since: Duration) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
@@ -261,7 +263,8 @@
         }
     }
 
-    /// Logs whose word an order rests on, and how old it is.
+    /// Logs which hosts an order relies on, whether each of them answered, and how long ago each
+    /// was last heard.
     fn log_order_basis(
         &self,
         service: &Rc<Service<C>>,
@@ -334,7 +337,8 @@
         }
     }
 
-    /// Asks a server what it is, on a connection of its own: pooled ones may be stuck.
+    /// Queries the status of a server on a separate connection, because pooled connections may be
+    /// stuck.
     async fn query_status(&self, service: &Rc<Service<C>>, target: &Target) -> Probe {
         let sent = self.site.now();
         let asked = timeout(STATUS_TIMEOUT, async {
@@ -343,7 +347,7 @@
             let status = back.status().await?;
             let newest = service.term();
             match status.role {
-                // It comes back, or is reached again, after it was replaced.
+                // A replaced primary is back or reachable again.
                 Role::Primary if status.term < newest => {
                     service.said(target.server, &status, sent);
                     back.step_down(newest).await
@@ -443,11 +447,11 @@
         service.alarm.notify_one();
     }
 
-    /// Whether no other host announces an order under a higher token in the same moment.
+    /// Reports whether no other host announces an order with a higher token at the same moment.
     ///
-    /// Guards against two hosts whose turns have both come while they waited for the leases of others:
-    /// where the platform carries out whatever it is told, the order under the lower token comes second
-    /// and undoes the change of the first.
+    /// Guards against two hosts that both reach their turn while waiting for the leases of others
+    /// to expire. On a platform that carries out every order, the one with the lower token would
+    /// arrive second and undo the change made by the first.
     async fn has_highest_token(&self, service: &Rc<Service<C>>, grant: Grant) -> bool {
         tokio::time::sleep(ORDER_ANNOUNCEMENT_LEAD).await;
         service.newest_order().is_none_or(|newest| newest <= grant)
@@ -457,8 +461,8 @@
         let told = succession.borrow().answered();
         let trouble = self.trouble(service);
         let (gone, quiet_at) = self.fleet.with_quorum(|quorum, now| {
-            // Nobody is asked about a primary that leaves: who is in touch hears of the order while
-            // it still serves.
+            // No host is queried about a primary that is leaving: connected hosts learn of the
+            // order while the primary still serves.
             let told = match trouble {
                 Some(Trouble::Leaving) => quorum.in_touch(now),
                 _ => told,
@@ -468,7 +472,7 @@
         let orders_from = self.fleet.orders_from(&gone);
         let targets = service.targets();
         let synchronous = self.fleet.is_synchronous(&service.name);
-        // One that is leaving still receives, and may be the only one to have a commit.
+        // A leaving replica still receives the log and may be the only one that holds a commit.
         let candidates = targets
             .iter()
             .filter(|(_, standing)| synchronous || *standing == Standing::Serving);
@@ -497,7 +501,8 @@
         }
     }
 
-    /// What is wrong with the primary; nothing is while this host knows too little to tell.
+    /// Returns the problem of a service's primary, or `None` while this host knows too little to
+    /// judge.
     fn trouble(&self, service: &Service<C>) -> Option<Trouble> {
         if !self.fleet.is_known() {
             return None;
@@ -506,7 +511,8 @@
     }
 }
 
-/// What the store answers to `call` within [`CLAIM_TIMEOUT`], or why there is no such answer.
+/// Returns the store's answer to `call` within [`CLAIM_TIMEOUT`], or a description of why there is
+/// none.
 async fn in_time<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, String> {
     match timeout(CLAIM_TIMEOUT, call).await {
         Ok(answer) => answer.map_err(|error| error.to_string()),
@@ -520,12 +526,12 @@
     found.map(|(target, _)| target)
 }
 
-/// What became of a question to a server.
+/// Outcome of a status query to a server.
 enum Probe {
     Status(Status),
-    /// It refused the question, so it is there.
+    /// The server rejected the query, so it is running.
     Alive,
-    /// Its host refused the connection, or broke it.
+    /// The server's host refused or closed the connection.
     Refused,
     Silent,
 }
--- a/crates/proxy/src/election/claim_holder.rs
+++ b/crates/proxy/src/election/claim_holder.rs
@@ -1,4 +1,4 @@
-//! The holder of a claim on a primary that is about to leave: whether this host would hear of its order.
+//! Checks whether the holder of a claim on a leaving primary would reach this host with its order.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,17 +11,19 @@
 use crate::platform::Platform;
 use crate::service::Service;
 
-/// How long the holder of a claim may take to answer: several times the way between zones.
+/// How long the holder of a claim may take to answer a heartbeat. This is several times the latency
+/// between availability zones.
 const HOLDER_REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// `by` has claimed to relieve the primary of `service`. Where it does not answer, what needs the
-    /// primary is held: its order may be out.
+    /// Holds requests for the primary of `service` if `by`, which has claimed to replace it, does
+    /// not answer: its order may already have been given.
     ///
-    /// Guards against writes that the successor never receives. The primary serves until shortly before
-    /// that leads, and a host that has missed the order, by a cut or because it started after it, goes on
-    /// until the list names the successor: what it acknowledges then is gone. A holder that is heard tells of
-    /// its order with its answer, or as it gives it.
+    /// Guards against writes that the successor never receives. A leaving primary serves until
+    /// shortly before its successor leads. A host that missed the order, because it was partitioned
+    /// or started later, would keep writing until the platform's list names the successor, and
+    /// those acknowledged writes would be lost. A reachable holder reports its order in its answer,
+    /// or when it gives the order.
     pub(super) fn hold_unless_holder_answers(self: &Rc<Self>, service: &Rc<Service<C>>, by: &str) {
         if self.trouble(service) != Some(Trouble::Leaving) {
             return;
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on changes of a primary in the platform's store.
+//! Claims on changes of a primary, kept in the platform's store.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,15 +15,15 @@
 use crate::platform::{Claim, Error, Platform};
 use crate::service::Service;
 
-/// For how long a change of primary is remembered: longer than a copy of the store is old from which
-/// it is restored, which is some seconds.
+/// How long a change of primary is remembered. This exceeds the age of the backup that a store is
+/// restored from, which is a few seconds.
 const CHANGE_RETENTION: Duration = Duration::from_secs(30);
 
-/// So many hosts write the claim of a change that another one made anew, in case that one has gone:
-/// more than one, since the first of them may have gone too.
+/// Number of hosts, by rank, that rewrite a claim made by another host in case that host is gone.
+/// More than one, since the first of them may be gone too.
 const CLAIM_REWRITERS: u32 = 2;
 
-/// A change of primary that this host has heard of.
+/// A change of primary known to this host.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Change {
     at: Duration,
@@ -31,17 +31,18 @@
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// The newest epoch of the store by its own word.
+    /// Returns the newest store epoch that the store itself has reported to this host.
     pub(super) fn epoch(&self) -> Epoch {
         self.fleet.with_epochs(|epochs, _| epochs.seen())
     }
 
-    /// The newest epoch of the store by anybody's word.
+    /// Returns the newest store epoch reported by the store or by any other host.
     pub(super) fn newest_known_epoch(&self) -> Epoch {
         self.fleet.with_epochs(|epochs, _| epochs.heard())
     }
 
-    /// Claims change `attempt` of the primary of `service`, and goes on by how that ends.
+    /// Claims change `attempt` of the primary of `service` and continues the failover according to
+    /// the outcome.
     pub(super) async fn claim(
         self: Rc<Self>,
         service: Rc<Service<C>>,
@@ -85,11 +86,11 @@
         service.alarm.notify_one();
     }
 
-    /// Claims a change, or takes the claim over from a holder that has not acted on it: one that
-    /// was killed between its claim and its order would leave the service without a primary for
-    /// good. A holder that is only slow is fenced by its lower token.
+    /// Claims a change, or takes over the claim of a holder that has not acted on it. A holder that
+    /// was killed between its claim and its order would otherwise leave the service without a
+    /// primary forever. A holder that is merely slow is fenced by its lower token.
     ///
-    /// Whoever held it may have ordered, so a primary that is about to leave serves no longer.
+    /// The previous holder may have given its order, so requests for a leaving primary are held.
     async fn claim_or_take_over(&self, service: &Service<C>, attempt: u64) -> Result<Claim, Error> {
         let (name, host) = (&service.name, &self.site.host);
         let claim = self.platform.claim(name, attempt, host, None).await?;
@@ -110,8 +111,8 @@
         self.platform.claim(name, attempt, host, over).await
     }
 
-    /// `claim`, unless the store was restored since `epoch`: it may have been won in a history that is
-    /// gone, and another host wins it again.
+    /// Returns `claim` unless the store was restored since `epoch`. In that case the claim may have
+    /// been won in a history that no longer exists, and another host could win it again.
     fn require_epoch(&self, epoch: Epoch, claim: Claim) -> Result<Claim, Error> {
         let Claim::Won(token) = &claim else {
             return Ok(claim);
@@ -124,8 +125,8 @@
         }
     }
 
-    /// The claims that the store holds: services and numbers of changes. Nothing where it does not tell in
-    /// time.
+    /// Reads the claims in the store, as pairs of service and change number. Returns `None` if the
+    /// store does not answer in time.
     pub(super) async fn read_claims(&self) -> Option<BTreeSet<(String, u64)>> {
         let read = in_time(self.platform.claims()).await.ok()?;
         if !self.fleet.observe_epoch(read.revision.epoch()) {
@@ -142,8 +143,8 @@
         Some(read.value)
     }
 
-    /// Another host has told which orders it knows of. It has been in touch with most others for
-    /// `in_touch`; where that is long enough, any order that it has not heard of has taken effect.
+    /// Records that another host, connected to a majority for `in_touch`, has reported the orders
+    /// it knows of. If that time is long enough, any order unknown to it has already taken effect.
     pub(super) fn peer_knows_orders(&self, in_touch: Duration) {
         if in_touch >= EFFECT && !self.orders_known.replace(true) {
             self.update_all_known_orders();
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Tells `service` what is known of orders that were given before this host started.
+    /// Passes on to `service` what is known of orders given before this host started.
     pub(super) fn update_known_orders(&self, service: &Service<C>) {
         if self.orders_known.get() {
             service.told_of_orders();
@@ -165,12 +166,12 @@
         }
     }
 
-    /// A change of the primary of `service` was claimed by this host.
+    /// Records that this host claimed a change of the primary of `service`.
     fn record_own_claim(&self, service: &str, attempt: u64) {
         self.record_change(service, attempt, true);
     }
 
-    /// Another host has ordered a change of the primary of `service`.
+    /// Records that another host ordered a change of the primary of `service`.
     pub(super) fn record_peer_change(&self, service: &str, attempt: u64) {
         self.record_change(service, attempt, false);
     }
@@ -183,10 +184,10 @@
         changes.entry(key).or_insert(Change { at, own });
     }
 
-    /// Writes claims anew that a restored store may lack.
+    /// Rewrites claims that a restored store may lack.
     ///
-    /// Guards against a host that is cut off together with a primary that was replaced: it asks the
-    /// store whether somebody claims to replace it, and would rely on that primary where the copy is
+    /// Guards against a host that is partitioned together with a replaced primary. It asks the
+    /// store whether that primary is being replaced, and would keep relying on it if the backup is
     /// older than the claim.
     pub(super) fn rewrite_claims(self: &Rc<Self>) {
         let epoch = self.epoch();
--- a/crates/proxy/src/election/empty_log.rs
+++ b/crates/proxy/src/election/empty_log.rs
@@ -1,5 +1,5 @@
-//! Primaries that show no write of their term: whether they have a log, by their own answer and by the
-//! store's record of services that were written to.
+//! Detects a primary with an empty log. A primary that shows no write of its term is checked by its
+//! own answer and by the store's record of services that were written to.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -17,17 +17,17 @@
 use crate::platform::{Platform, Recorded};
 use crate::service::{Missing, Service};
 
-/// So many times a primary is asked whether its log is empty; its slots may be busy.
+/// Number of times a primary is asked whether its log is empty. Its request slots may be busy.
 const EMPTY_LOG_ATTEMPTS: u32 = 3;
 
-/// Pause after a record that the store has not taken.
+/// Pause after a failed attempt to write a record to the store.
 const RECORD_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For how long what was read of the records serves all services: a host that starts checks many
+/// How long one read of the store's records serves all services. A starting host checks many
 /// primaries at once.
 const RECORD_CACHE_TTL: Duration = Duration::from_secs(1);
 
-/// Services that are recorded as written to.
+/// Services that the store records as written to, as of `read_at`.
 #[derive(Debug)]
 pub(super) struct WrittenServices {
     read_at: Duration,
@@ -37,14 +37,14 @@
 /// What this host knows of the records in the store.
 #[derive(Debug, Default)]
 pub(super) struct Records {
-    /// By service: the epoch of the store in which its record is there.
+    /// The newest store epoch in which each service's record is known to exist.
     recorded_in: BTreeMap<String, Epoch>,
-    /// By service: when this host last began to write it.
+    /// When this host last began to write each service's record.
     attempted_at: BTreeMap<String, Duration>,
 }
 
 impl Records {
-    /// Whether the record of `service` is to be written at `now`, as far as is known.
+    /// Reports whether the record of `service` should be written at `now`.
     fn is_due(&self, service: &str, epoch: Epoch, now: Duration) -> bool {
         let there = self
             .recorded_in
@@ -56,8 +56,8 @@
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// Asks a server that is believed to lead what it is; its answer is weighed as it comes. Where it
-    /// shows no write of its term, this goes on until it is known whether its log is empty.
+    /// Queries a server that is believed to be the primary and evaluates its status. If the server
+    /// shows no write of its term, the check continues until it is known whether its log is empty.
     pub(super) fn check_primary(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
@@ -81,7 +81,8 @@
         });
     }
 
-    /// Finds out by the claims in the store whether the successor of a primary may be ordered already.
+    /// Checks the claims in the store to find out whether a successor may already have been
+    /// ordered.
     async fn check_for_unheard_order(
         &self,
         service: &Rc<Service<C>>,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Asks whether the log of a primary that shows no more than `position` is empty.
+    /// Asks a primary that shows no more than `position` whether its log is empty.
     async fn check_log_empty(&self, service: &Rc<Service<C>>, target: &Target, position: Position) {
         for _ in 0..EMPTY_LOG_ATTEMPTS {
             match timeout(STATUS_TIMEOUT, self.has_entries(target)).await {
@@ -122,15 +123,15 @@
     }
 
     async fn read_record(&self, service: &Rc<Service<C>>) {
-        // Where the store does not tell, what it knows of the servers is no newer either.
+        // If the store does not answer, its list of servers is no newer than the last read either.
         if let Ok(Some(is_written)) = timeout(CLAIM_TIMEOUT, self.is_recorded(&service.name)).await
         {
             service.recorded(is_written);
         }
     }
 
-    /// Whether `service` is recorded as written to; nothing where the store does not tell. All that ask
-    /// at the same time wait for one answer.
+    /// Reports whether `service` is recorded as written to, or `None` if the store does not answer.
+    /// Concurrent callers share one read.
     async fn is_recorded(&self, service: &str) -> Option<bool> {
         let now = self.site.now();
         let mut written = self.written_services.lock().await;
@@ -143,8 +144,8 @@
         written.as_ref().map(|it| it.services.contains(service))
     }
 
-    /// Records that something was written to `service`, once for each epoch of the store. The host that
-    /// comes first in the service's order does that: the one of `rank` 0.
+    /// Records once per store epoch that `service` was written to. The record is written by the
+    /// host with `rank` 0 for this service.
     pub(super) fn write_record_if_due(self: &Rc<Self>, service: &Rc<Service<C>>, rank: u32) {
         if rank > 0 {
             return;
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -1,4 +1,4 @@
-//! What follows an order: the successor is asked until it leads, and the primary before it is told to
+//! Follows up on an order: polls the successor until it leads, and tells the replaced primary to
 //! step down.
 
 use std::rc::Rc;
@@ -19,17 +19,18 @@
 use crate::platform::Platform;
 use crate::service::Service;
 
-/// A primary that leaves is told to step down this long after the last write was sent there, so
-/// that its replicas receive what it has acknowledged: half of the time that is left until the
-/// earliest moment at which its successor leads.
+/// How long after the last write a leaving primary is told to step down, so that its replicas
+/// receive what it has acknowledged. This is half of the time left until the earliest moment at
+/// which the successor leads.
 const REPLICATION_GRACE: Duration = Duration::from_millis(30);
 
-/// How often a replaced primary is tried to be told of it: it may be cut off for a moment, and
-/// notices by itself a second after it can reach its successor.
+/// Number of attempts to tell a replaced primary to step down. It may be partitioned for a moment,
+/// and notices the change by itself one second after it can reach its successor.
 const STEP_DOWN_ATTEMPTS: u32 = 8;
 
-/// When a primary is told to step down whose successor was ordered at `ordered`: at once, or where it
-/// serves for `serves` more, [`REPLICATION_GRACE`] after that.
+/// Returns when to tell a primary to step down whose successor was ordered at `ordered`:
+/// immediately, or [`REPLICATION_GRACE`] after the remaining time `serves` for which it still
+/// serves.
 pub(super) fn step_down_at(ordered: Duration, serves: Duration) -> Duration {
     match serves.is_zero() {
         true => ordered,
@@ -38,11 +39,11 @@
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// Asks the server that was ordered to lead at `ordered` until it does, in a term after `term`,
-    /// and tells the other hosts.
+    /// Polls the server ordered to lead at `ordered` until it leads a term after `term`, then
+    /// notifies the other hosts.
     ///
-    /// The platform's list tells as well, but is away or late at times: on a day with an outage of
-    /// the store, hosts found out 1.1 s after the change, and nothing was written until then.
+    /// The platform's list reports the change as well, but may be late or unavailable: during a
+    /// store outage, hosts learned of a change 1.1 s late, and nothing was written until then.
     pub(super) fn await_promotion(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
@@ -66,8 +67,8 @@
         });
     }
 
-    /// Asks a server on one connection until it leads a term after `term`; `effect` is told when it
-    /// did not.
+    /// Polls a server on one connection until it leads a term after `term`, and records in `effect`
+    /// each time at which it did not lead yet.
     async fn poll_until_leading(
         &self,
         service: &Rc<Service<C>>,
@@ -119,11 +120,12 @@
         }
     }
 
-    /// Tells a primary whose successor leads from `term` on, or is about to, to follow it, at `at` or
-    /// as soon as it can be reached after that.
+    /// Tells a primary whose successor leads `term`, or is about to, to follow it, at `at` or as
+    /// soon as it is reachable after that.
     ///
-    /// Guards against hosts that have not heard of the change: on some platforms a replaced primary
-    /// goes on leading its own term until it is told, and they would go on writing to it.
+    /// Guards against hosts that do not know of the change yet. On some platforms a replaced
+    /// primary keeps leading its own term until it is told to stop, and those hosts would keep
+    /// writing to it.
     pub(super) fn step_down(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
--- a/crates/proxy/src/election/messaging.rs
+++ b/crates/proxy/src/election/messaging.rs
@@ -1,4 +1,4 @@
-//! What this host and the others say to each other.
+//! Messages between this host and the other entry hosts.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,25 +16,26 @@
 use crate::platform::Platform;
 use crate::service::{Meant, Service};
 
-/// For how long hosts tell each other of a change of primary: datagrams are lost, and a host that
-/// has heard nothing of it for so long has no lease either.
+/// How long hosts repeat the notification of a change of primary. Datagrams are lost, and a host
+/// that received none of them for this long has lost its lease as well.
 const PROPAGATION_WINDOW: Duration = Duration::from_millis(1_000);
 
-/// Changes that one message tells of: it has to fit into a datagram. What is left out is told with
-/// the next one, as those before it come of age.
+/// Maximum number of changes in one message, which has to fit into a datagram. The remaining ones
+/// follow in later messages, when earlier changes have expired.
 const MAX_ENDED_TERMS: usize = 12;
 
-/// Services whose samples one message asks for or holds, which has to fit into a datagram.
+/// Maximum number of services whose samples one message requests or contains, which has to fit into
+/// a datagram.
 const MAX_SAMPLES: usize = 16;
 
-/// Logs that one message tells of, which has to fit into a datagram.
+/// Maximum number of log reports in one message, which has to fit into a datagram.
 const MAX_LOG_REPORTS: usize = 8;
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// Answers what other hosts ask and takes in what they tell, for ever.
+    /// Receives messages from other hosts and handles them, forever.
     ///
     /// # Errors
-    /// The socket is unusable.
+    /// Returns an error if the socket is unusable.
     pub async fn listen(self: Rc<Self>) -> std::io::Result<()> {
         loop {
             let (message, from) = self.socket.receive().await?;
@@ -42,13 +43,13 @@
         }
     }
 
-    /// Keeps in contact with the other hosts, for ever.
+    /// Sends heartbeats to the other hosts, forever.
     pub async fn send_heartbeats(self: Rc<Self>) {
         let mut interval = tokio::time::interval(HEARTBEAT);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            // A host that has just started is in touch with nobody until its first question is
-            // answered, and refuses writes meanwhile.
+            // A host that has just started has no quorum until its first heartbeat is
+            // acknowledged, and refuses writes until then.
             tokio::select! {
                 _ = interval.tick() => {}
                 () = self.fleet.contact_due.notified() => {}
@@ -71,13 +72,13 @@
         }
     }
 
-    /// Whether this host is in touch with most others.
+    /// Reports whether this host is in contact with a majority of hosts.
     fn has_quorum(&self) -> bool {
         self.fleet
             .with_quorum(|quorum, now| quorum.holds_lease(now))
     }
 
-    /// A heartbeat of this host at `now`.
+    /// Builds a heartbeat of this host at `now`.
     pub(super) fn heartbeat(&self, now: Duration) -> Payload {
         Payload::Heartbeat {
             sent: micros(now),
@@ -88,7 +89,8 @@
         }
     }
 
-    /// For how many milliseconds this host may have missed what the others heard.
+    /// Returns for how many milliseconds this host may have missed notifications, because it was
+    /// not in contact with a majority.
     fn quorum_age_ms(&self, now: Duration) -> u32 {
         let with_most = self.has_quorum();
         self.log_lease_change(with_most, now);
@@ -100,11 +102,12 @@
         millis.unwrap_or(u32::MAX)
     }
 
-    /// Whether this host asks the others how far logs reach: it may have missed that.
+    /// Reports whether this host has to ask the others how far logs reach, because it may have
+    /// missed that.
     ///
-    /// Guards against a primary that has started again without its log, on a host that has just
-    /// started or was cut off: it knows of nothing that the primary lacks, and wrote to it for 350 ms
-    /// beside hosts that did not believe it. What it had acknowledged was rolled back.
+    /// Guards against a primary that restarted without its log, on a host that has just started or
+    /// was partitioned. Such a host does not know what the primary lacks: one wrote to it for 350
+    /// ms while other hosts did not trust it, and the acknowledged writes were rolled back.
     fn needs_log_reports(&self, with_most: bool, now: Duration) -> bool {
         if self.servers_known_since.get().is_none() && self.fleet.is_known() {
             self.servers_known_since.set(Some(now));
@@ -117,7 +120,7 @@
         is_new || !with_most || now < since + PROPAGATION_WINDOW
     }
 
-    /// Tells `to` how far this host has seen logs reach.
+    /// Sends `to` how far this host has seen the logs of services reach.
     fn send_logs(&self, to: SocketAddr) {
         let services = self.fleet.services();
         let logs = services.iter().filter(|service| service.furthest().log > 0);
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Servers of `service` that were seen to lead.
+    /// Returns the servers of `service` that were seen to lead, with their terms.
     fn led_terms(&self, service: &Rc<Service<C>>) -> Vec<LedTerm> {
         let services = self.services.borrow();
         let Some(succession) = services.get(&service.name) else {
@@ -148,7 +151,7 @@
             .collect()
     }
 
-    /// Another host has seen servers of `service` lead.
+    /// Records the terms that another host has seen servers of `service` lead.
     fn apply_led_terms(&self, service: &Rc<Service<C>>, led: &[LedTerm]) {
         let services = self.services.borrow();
         let Some(succession) = services.get(&service.name) else {
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Another host has seen logs reach so far.
+    /// Records how far another host has seen logs reach.
     fn apply_logs(&self, logs: &[LogReport]) {
         for log in logs {
             if let Some(service) = self.fleet.find_service(&log.service) {
@@ -175,7 +178,8 @@
         }
     }
 
-    /// For how many milliseconds this host has been in touch with most others without a break.
+    /// Returns for how many milliseconds this host has been in contact with a majority without a
+    /// break.
     fn quorum_held_ms(&self) -> u32 {
         let now = self.site.now();
         let (holds, since) = self.lease_state.get();
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Logs that this host has lost its lease, or has it back.
+    /// Logs that this host has lost or regained its lease.
     fn log_lease_change(&self, holds: bool, now: Duration) {
         let (held, since) = self.lease_state.get();
         if held == holds {
@@ -204,7 +208,7 @@
         });
     }
 
-    /// Services whose reads wait for a sample of how far the primary is.
+    /// Returns the services whose reads wait for a sample of the primary's replication position.
     fn sample_requests(&self) -> Vec<String> {
         let services = self.fleet.services();
         let lacking = services.iter().filter(|service| service.lacks_sample.get());
@@ -212,7 +216,7 @@
         names.take(MAX_SAMPLES).collect()
     }
 
-    /// This host's newest samples of the primaries of `services`.
+    /// Returns this host's newest samples of the primaries of `services`.
     fn samples(&self, services: &[String]) -> Vec<Sample> {
         let sample = |name: &String| {
             let (position, age) = self.fleet.find_service(name)?.newest_sample()?;
@@ -229,8 +233,9 @@
             .collect()
     }
 
-    /// Another host has answered what was sent at `sent`: a primary that it asked some time before it
-    /// answered, it asked no earlier than that long before `sent`.
+    /// Records samples from a host that answered the message sent at `sent`. A sample's age counts
+    /// back from the answer, which came no earlier than `sent`, so the primary was queried no
+    /// earlier than that age before `sent`.
     fn apply_samples(&self, samples: &[Sample], sent: Duration) {
         let sent = sent.min(self.site.now());
         for sample in samples {
@@ -241,17 +246,17 @@
         }
     }
 
-    /// Changes of primaries that this host has heard of within `age`.
+    /// Returns the changes of primaries that this host has learned of within `age`.
     ///
-    /// An order is announced by one datagram to each host, which may be lost, and a host that was
-    /// cut off meanwhile hears none. What keeps a lease alive tells of the change as well.
+    /// An order is announced to each host by a single datagram, which may be lost or miss a host
+    /// that is partitioned. So the messages that keep a lease alive carry the change as well.
     fn recent_ended_terms(&self, age: Duration) -> Vec<EndedTerm> {
         let services = self.fleet.services();
         let ended = services.iter().filter_map(|service| service.ended(age));
         ended.take(MAX_ENDED_TERMS).collect()
     }
 
-    /// Another host tells that a primary is replaced.
+    /// Records that another host reports a primary as replaced.
     fn apply_ended_term(&self, host: &str, ended: &EndedTerm) {
         let Some(service) = self.fleet.find_service(&ended.service) else {
             return;
@@ -269,8 +274,8 @@
         }
     }
 
-    /// Asks the store which primaries are being replaced; with most hosts silent, only it can
-    /// tell that this host is not the one that is cut off.
+    /// Asks the store which primaries are being replaced. While most hosts are silent, only the
+    /// store can show that this host is not the partitioned one.
     fn check_claims_in_store(self: &Rc<Self>) {
         if self.is_reading_claims.replace(true) {
             return;
@@ -334,7 +339,7 @@
                 } => {
                     self.fleet.record_peer_epoch(host, Epoch(progress.epoch));
                     self.fleet.record_peer_progress(progress);
-                    // Before the answer prolongs the lease.
+                    // Ended terms are applied before the acknowledgement extends the lease.
                     ended_terms
                         .iter()
                         .for_each(|it| self.apply_ended_term(&message.host, it));
@@ -358,9 +363,9 @@
         };
         let succession = self.services.borrow().get(&service.name).cloned();
         match message.payload {
-            // From a host that is not listed yet.
+            // Sent by a host that is not listed yet.
             Payload::Heartbeat { .. } | Payload::HeartbeatAck { .. } => {}
-            // They are about no service.
+            // Not specific to a service, and handled above.
             Payload::LogQuery | Payload::LogReply { .. } => {}
             Payload::ReachabilityQuery { server, furthest } => {
                 service.told(furthest.into());
@@ -402,7 +407,7 @@
         }
     }
 
-    /// Tells whether this host reaches `server`, which it tries first.
+    /// Answers whether this host reaches `server`, after probing it.
     async fn answer_reachability(
         &self,
         service: Rc<Service<C>>,
@@ -415,9 +420,9 @@
         };
         let reaches = match meant {
             Meant::Listed(key) => self.reaches(&service, key).await,
-            // A former start is over, whoever answers at its address now.
+            // A former incarnation is over, no matter what answers at its address now.
             Meant::Former | Meant::Unknown => false,
-            // Of a start that is not listed here yet, nothing can be said.
+            // Nothing is known about an incarnation that is not listed here yet.
             Meant::Newer => return,
         };
         let payload = Payload::ReachabilityReply {
@@ -428,7 +433,7 @@
         self.send(&service, payload, from);
     }
 
-    /// Whether this host reaches a server, and believes that it has the service's log.
+    /// Reports whether this host reaches a server and trusts that it has the service's log.
     async fn reaches(&self, service: &Rc<Service<C>>, server: ServerKey) -> bool {
         let Some(target) = target(service, server) else {
             return false;
@@ -437,7 +442,7 @@
             Probe::Status(_) => !service.is_doubted(server),
             Probe::Alive => true,
             Probe::Refused => false,
-            // Too busy to answer a question in time, it may still answer statements.
+            // A server too busy to answer a query in time may still answer statements.
             Probe::Silent => {
                 let now = self.site.now();
                 let contact = service.contact(server).unwrap_or_default();
@@ -446,7 +451,7 @@
         }
     }
 
-    /// Tells the other hosts of which servers this one lacks connections.
+    /// Notifies the other hosts of servers to which this host lacks connections.
     pub(super) fn send_shortages(&self, service: &Rc<Service<C>>) {
         let short = service.take_short();
         for server in short.into_iter().filter_map(|it| service.named(it)) {
@@ -476,8 +481,8 @@
     }
 }
 
-/// Whether `server`, of which another host tells, is the one that leads as far as this host knows;
-/// none is named where nobody does.
+/// Reports whether a report from another host about `server` concerns the primary known to this
+/// host. No server is named if there is no primary.
 fn is_about_leader<C: Codec>(service: &Rc<Service<C>>, server: Option<&Server>) -> bool {
     match (server.map(|server| service.meant(server)), service.leader()) {
         (Some(Meant::Listed(server)), Some(leader)) => server == leader,
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -34,34 +34,35 @@
 use placement::rendezvous_hash;
 use unusable_entries::{CONFIGURATION, SERVERS, backend_id};
 
-/// How long an entry that has gone from the list is still believed in. Entries of living servers
-/// lapse while the platform's store is away and are back within two seconds of its return; the
-/// bound on work for servers that have left is several seconds.
+/// How long a server stays in use after its entry disappears from the list. Entries of running
+/// servers expire while the platform's store is unavailable and are back within two seconds of its
+/// return. Servers that have left may be sent work for several seconds at most.
 pub const UNLISTED_GRACE: Duration = Duration::from_millis(2_300);
 
-/// For how long a server that was dropped is remembered: longer than a copy of the store is old
-/// from which it is restored, which is some seconds.
+/// How long a dropped server is remembered. This exceeds the age of the backup that a store is
+/// restored from, which is a few seconds.
 const DROPPED_RETENTION: Duration = Duration::from_secs(30);
 
-/// Up to this many hosts all ask each other whether they are in touch.
+/// Up to this many hosts, including this one, all hosts exchange heartbeats with each other.
 const SMALL_FLEET_HOSTS: usize = 9;
 
-/// What this host knows of the fleet.
+/// The fleet as known to this host.
 pub struct Fleet<C: Codec> {
     site: Rc<Site>,
     configuration: RefCell<Option<Rc<Configuration>>>,
     services: RefCell<BTreeMap<String, Rc<Service<C>>>>,
     servers: RefCell<Servers>,
-    /// Entries of servers whose service no configuration names yet, by id.
+    /// Entries of servers whose service is in no configuration yet, by server id.
     unconfigured: RefCell<BTreeMap<String, Backend>>,
     reported_faults: RefCell<ReportedFaults>,
     peers: RefCell<Peers>,
     quorum: RefCell<Quorum>,
     epochs: RefCell<Epochs>,
-    /// The other hosts whose majority counts; worked out anew with each change of the list, since
-    /// heartbeats and elections ask for them many times a second.
+    /// The other hosts whose majority forms a quorum. Recomputed only when the list of hosts
+    /// changes, since heartbeats and elections read it many times a second.
     electors: RefCell<Vec<(HostKey, Peer)>>,
-    /// Other hosts are to be asked at once: who they are, or which servers there are, is progress.
+    /// Notifies the heartbeat task to contact the other hosts immediately, because the list of
+    /// hosts or of servers has changed.
     pub contact_due: Notify,
     /// How far the platform's feeds have been read.
     pub feeds: Rc<Feeds>,
@@ -72,20 +73,20 @@
 struct Servers {
     keys: SlotMap<ServerKey, String>,
     by_id: BTreeMap<String, ListedServer>,
-    /// Entries that name no server, by id.
+    /// Ids of entries that cannot be read.
     unreadable: BTreeSet<String>,
-    /// Starts of servers that were dropped lately, and when.
+    /// Incarnations of recently dropped servers, and when they were dropped.
     dropped: BTreeMap<String, (Incarnation, Duration)>,
 }
 
 struct ListedServer {
-    /// Stands for one start of the server: what is kept by it goes with it.
+    /// Identifies one incarnation of the server. State that is kept by this key is dropped with it.
     key: ServerKey,
     incarnation: Incarnation,
     service: String,
-    /// When it went from the list.
+    /// When the entry disappeared from the list.
     missing_since: Option<Duration>,
-    /// It has said that it is about to leave.
+    /// Whether the server has announced that it is leaving.
     leaving: bool,
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl<C: Codec> Fleet<C> {
-    /// A fleet of which nothing is known.
+    /// Creates a fleet of which nothing is known yet.
     pub fn new(site: Rc<Site>) -> Fleet<C> {
         Fleet {
             site,
@@ -115,62 +116,62 @@
         }
     }
 
-    /// Version of the configuration in force; 0 when there is none.
+    /// Returns the version of the configuration in force, or 0 if there is none.
     pub fn version(&self) -> u64 {
         let configuration = self.configuration.borrow();
         configuration.as_ref().map_or(0, |it| it.version)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Whether enough is known to serve callers.
+    /// Reports whether enough is known to serve callers.
     pub fn is_known(&self) -> bool {
         let hosts = self.quorum.borrow().knows_hosts();
         hosts && self.server_list_read.get() && self.version() > 0
     }
 
-    /// Whether the list of servers names all that may lead, as far as can be told.
+    /// Reports whether the list of servers is known to include all that may become primary.
     ///
-    /// A successor may be one whose entry cannot be read, or is missing in the copy from which the store was
-    /// restored.
+    /// The entry of a successor may be unreadable, or missing in the backup from which the store
+    /// was restored.
     pub fn knows_all_servers(&self) -> bool {
         let copied = self.epochs.borrow().may_be_copied(self.site.now());
         let unreadable = !self.servers.borrow().unreadable.is_empty();
         !copied && !unreadable && self.unconfigured.borrow().is_empty()
     }
 
-    /// Whether the configuration in force is that of a copy: the store was restored a moment ago, and other
-    /// hosts have a newer one, which operators will write again.
+    /// Reports whether the configuration in force comes from a backup: the store was restored a
+    /// moment ago, and other hosts have a newer version, which operators will write again.
     ///
-    /// Guards against callers that are sent to a host which has just started, and is the only one that does
-    /// not know what operators have changed lately.
+    /// Guards against sending callers to a host that has just started and is the only one without
+    /// the operators' latest changes.
     pub fn has_outdated_configuration(&self) -> bool {
         let now = self.site.now();
         self.feeds.configuration.is_behind() && self.epochs.borrow().may_be_copied(now)
     }
 
-    /// The route of a database and the service that it leads to.
+    /// Returns the route of a database and the service that it leads to.
     pub fn route(&self, database: &str) -> Option<(Route, Rc<Service<C>>)> {
         let configuration = self.configuration()?;
         let route = configuration.routes.get(database)?;
         Some((route.clone(), self.service_or_new(&route.service)))
     }
 
-    /// How long a statement on `database` may take, by its route.
+    /// Returns the statement timeout of the route of `database`.
     pub fn timeout(&self, database: &str) -> Option<Duration> {
         let configuration = self.configuration()?;
         Some(configuration.routes.get(database)?.timeout)
     }
 
-    /// The service called `name`, if it has servers.
+    /// Returns the service called `name`, if it has servers.
     pub fn find_service(&self, name: &str) -> Option<Rc<Service<C>>> {
         self.services.borrow().get(name).cloned()
     }
 
-    /// All services that have servers.
+    /// Returns all services that have servers.
     pub fn services(&self) -> Vec<Rc<Service<C>>> {
         self.services.borrow().values().cloned().collect()
     }
@@ -201,10 +202,10 @@
         self.allot_connections();
     }
 
-    /// Takes a whole list of servers: what it lacks has gone.
+    /// Applies a complete list of servers. Servers that are not in it count as missing.
     ///
-    /// One that a store was restored with may be outdated: it takes back nothing that was known
-    /// before, until servers have written their entries anew.
+    /// The list of a restored store may be outdated. It undoes nothing that was known before, until
+    /// servers have rewritten their entries.
     pub fn apply_server_list(&self, entries: Vec<Entry<Backend>>) {
         let named: BTreeSet<&str> = entries.iter().map(backend_id).collect();
         let missing: Vec<String> = {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Takes one change of the list of servers.
+    /// Applies one change of the list of servers.
     pub fn apply_server_change(&self, change: Change<Backend>) {
         match change {
             Change::Put(backend) if self.has_service(&backend.service) => {
@@ -247,11 +248,13 @@
         }
     }
 
-    /// The entry of server `id` has gone or names no server any more. Both may pass: entries of
-    /// living servers lapse, and a server writes its entry anew over what somebody else has put in
-    /// its place. So the server is used for [`UNLISTED_GRACE`] longer, which is within the time in which
-    /// servers that have left still serve; dropped at once, a primary would lose its transactions
-    /// and be replaced for an entry that is good again a heartbeat later.
+    /// Marks server `id` as missing, because its entry disappeared or can no longer be used.
+    ///
+    /// Both may be temporary: entries of running servers expire, and a server rewrites its entry if
+    /// somebody else has overwritten it. So the server stays in use for [`UNLISTED_GRACE`], which
+    /// is within the time for which a leaving server still serves. If it were dropped immediately,
+    /// a primary would lose its transactions and be replaced although its entry is valid again one
+    /// heartbeat later.
     fn mark_missing(&self, id: &str) {
         self.unconfigured.borrow_mut().remove(id);
         let now = self.site.now();
@@ -262,8 +265,8 @@
         }
     }
 
-    /// Drops servers whose entries have been gone for long enough. While `blind`, the list cannot
-    /// be read, so nothing is known to be missing.
+    /// Drops servers that have been missing for [`UNLISTED_GRACE`]. While the list is unreadable,
+    /// no server is known to be missing, so the grace starts over.
     pub fn drop_missing_servers(&self, list_unreadable: bool) {
         let now = self.site.now();
         let mut lapsed = Vec::new();
@@ -303,7 +306,7 @@
         }
     }
 
-    /// How far this host has read what the platform tells.
+    /// Returns how far this host has read the platform's feeds.
     pub fn feed_progress(&self) -> FeedProgress {
         let now = self.site.now();
         let epochs = self.epochs.borrow();
@@ -316,14 +319,15 @@
         }
     }
 
-    /// Reads of `service` wait for a sample of how far its primary is: the other hosts are asked at once.
+    /// Requests a sample of the primary's replication position from the other hosts immediately,
+    /// because reads of `service` wait for it.
     pub fn request_sample(&self, service: &Service<C>) {
         if service.want_sample() {
             self.contact_due.notify_one();
         }
     }
 
-    /// Another host has read as far as `progress`.
+    /// Records how far another host has read the platform's feeds.
     pub fn record_peer_progress(&self, progress: FeedProgress) {
         let now = self.site.now();
         let epoch = Epoch(progress.epoch);
@@ -338,8 +342,8 @@
         self.feeds.backends.record_peer_read(progress.backends, now);
     }
 
-    /// Has calls given up that wait for what others have read already, or that others no longer
-    /// look after.
+    /// Cancels calls that wait for changes which other hosts have already read, and calls that no
+    /// other host monitors any more.
     pub fn check_feeds(&self) {
         let now = self.site.now();
         let patience = self.stuck_detection();
@@ -347,15 +351,16 @@
         self.feeds.backends.check_stuck(patience, now);
     }
 
-    /// Whether all hosts ask all others.
+    /// Reports whether the fleet is small enough for all hosts to exchange heartbeats.
     pub fn is_small(&self) -> bool {
         self.peers.borrow().by_host.len() < SMALL_FLEET_HOSTS
     }
 
-    /// Who notices that a call which waits for changes is stuck.
+    /// Returns who detects that a call waiting for changes is stuck.
     ///
-    /// The hosts that all others ask find out for themselves whether a feed is stuck, and so do
-    /// all where they are few. The others are told, for as long as they hear most of those.
+    /// The electors detect a stuck feed themselves, and so do all hosts of a small fleet. Other
+    /// hosts rely on the electors' heartbeats for as long as they are in contact with a majority of
+    /// them.
     pub fn stuck_detection(&self) -> StuckDetection {
         let quorum = self.quorum.borrow();
         let is_told = !quorum.takes_part() && quorum.holds_lease(self.site.now());
@@ -365,20 +370,20 @@
         }
     }
 
-    /// Works on what this host knows of the store's epochs.
+    /// Calls `work` with the known epochs of the store and the current time.
     pub fn with_epochs<T>(&self, work: impl FnOnce(&mut Epochs, Duration) -> T) -> T {
         work(&mut self.epochs.borrow_mut(), self.site.now())
     }
 
-    /// Another host has heard of `epoch`.
+    /// Records that another host knows of `epoch`.
     pub fn record_peer_epoch(&self, host: HostKey, epoch: Epoch) {
         if self.with_epochs(|epochs, now| epochs.told(host, epoch, now)) {
             self.feeds.cancel_after_restore();
         }
     }
 
-    /// The store has answered in `epoch`. Returns whether what it said holds: it does not where the
-    /// epoch is over.
+    /// Records that the store answered in `epoch`. Returns whether the answer is valid: it is not
+    /// if the epoch is over.
     pub fn observe_epoch(&self, epoch: Epoch) -> bool {
         match self.with_epochs(|epochs, now| epochs.saw(epoch, now)) {
             Sighting::Known => true,
@@ -390,8 +395,8 @@
         }
     }
 
-    /// The store has come back from a copy: all lists are read anew, that of servers once more when
-    /// they have had the time to write their entries.
+    /// Handles a restore of the store from a backup. All lists are read again, and the list of
+    /// servers once more after servers had time to rewrite their entries.
     fn handle_store_restore(&self, before: Epoch, epoch: Epoch) {
         meter::store_restored();
         self.site.log(&Event::StoreRestored {
@@ -409,28 +414,29 @@
         });
     }
 
-    /// Works on this host's contact with the others.
+    /// Calls `work` with this host's contacts to the other hosts and the current time.
     pub fn with_quorum<T>(&self, work: impl FnOnce(&mut Quorum, Duration) -> T) -> T {
         work(&mut self.quorum.borrow_mut(), self.site.now())
     }
 
-    /// Whether this host may rely on the primary of `service` now: send it what only a primary may
-    /// run, and acknowledge its writes.
+    /// Reports whether this host may currently rely on the primary of `service`: send it requests
+    /// that only a primary may run, and acknowledge its writes.
     ///
-    /// The store's word is for hosts that most others are out of reach of. One that does not know the
-    /// others yet has asked none of them what it may have missed.
+    /// The store's claims are a substitute for hosts that cannot reach a majority. They are no
+    /// substitute for a host that does not know the other hosts yet, since it has not asked any of
+    /// them what it may have missed.
     pub fn holds_lease(&self, service: &Service<C>) -> bool {
         let quorum = self.quorum.borrow();
         quorum.holds_lease(self.site.now()) || quorum.knows_hosts() && service.is_unclaimed()
     }
 
-    /// Whether commits of `service` are acknowledged only when a replica has received them.
+    /// Reports whether `service` acknowledges a commit only after a replica has received it.
     pub fn is_synchronous(&self, service: &str) -> bool {
         let configured = self.configured(service);
         configured.is_some_and(|configured| configured.synchronous)
     }
 
-    /// What the configuration says of `service`.
+    /// Returns the configuration of `service`.
     fn configured(&self, service: &str) -> Option<Configured> {
         let configuration = self.configuration.borrow();
         configuration.as_ref()?.services.get(service).copied()
@@ -456,7 +462,7 @@
         let service = self.service_or_new(&backend.service);
         let slots = service.slots();
         service.listed(key, backend, start, source);
-        // Which hosts serve it depends on what its servers run at once.
+        // The set of serving hosts depends on the number of request slots.
         if service.slots() != slots {
             service.allot(self.allotment(&service.name));
         }
--- a/crates/proxy/src/fleet/incarnations.rs
+++ b/crates/proxy/src/fleet/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which start of a server an entry of the list speaks of.
+//! Matches entries of the server list to incarnations, the individual starts of a server.
 
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
@@ -9,16 +9,16 @@
 use crate::platform::Backend;
 use crate::service::Start;
 
-/// Which start of a server an entry of the list speaks of.
+/// How an entry relates to the incarnation that is currently listed.
 enum IncarnationMatch {
-    /// The one that is known, or the first.
+    /// The listed incarnation, or the first one of a new server.
     Known(ServerKey),
-    /// A newer one, or the same as a server of another service.
+    /// A newer incarnation, or the same one under a different service.
     Newer {
         key: ServerKey,
         before: ListedServer,
     },
-    /// One before the one that is known.
+    /// An incarnation before the listed one. Contains the listed one.
     Former(Incarnation),
 }
 
@@ -35,11 +35,12 @@
 }
 
 impl<C: Codec> Fleet<C> {
-    /// The key of the start that `backend` speaks of, which it lists; `None` for a former one.
+    /// Lists the incarnation that `backend` describes and returns its key, or `None` for a former
+    /// incarnation.
     ///
-    /// Guards against what was known of a former start: a key stands for one start of a server, and
-    /// connections, positions, lag, window, contact and roles are kept by it, so that they go with
-    /// it. An entry that comes late, by a store that answers from the past, changes nothing.
+    /// Guards against using state of a former incarnation. Connections, positions, lag, window,
+    /// contact and roles are stored under the key of one incarnation and are dropped with it. A
+    /// late entry, from a store that answers with outdated data, changes nothing.
     pub(super) fn resolve_incarnation(&self, backend: &Backend) -> Option<(ServerKey, Start)> {
         match self.match_incarnation(backend) {
             IncarnationMatch::Known(key) => Some((key, Start::Known)),
@@ -90,7 +91,7 @@
         IncarnationMatch::Newer { key, before }
     }
 
-    /// Whether `backend` speaks of a start before the one that is listed.
+    /// Reports whether `backend` describes an incarnation before the listed one.
     pub(super) fn is_former(&self, backend: &Backend) -> bool {
         let servers = self.servers.borrow();
         let listed = servers.by_id.get(&backend.id);
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! The other entry hosts, and which of them are asked by all.
+//! The other entry hosts, and the electors among them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,15 +11,17 @@
 use crate::event::Event;
 use crate::platform::{Change, Entry, Peer};
 
-/// In larger fleets so many hosts, spread over the availability zones, are asked by all: what a
-/// host sends stays the same however many there are. Odd, so that halves cannot tie.
+/// Number of electors in a large fleet. All hosts exchange heartbeats with them, so the number of
+/// messages that a host sends does not depend on the size of the fleet. They are spread over the
+/// availability zones. The number is odd so that a split cannot tie.
 const MAX_ELECTORS: usize = 7;
 
 impl<C: Codec> Fleet<C> {
-    /// Takes a whole list of hosts.
+    /// Applies a complete list of hosts.
     ///
-    /// Hosts that are missing where the store was just restored have announced themselves after the
-    /// copy was taken, and do so again. Guards against majorities that are counted without them.
+    /// A host missing from a store that was just restored announced itself after the backup was
+    /// taken, and will do so again. It stays listed, which guards against a majority that is
+    /// counted without it.
     pub fn apply_host_list(&self, entries: Vec<Entry<Peer>>) {
         let named: BTreeSet<&str> = entries.iter().map(peer_id).collect();
         let copied = self.epochs.borrow().may_be_copied(self.site.now());
@@ -34,15 +36,16 @@
         self.update_hosts(gone.chain(rest).collect());
     }
 
-    /// Takes changes of the list of hosts.
+    /// Applies changes of the list of hosts.
     pub fn apply_host_changes(&self, changes: Vec<Change<Peer>>) {
         if !changes.is_empty() {
             self.update_hosts(changes);
         }
     }
 
-    /// Takes changes, and works out what follows from the list once for all of them: that walks over
-    /// all hosts, and a host that starts is told of each.
+    /// Applies changes and then recomputes what depends on the list. That is done once for all
+    /// changes, since it iterates over all hosts and a starting host receives an entry of each of
+    /// them.
     fn update_hosts(&self, changes: Vec<Change<Peer>>) {
         for change in changes {
             self.apply_host_change(change);
@@ -77,8 +80,8 @@
                 };
                 peers.by_host.insert(peer.host.clone(), (key, peer));
             }
-            // A host that is known stays: it has not withdrawn, and without it fewer hosts would
-            // be a majority than without its word may be one.
+            // A known host stays listed, because it has not withdrawn. Dropping it would lower the
+            // number of hosts that form a majority while it may still be part of one.
             Change::Unusable(unusable) => self.report_unusable(HOSTS, &unusable),
             Change::Removed(host) => {
                 let mut peers = self.peers.borrow_mut();
@@ -91,22 +94,22 @@
         }
     }
 
-    /// The key of a host that is listed.
+    /// Returns the key of a listed host.
     pub fn peer(&self, host: &str) -> Option<HostKey> {
         let peers = self.peers.borrow();
         peers.by_host.get(host).map(|(key, _)| *key)
     }
 
-    /// The other hosts.
+    /// Returns the other hosts.
     pub fn peers(&self) -> Vec<(HostKey, Peer)> {
         self.peers.borrow().by_host.values().cloned().collect()
     }
 
-    /// From when on this host may order a change of primary, as far as that depends on what a restored
-    /// store may lack; hosts in `gone` are not waited for.
+    /// Returns the earliest time at which this host may order a change of primary, as far as that
+    /// depends on entries that a restored store may lack. Hosts in `gone` are not waited for.
     ///
-    /// Elections ask this many times a second for each service, and the list of hosts may be long: it is
-    /// walked only where a wait may be left.
+    /// Elections call this many times a second for each service, and the list of hosts may be long.
+    /// So the list is only iterated over if a delay is possible.
     pub fn orders_from(&self, gone: &BTreeSet<HostKey>) -> Duration {
         let epochs = self.epochs.borrow();
         if !epochs.may_delay_orders(self.site.now()) {
@@ -117,18 +120,18 @@
         epochs.orders_from(&keys.filter(|key| !gone.contains(key)).collect())
     }
 
-    /// The other hosts whose majority counts.
+    /// Returns the other hosts whose majority forms a quorum.
     pub fn electors(&self) -> Vec<(HostKey, Peer)> {
         self.electors.borrow().clone()
     }
 
-    /// The other hosts whose majority counts, and whether this one is of their number.
+    /// Chooses the electors. Returns the other hosts among them, and whether this host is one.
     fn choose_electors(&self) -> (Vec<(HostKey, Peer)>, bool) {
         let peers = self.peers();
         if self.is_small() {
             return (peers, true);
         }
-        // Each zone's hosts in an order of their own, then one of each zone after the other.
+        // Orders the hosts of each zone by hash, then takes one host of each zone in turn.
         let mut zones: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
         let own = (self.site.zone.as_str(), self.site.host.as_str());
         let hosts = peers
--- a/crates/proxy/src/fleet/placement.rs
+++ b/crates/proxy/src/fleet/placement.rs
@@ -1,4 +1,4 @@
-//! Which hosts serve a service, and how many connections each of them may have.
+//! Assigns services to hosts, and a number of server connections to each host.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,41 +7,44 @@
 use crate::codec::Codec;
 use crate::service::Allotment;
 
-/// Hosts keep this part of a server's connections open, as a divisor. When hosts lose power,
-/// servers go on counting their connections for some seconds: the other part lets all hosts in
-/// that start meanwhile. With all of them kept open, nobody was served for two seconds after such
-/// a restart.
+/// Divisor for the part of a server's connections that hosts keep open. After a power loss, servers
+/// keep counting the connections of dead hosts for a few seconds, and the other part admits the
+/// hosts that start meanwhile. With all connections kept open, no request was served for two
+/// seconds after such a restart.
 const KEPT_OPEN_DIVISOR: u16 = 2;
 
-/// Connections to one server that a host keeps open at most: one for each of the few statements
-/// that a fraction of a core can have in flight.
+/// Maximum number of connections that a host keeps open to one server: one for each of the few
+/// statements that a fraction of a core can have in flight.
 const MAX_KEPT_OPEN: u16 = 4;
 
-/// All hosts together use at most this part of a server's connections, in percent; shares are rounded
-/// up. What is left is for a fleet that starts again: servers count the connections of hosts without
-/// power for some seconds, and with all of them in use nobody reached a primary for a second more.
+/// Percentage of a server's connections that all hosts together use at most, where each host's
+/// share is rounded up. The remainder is for a restart of the whole fleet: servers keep counting
+/// the connections of hosts that lost power for a few seconds. With all of them in use, no host
+/// reached a primary for another second.
 const MAX_USED_PERCENT: u32 = 75;
 
-/// Connections that a host which serves a service for its zone should have to each server.
+/// Connections to each server that a host should have if it serves a service for its zone.
 const CONNECTIONS_PER_SERVING_HOST: usize = 5;
 
-/// Each host has at least one request running at a server, whatever that bears. With more hosts
-/// than this many times a server's slots, these alone overflow its queue, and it refuses rather
-/// than serves: no host can narrow its window any further.
+/// Hosts per server slot above which a service is crowded. Each host has at least one request
+/// running at a server, whatever the server's capacity. Above this ratio these requests alone
+/// overflow the server's queue and it refuses requests, because no host can narrow its window any
+/// further.
 const CROWDED_HOSTS_PER_SLOT: usize = 6;
 
-/// Hosts that serve a service for their zones, together, for each slot of a server: enough that
-/// the loss of one leaves most, few enough that their windows tell apart what a server bears.
+/// Number of hosts that serve a service for their zones, over all zones, per server slot. This is
+/// enough for most of them to remain when one is lost, and few enough for their windows to reflect
+/// the server's capacity.
 const SERVING_HOSTS_PER_SLOT: usize = 2;
 
 impl<C: Codec> Fleet<C> {
-    /// The hosts of this zone that serve `service` for all of its hosts, best first; `None` where
-    /// each host serves for itself.
+    /// Returns the hosts of this zone that serve `service` for the whole zone, in order of
+    /// preference, or `None` if each host serves it for itself.
     ///
-    /// With more hosts than a server accepts connections, most would be refused and all would
-    /// connect anew all the time. With many more than it has slots, its queue overflows: of 65
-    /// hosts before servers with 5 slots, one request in eight of a service was refused for the
-    /// rest of a day after its replicas had been behind for some seconds.
+    /// With more hosts than server connections, most hosts would be refused and all would reconnect
+    /// all the time. With many more hosts than server slots, a server's queue overflows: with 65
+    /// hosts and servers with 5 slots, one in eight requests to a service was refused for the rest
+    /// of a day after its replicas had lagged for a few seconds.
     pub fn serving_hosts(&self, service: &str) -> Option<Vec<ServingHost>> {
         let connections = usize::from(self.configured(service)?.connections);
         let slots = self.slots(service);
@@ -73,18 +76,19 @@
         Some(homes.map(|(_, home)| home).collect())
     }
 
-    /// Whether this host sends statements to the servers of `service` itself.
+    /// Reports whether this host itself sends statements to the servers of `service`.
     pub fn serves(&self, service: &str) -> bool {
         let homes = self.serving_hosts(service);
         homes.is_none_or(|homes| homes.contains(&ServingHost::Local))
     }
 
-    /// Requests that each server of `service` runs at once; `None` while none is listed.
+    /// Returns how many requests each server of `service` runs concurrently, or `None` while no
+    /// server is listed.
     fn slots(&self, service: &str) -> Option<usize> {
         self.find_service(service)?.slots().map(usize::from)
     }
 
-    /// Availability zones that have hosts.
+    /// Returns the number of availability zones that have hosts.
     fn zones(&self) -> usize {
         let peers = self.peers.borrow();
         let zones = peers.by_host.values().map(|(_, peer)| peer.zone.as_str());
@@ -93,14 +97,14 @@
         zones.len()
     }
 
-    /// Gives all services their connections anew.
+    /// Recomputes the connection allotment of all services.
     pub(super) fn allot_connections(&self) {
         for service in self.services() {
             service.allot(self.allotment(&service.name));
         }
     }
 
-    /// How many connections this host may have to each server of `service`.
+    /// Returns how many connections this host may have to each server of `service`.
     pub(super) fn allotment(&self, service: &str) -> Allotment {
         let Some(configured) = self.configured(service) else {
             return Allotment {
@@ -112,7 +116,7 @@
         let hosts = match self.serving_hosts(service) {
             None => self.peers.borrow().by_host.len() + 1,
             Some(homes) if homes.contains(&ServingHost::Local) => homes.len() * self.zones(),
-            // Others serve it; a single connection is left for when none of them can be reached.
+            // Other hosts serve it. One connection remains for when none of them is reachable.
             Some(_) => {
                 return Allotment {
                     base: 0,
@@ -128,9 +132,10 @@
         Allotment { base, fair, most }
     }
 
-    /// How many hosts come before this one when `what` has to be done by one of them.
+    /// Returns this host's rank for a task named `what`, which is the number of hosts that come
+    /// before it.
     ///
-    /// The order differs by `what`, so that one lost host does not come first everywhere.
+    /// The order differs by `what`, so that one lost host is not the first for every task.
     pub fn rank(&self, what: &str) -> u32 {
         let own = rendezvous_hash(what, &self.site.host);
         let peers = self.peers.borrow();
@@ -142,23 +147,23 @@
     }
 }
 
-/// The part of `connections` that each of `hosts` may use.
+/// Returns how many of `connections` each of `hosts` may use, rounded up.
 fn connection_share(connections: u16, hosts: u16) -> u16 {
     let used = u32::from(connections) * MAX_USED_PERCENT / 100;
     let share = used.div_ceil(u32::from(hosts).max(1)).max(1);
     u16::try_from(share).unwrap_or(u16::MAX)
 }
 
-/// Where a service is served for this host's availability zone.
+/// A host that serves a service for this host's availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingHost {
-    /// By this host.
+    /// This host.
     Local,
-    /// By the host that answers others at this address.
+    /// Another host, which answers its peers at this address.
     Remote(SocketAddr),
 }
 
-/// FNV-1a: the same number on every host, for any pair of names.
+/// Computes the FNV-1a hash of two names. Every host computes the same value.
 pub(super) fn rendezvous_hash(what: &str, host: &str) -> u64 {
     let bytes = what.bytes().chain(host.bytes());
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
--- a/crates/proxy/src/fleet/restored.rs
+++ b/crates/proxy/src/fleet/restored.rs
@@ -1,4 +1,4 @@
-//! Entries of servers in a store that was restored from a copy some seconds old.
+//! Entries of servers in a store that was restored from a backup a few seconds old.
 
 use super::Fleet;
 use crate::codec::Codec;
@@ -7,11 +7,11 @@
 use crate::service::Source;
 
 impl<C: Codec> Fleet<C> {
-    /// Takes an entry that may be the copy's.
+    /// Applies an entry that may come from the backup.
     ///
-    /// Guards against new work for servers that had left or were about to: the copy lists them as they
-    /// were before they said so. A server that is alive writes its entry anew within two seconds, and
-    /// the list is read once more when it has.
+    /// Guards against new work for servers that have left or are leaving: the backup lists them as
+    /// they were before they announced it. A running server rewrites its entry within two seconds,
+    /// and the list is read again after that.
     pub(super) fn put_restored(&self, mut backend: Backend) {
         if self.has_dropped(&backend) {
             self.site.log(&Event::CopyIgnored {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether the start that `backend` speaks of has gone from the list.
+    /// Reports whether the incarnation that `backend` describes was dropped from the list.
     fn has_dropped(&self, backend: &Backend) -> bool {
         let servers = self.servers.borrow();
         let dropped = servers.dropped.get(&backend.id);
@@ -35,7 +35,7 @@
         !is_listed && dropped.is_some_and(|(start, _)| *start >= backend.incarnation)
     }
 
-    /// Whether the start that `backend` speaks of has said that it is about to leave.
+    /// Reports whether the incarnation that `backend` describes has announced that it is leaving.
     fn is_leaving(&self, backend: &Backend) -> bool {
         let servers = self.servers.borrow();
         let listed = servers.by_id.get(&backend.id);
--- a/crates/proxy/src/fleet/unusable_entries.rs
+++ b/crates/proxy/src/fleet/unusable_entries.rs
@@ -1,4 +1,4 @@
-//! Entries that somebody else has written, or that nobody has asked for yet.
+//! Entries that cannot be read, and entries of servers whose service is not configured yet.
 
 use crate::codec::Codec;
 use crate::event::Event;
@@ -8,13 +8,13 @@
 use crate::platform::{Backend, Entry, Peer};
 use crate::unusable::UnusableEntry;
 
-/// What entries that cannot be used are of.
+/// Tables of the store that may contain unusable entries.
 pub(super) const CONFIGURATION: &str = "configuration";
 pub(super) const SERVERS: &str = "servers";
 pub(super) const HOSTS: &str = "hosts";
 
 impl<C: Codec> Fleet<C> {
-    /// Says that a configuration cannot be read; the one in force stays.
+    /// Reports a configuration that cannot be read. The one in force stays.
     pub fn refuse_configuration(&self, unusable: &UnusableEntry) {
         if !self.record_fault(CONFIGURATION, unusable) {
             return;
@@ -28,8 +28,9 @@
         });
     }
 
-    /// Keeps the entry of a server whose service no configuration names, for one that does. Nothing
-    /// may connect to it before: only the operators say which services there are.
+    /// Keeps the entry of a server whose service is in no configuration, for a later one that
+    /// contains it. Until then nothing connects to the server, since only the operators define
+    /// services.
     pub(super) fn set_aside(&self, backend: Backend) {
         if self.version() > 0 {
             let unusable = UnusableEntry {
@@ -45,7 +46,7 @@
         unnamed.insert(backend.id.clone(), backend);
     }
 
-    /// Says that an entry of `table` names nothing, once for each fault that it has.
+    /// Reports an entry of `table` that cannot be used, once for each of its faults.
     pub(super) fn report_unusable(&self, table: &'static str, unusable: &UnusableEntry) {
         if self.record_fault(table, unusable) {
             self.site.log(&Event::Spoilt {
@@ -65,7 +66,7 @@
         is_new
     }
 
-    /// Whether the configuration in force knows the service `name`.
+    /// Reports whether the configuration in force contains the service `name`.
     pub(super) fn has_service(&self, name: &str) -> bool {
         let configuration = self.configuration.borrow();
         configuration
@@ -74,7 +75,7 @@
     }
 }
 
-/// Which server an entry is of.
+/// Returns the server id of an entry.
 pub(super) fn backend_id(entry: &Entry<Backend>) -> &str {
     match entry {
         Ok(backend) => &backend.id,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Which host an entry is of.
+/// Returns the host name of an entry.
 pub(super) fn peer_id(entry: &Entry<Peer>) -> &str {
     match entry {
         Ok(peer) => &peer.host,
--- a/crates/proxy/src/peer.rs
+++ b/crates/proxy/src/peer.rs
@@ -1,8 +1,8 @@
-//! What entry hosts tell each other, as datagrams.
+//! Datagrams between entry hosts.
 //!
-//! Remote calls over `jsonrpsee` do not fit here: a question is asked when connections to a part
-//! of the hosts are likely to hang, has to reach all others within one round trip, and needs no
-//! answer from any one of them. A datagram that is lost counts as no answer.
+//! Remote calls over `jsonrpsee` do not fit here. A query is sent when connections to some of the
+//! hosts are likely to hang, has to reach all others within one round trip, and does not depend on
+//! the answer of any particular host. A lost datagram counts as no answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,126 +15,128 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
-/// Longest datagram; larger ones are not ours.
+/// Maximum size of a datagram. Larger ones were not sent by an entry host.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// What one host tells another.
+/// A message from one host to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Name of the host that sends it.
+    /// Name of the sending host.
     pub host: String,
-    /// The service that it is about.
+    /// The service that the message concerns. Empty if it concerns none.
     pub service: String,
-    /// What it says.
+    /// Content of the message.
     #[serde(rename = "word")]
     pub payload: Payload,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Do you hear me? Sent at intervals, about no service.
+    /// A heartbeat, sent at intervals. Concerns no service.
     #[serde(rename = "Beat")]
     Heartbeat {
         /// When it was sent, by the sender's clock, in microseconds.
         sent: u64,
-        /// How long ago the sender was last in touch with most hosts, in milliseconds.
+        /// Time since the sender was last in contact with a majority of hosts, in milliseconds.
         out_of_touch: u32,
-        /// The newest epoch of the platform's store that the sender has heard of.
+        /// The newest epoch of the platform's store known to the sender.
         epoch: u64,
-        /// Services whose reads wait for the primary there, since nobody has vouched for replicas.
+        /// Services whose reads wait for the sender's primary, because no sample vouches for a
+        /// replica.
         #[serde(rename = "lacks")]
         sample_requests: Vec<String>,
-        /// Primaries that are replaced, as the sender has lately heard.
+        /// Terms that the sender has recently learned to be over.
         #[serde(rename = "ended")]
         ended_terms: Vec<EndedTerm>,
     },
-    /// An answer to [`Payload::Heartbeat`].
+    /// Acknowledges [`Payload::Heartbeat`].
     #[serde(rename = "Echo")]
     HeartbeatAck {
-        /// What the question carried.
+        /// The value from the heartbeat.
         sent: u64,
-        /// How far the host that answers has read what the platform tells.
+        /// How far the answering host has read the platform's feeds.
         #[serde(rename = "news")]
         progress: FeedProgress,
-        /// For how long the host that answers has been in touch with most others without a break, in
-        /// milliseconds: it has heard of all orders of that time.
+        /// How long the answering host has been in contact with a majority without a break, in
+        /// milliseconds. It knows of all orders given during that time.
         in_touch: u32,
-        /// Primaries that are replaced, as the host that answers has heard since the one that asks
-        /// was in touch.
+        /// Terms that the answering host has learned to be over since the sender of the heartbeat
+        /// was last in contact with a majority.
         #[serde(rename = "ended")]
         ended_terms: Vec<EndedTerm>,
-        /// What the host that answers knows of the primaries that the other asked for.
+        /// The answering host's samples of the requested services.
         samples: Vec<Sample>,
     },
-    /// Do you reach server `server`, or, where none is named, any that leads?
+    /// Asks whether the receiver reaches `server`, or any primary if no server is named.
     #[serde(rename = "Ask")]
     ReachabilityQuery {
         /// The server.
         server: Option<Server>,
-        /// How far the host that asks has seen the service's log reach.
+        /// How far the asking host has seen the service's log reach.
         furthest: WirePosition,
     },
-    /// An answer to [`Payload::ReachabilityQuery`].
+    /// Answers [`Payload::ReachabilityQuery`].
     #[serde(rename = "Tell")]
     ReachabilityReply {
         /// The server, if one was named.
         server: Option<Server>,
-        /// How far the host that answers has seen the service's log reach.
+        /// How far the answering host has seen the service's log reach.
         furthest: WirePosition,
-        /// Whether the host has just heard from it.
+        /// Whether the answering host has just reached the server.
         reaches: bool,
     },
-    /// I lack connections to `server`, which is at its limit.
+    /// The sender lacks connections to `server`, which is at its connection limit.
     #[serde(rename = "Short")]
     ConnectionShortage {
         /// The server.
         server: Server,
     },
-    /// Server `server` leads `term`, as I have just seen.
+    /// The sender has just seen `server` lead `term`.
     #[serde(rename = "Leads")]
     PrimaryObserved {
         /// The server.
         server: Server,
         /// The term.
         term: i64,
-        /// How long after the order it did not lead yet, in milliseconds, if that was seen well.
+        /// Time after the order at which the server did not lead yet, in milliseconds, if it was
+        /// measured closely.
         took: Option<u32>,
     },
-    /// I replace a primary.
+    /// The sender replaces a primary.
     #[serde(rename = "Acting")]
     PromotionStarted {
-        /// Which, and by whom.
+        /// The term that ends, and the successor.
         #[serde(rename = "ended")]
         ended_term: EndedTerm,
     },
-    /// How far have you seen the logs of services reach? Asked about no service.
+    /// Asks how far the receiver has seen the logs of services reach. Concerns no service.
     #[serde(rename = "Look")]
     LogQuery,
-    /// An answer to [`Payload::LogQuery`].
+    /// Answers [`Payload::LogQuery`].
     #[serde(rename = "Logs")]
     LogReply {
-        /// The logs, or some of them where one message cannot hold all.
+        /// The logs, or some of them if one message cannot hold all.
         logs: Vec<LogReport>,
     },
 }
 
-/// How far the log of a service has been seen to reach, at whichever of its servers.
+/// How far the log of a service has been seen to reach on any of its servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogReport {
     /// The service.
     pub service: String,
-    /// How far.
+    /// The furthest position seen.
     pub furthest: WirePosition,
-    /// Where the newest term began that was ordered, as far as is known.
+    /// Where the newest term that was ordered began, if known.
     pub term_start: Option<TermStart>,
-    /// Servers whose claims to lead are not believed.
+    /// Servers whose claim to be the primary is not trusted.
     pub doubted: Vec<Server>,
     /// Servers that were seen to lead.
     pub led: Vec<LedTerm>,
 }
 
-/// A server was seen to lead a term, and none newer than that.
+/// The newest term that a server was seen to lead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedTerm {
     /// The server.
@@ -143,32 +145,33 @@
 }
 
 impl LedTerm {
-    /// `server` was seen to lead `term`.
+    /// Creates the record that `server` was seen to lead `term`.
     pub fn new(server: Server, term: Term) -> LedTerm {
         let term = term.number();
         LedTerm { server, term }
     }
 
-    /// The term.
+    /// Returns the term.
     pub fn term(&self) -> Term {
         Term::from_number(self.term)
     }
 }
 
-/// Where a log was when its server was ordered to lead.
+/// The position of a server's log when it was ordered to lead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermStart {
-    /// Identity of the server.
+    /// Id of the server.
     pub server: String,
-    /// The newest term that was known then.
+    /// The newest term known at that time.
     before: i64,
-    /// How far the server had received the log, by its own word.
+    /// How far the server had received the log, as reported by itself.
     #[serde(rename = "had")]
     received: WirePosition,
 }
 
 impl TermStart {
-    /// `server` had received `had` when it was ordered to lead after the primary of `before`.
+    /// Creates the record that `server` had received the log up to `received` when it was ordered
+    /// to lead after term `before`.
     pub fn new(server: String, before: Term, received: Position) -> TermStart {
         TermStart {
             server,
@@ -177,39 +180,40 @@
         }
     }
 
-    /// The newest term that was known then.
+    /// Returns the newest term known at that time.
     pub fn before(&self) -> Term {
         Term::from_number(self.before)
     }
 
-    /// How far the server had received the log, by its own word.
+    /// Returns how far the server had received the log, as reported by itself.
     pub fn received(&self) -> Position {
         self.received.into()
     }
 }
 
-/// A primary's term is over: its successor is being ordered, or leads already.
+/// The term of a primary that is over: its successor is being ordered or already leads.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedTerm {
     /// The service.
     pub service: String,
-    /// The newest term that was known when the order was given.
+    /// The newest term known when the order was given.
     term: i64,
     /// Token of the order.
     pub token: u64,
-    /// The server that is to lead.
+    /// The server that was ordered to lead.
     pub successor: Server,
-    /// How far that one has received the log, by its own word.
+    /// How far the successor has received the log, as reported by itself.
     #[serde(rename = "had")]
     received: WirePosition,
-    /// For how long the primary still serves, in milliseconds: one that is about to leave does
-    /// until shortly before its successor leads.
+    /// How long the primary still serves, in milliseconds. A leaving primary serves until shortly
+    /// before its successor leads.
     serves: u32,
 }
 
 impl EndedTerm {
-    /// The primary of `term` of `service` serves for `serves` more; `successor`, which has received
-    /// `had`, is to lead, by an order under `token`.
+    /// Creates the record that `term` of `service` is over. Its primary serves for `serves` more,
+    /// and `successor`, which has received the log up to the given position, was ordered to lead
+    /// under `token`.
     pub fn new(
         service: String,
         term: Term,
@@ -227,45 +231,45 @@
         }
     }
 
-    /// The newest term that was known when the order was given.
+    /// Returns the newest term known when the order was given.
     pub fn term(&self) -> Term {
         Term::from_number(self.term)
     }
 
-    /// How far the server that is to lead has received the log, by its own word.
+    /// Returns how far the successor has received the log, as reported by itself.
     pub fn received(&self) -> Position {
         self.received.into()
     }
 
-    /// For how long the primary still serves.
+    /// Returns how long the primary still serves.
     pub fn serves(&self) -> Duration {
         Duration::from_millis(u64::from(self.serves))
     }
 }
 
-/// A server, and which of its starts is meant: what is said of one does not hold for another.
+/// One incarnation of a server. What is known of one incarnation does not hold for another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its identity.
+    /// Id of the server.
     pub id: String,
-    /// When it started, in Unix milliseconds.
+    /// When this incarnation started, in Unix milliseconds.
     incarnation: u64,
 }
 
 impl Server {
-    /// The start `incarnation` of server `id`.
+    /// Names `incarnation` of server `id`.
     pub fn new(id: String, incarnation: Incarnation) -> Server {
         let incarnation = incarnation.0;
         Server { id, incarnation }
     }
 
-    /// Which of its starts is meant.
+    /// Returns the incarnation.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation(self.incarnation)
     }
 }
 
-/// How far a log has been seen to reach.
+/// A position in a service's log, as sent between hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WirePosition {
     term: i64,
@@ -290,32 +294,33 @@
     }
 }
 
-/// How far the log of a primary reached while it led: what reads at replicas go by.
+/// A log position sampled from a primary while it led, used to bound the staleness of replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
     /// The service.
     pub service: String,
-    /// How far.
+    /// The sampled position.
     pub position: WirePosition,
-    /// How long before the answer the primary was asked, in milliseconds.
+    /// Time from the query to the primary until the answer to the heartbeat, in milliseconds.
     pub age: u32,
 }
 
-/// How far a host has read what the platform tells: the newest change of each.
+/// How far a host has read each of the platform's feeds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedProgress {
-    /// Of the configuration.
+    /// The newest configuration version.
     pub configuration: u64,
-    /// Of the list of backend servers.
+    /// Revision of the newest change to the list of backend servers.
     pub backends: u64,
     /// The newest epoch of the platform's store.
     pub epoch: u64,
-    /// How long ago the store was restored with it, in milliseconds, if the host has noticed that.
+    /// Time since the store was restored in that epoch, in milliseconds, if the host noticed the
+    /// restore.
     pub restored: Option<u32>,
 }
 
 impl Payload {
-    /// What a host that answered `reaches` thinks.
+    /// Converts a reachability answer to an opinion on the primary.
     pub fn opinion(reaches: bool) -> Opinion {
         match reaches {
             true => Opinion::Reaches,
@@ -334,32 +339,32 @@
     /// Listens on `address`.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// Returns an error if the address cannot be listened on.
     pub async fn bind(address: SocketAddr) -> io::Result<Socket> {
         let socket = UdpSocket::bind(address).await?;
         Ok(Socket { socket })
     }
 
-    /// Where it listens.
+    /// Returns the local address.
     ///
     /// # Errors
-    /// The system does not say.
+    /// Returns an error if the system does not report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Sends `message` to `to`. Like any datagram it may be lost.
+    /// Sends `message` to `to`. Like any datagram, it may be lost.
     pub fn send(&self, message: &Message, to: SocketAddr) {
         if let Ok(bytes) = postcard::to_stdvec(message) {
-            // A full buffer loses it as the network might.
+            // A full buffer drops the message, as the network might.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
 
-    /// The next message that can be understood, and who sent it.
+    /// Receives the next message that can be decoded, and its sender's address.
     ///
     /// # Errors
-    /// The socket is unusable.
+    /// Returns an error if the socket is unusable.
     pub async fn receive(&self) -> io::Result<(Message, SocketAddr)> {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
