--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -458,16 +458,16 @@
     }
 
     fn view(&self, service: &Rc<Service<C>>, succession: &Rc<RefCell<Succession>>) -> View {
-        let told = succession.borrow().answered();
+        let answered = succession.borrow().answered();
         let trouble = self.trouble(service);
         let (gone, quiet_at) = self.fleet.with_quorum(|quorum, now| {
             // No host is queried about a primary that is leaving: connected hosts learn of the
             // order while the primary still serves.
-            let told = match trouble {
+            let answered = match trouble {
                 Some(Trouble::Leaving) => quorum.in_touch(now),
-                _ => told,
+                _ => answered,
             };
-            (quorum.gone(now), quorum.quiet_at(&told, now))
+            (quorum.gone(now), quorum.quiet_at(&answered, now))
         });
         let orders_from = self.fleet.orders_from(&gone);
         let targets = service.targets();
--- a/crates/proxy/src/election/claim_holder.rs
+++ b/crates/proxy/src/election/claim_holder.rs
@@ -37,13 +37,13 @@
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
             sleep(HOLDER_REPLY_TIMEOUT).await;
-            let is_heard = match holder {
+            let has_answered = match holder {
                 Some((key, _)) => election
                     .fleet
                     .with_quorum(|quorum, _| quorum.has_answered(key, sent)),
                 None => Some(false),
             };
-            if is_heard == Some(false) && election.trouble(&service) == Some(Trouble::Leaving) {
+            if has_answered == Some(false) && election.trouble(&service) == Some(Trouble::Leaving) {
                 service.hold_for_unheard_order();
             }
         });
--- a/crates/proxy/src/election/messaging.rs
+++ b/crates/proxy/src/election/messaging.rs
@@ -56,17 +56,17 @@
             }
             self.fleet.check_feeds();
             let now = self.site.now();
-            let with_most = self.has_quorum();
+            let has_quorum = self.has_quorum();
             self.rewrite_claims();
             let beat = self.heartbeat(now);
-            let looks = self.needs_log_reports(with_most, now);
+            let needs_logs = self.needs_log_reports(has_quorum, now);
             for (_, peer) in self.fleet.electors() {
                 self.send_message(String::new(), beat.clone(), peer.address);
-                if looks {
+                if needs_logs {
                     self.send_message(String::new(), Payload::LogQuery, peer.address);
                 }
             }
-            if !with_most {
+            if !has_quorum {
                 self.check_claims_in_store();
             }
         }
@@ -92,9 +92,9 @@
     /// Returns for how many milliseconds this host may have missed notifications, because it was
     /// not in contact with a majority.
     fn quorum_age_ms(&self, now: Duration) -> u32 {
-        let with_most = self.has_quorum();
-        self.log_lease_change(with_most, now);
-        if with_most {
+        let has_quorum = self.has_quorum();
+        self.log_lease_change(has_quorum, now);
+        if has_quorum {
             self.last_quorum_at.set(Some(now));
         }
         let since = self.last_quorum_at.get().map(|at| now.saturating_sub(at));
@@ -108,7 +108,7 @@
     /// Guards against a primary that restarted without its log, on a host that has just started or
     /// was partitioned. Such a host does not know what the primary lacks: one wrote to it for 350
     /// ms while other hosts did not trust it, and the acknowledged writes were rolled back.
-    fn needs_log_reports(&self, with_most: bool, now: Duration) -> bool {
+    fn needs_log_reports(&self, has_quorum: bool, now: Duration) -> bool {
         if self.servers_known_since.get().is_none() && self.fleet.is_known() {
             self.servers_known_since.set(Some(now));
         }
@@ -117,7 +117,7 @@
             .get()
             .is_none_or(|known| now < known + PROPAGATION_WINDOW);
         let (_, since) = self.lease_state.get();
-        is_new || !with_most || now < since + PROPAGATION_WINDOW
+        is_new || !has_quorum || now < since + PROPAGATION_WINDOW
     }
 
     /// Sends `to` how far this host has seen the logs of services reach.
--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -132,9 +132,9 @@
     }
 
     /// How long a call that is made now may wait for a change.
-    pub fn max_wait(&self, patience: StuckDetection) -> Duration {
-        self.stuck_detection.set(patience);
-        match patience {
+    pub fn max_wait(&self, detection: StuckDetection) -> Duration {
+        self.stuck_detection.set(detection);
+        match detection {
             StuckDetection::Local => self.wait,
             StuckDetection::ByPeers => StuckDetection::BY_PEERS_WAIT,
         }
@@ -168,11 +168,11 @@
 
     /// Has the call that waits given up if it is stuck, or if it was made while others would have
     /// told that, and they no longer can.
-    pub fn check_stuck(&self, patience: StuckDetection, now: Duration) {
-        if (self.stuck_detection.get(), patience)
+    pub fn check_stuck(&self, detection: StuckDetection, now: Duration) {
+        if (self.stuck_detection.get(), detection)
             == (StuckDetection::ByPeers, StuckDetection::Local)
         {
-            self.stuck_detection.set(patience);
+            self.stuck_detection.set(detection);
             self.peers_lost.notify_waiters();
         }
         let mut feed = self.feed.borrow_mut();
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -195,8 +195,8 @@
             format!("version {version} after {before}")
         });
         // Servers may register before the operators configure their service.
-        let unnamed = std::mem::take(&mut *self.unconfigured.borrow_mut());
-        for backend in unnamed.into_values() {
+        let unconfigured = std::mem::take(&mut *self.unconfigured.borrow_mut());
+        for backend in unconfigured.into_values() {
             self.apply_server_change(Change::Put(backend));
         }
         self.allot_connections();
@@ -209,8 +209,8 @@
     pub fn apply_server_list(&self, entries: Vec<Entry<Backend>>) {
         let named: BTreeSet<&str> = entries.iter().map(backend_id).collect();
         let missing: Vec<String> = {
-            let (servers, unnamed) = (self.servers.borrow(), self.unconfigured.borrow());
-            let known = servers.by_id.keys().chain(unnamed.keys());
+            let (servers, unconfigured) = (self.servers.borrow(), self.unconfigured.borrow());
+            let known = servers.by_id.keys().chain(unconfigured.keys());
             let known = known.chain(&servers.unreadable);
             let missing = known.filter(|id| !named.contains(id.as_str()));
             missing.cloned().collect()
--- a/crates/proxy/src/poll_state.rs
+++ b/crates/proxy/src/poll_state.rs
@@ -151,8 +151,8 @@
     }
 
     /// A call that waited was given up because of `doubt`.
-    pub fn cancelled(&mut self, doubt: CancelReason) {
-        match doubt {
+    pub fn cancelled(&mut self, reason: CancelReason) {
+        match reason {
             CancelReason::Behind
             | CancelReason::Restored
             | CancelReason::PossiblyStale
