--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -1,4 +1,5 @@
-//! Carries the succession of each service's primary out: asks hosts and servers, claims, orders.
+//! Runs the failover of each service's primary: queries hosts and servers, claims a change in the
+//! platform's store, and orders the promotion.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,120 +21,121 @@
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::message::Status;
-use crate::peer::{Ended, Socket, Word};
+use crate::peer::{EndedTerm, Payload, Socket};
 use crate::platform::{Error, Platform, Promotion, Revision, Token};
 use crate::server_connection::{self, ServerConnection, Target};
 use crate::service::Service;
 use crate::site::Site;
 
+mod claim_holder;
 mod claims;
+mod empty_log;
 mod handover;
-mod holder;
-mod proof;
-mod talk;
+mod messaging;
 
-/// Time between two steps while something is wrong.
-const STEP: Duration = Duration::from_millis(20);
+/// Interval between two steps of a service's state machine while its primary is in trouble.
+const ACTIVE_STEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks while nothing is.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between two steps while the primary is healthy.
+const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a server may take to say what it is; its slots may be busy for a while.
-const ASK: Duration = Duration::from_millis(200);
+/// Timeout of a status query to a server. It allows for request slots that are busy for a while.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A server that has not answered a question in time is still taken as reached when it has
-/// answered something else within this time.
-const FRESH: Duration = Duration::from_millis(200);
+/// A server that misses [`STATUS_TIMEOUT`] still counts as reachable if it answered any other
+/// request within this time.
+const RECENT_CONTACT: Duration = Duration::from_millis(200);
 
-/// Time between two questions to all servers while nobody leads.
-const SEEK: Duration = Duration::from_millis(120);
+/// Interval between two status queries to all servers while a service has no primary.
+const LEADER_SEARCH_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Time between two pleas for connections; one holds for a second.
-const PLEA: Duration = Duration::from_millis(200);
+/// Interval between two connection shortage reports. Each report is in effect for one second.
+const SHORTAGE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long the store may take to decide a claim before hosts act in turn.
-const CLAIM: Duration = Duration::from_millis(250);
+/// Timeout of a claim in the store. After it, hosts act in turn without the store.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long before an order that rests on a host's turn the others are told of it: several times the way
-/// between zones.
-const ANNOUNCED: Duration = Duration::from_millis(20);
+/// How long before an order given in turn, without the store, the other hosts are notified of it.
+/// This is several times the latency between availability zones.
+const ORDER_ANNOUNCEMENT_LEAD: Duration = Duration::from_millis(20);
 
-/// How long an order may take to be answered before it is repeated.
-const ORDER: Duration = Duration::from_millis(500);
+/// Timeout of a promotion order, after which it is repeated.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs the succession of all services of a host.
+/// Runs the failover of all services on one host.
 pub struct Election<C: Codec, P> {
     site: Rc<Site>,
     fleet: Rc<Fleet<C>>,
     platform: Rc<P>,
     socket: Rc<Socket>,
     services: RefCell<BTreeMap<String, Rc<RefCell<Succession>>>>,
-    reserve: RefCell<Option<Grant>>,
-    /// Claims of others, and since when each is known.
-    held: RefCell<BTreeMap<(String, Revision), Duration>>,
-    /// Changes of primaries that were claimed or ordered, and when this host heard of each.
+    reserve_grant: RefCell<Option<Grant>>,
+    /// Claims held by other hosts, and when this host first saw each of them.
+    known_claims: RefCell<BTreeMap<(String, Revision), Duration>>,
+    /// Changes of primaries that were claimed or ordered, by service and change number.
     changes: RefCell<BTreeMap<(String, u64), claims::Change>>,
-    /// By service: the newest term for the change of whose primary the store has a claim. Nothing before the
-    /// claims were read.
+    /// The newest term of each service for which the store holds a claim on the change of its
+    /// primary. `None` until the claims were read.
     claimed_terms: RefCell<Option<BTreeMap<String, Term>>>,
-    /// Whether a host that would know has told of the orders that were given before this one started.
-    orders_heard: Cell<bool>,
-    /// The epoch of the store in which claims were last known to be there.
-    claimed_in: Cell<Epoch>,
-    /// Which services are recorded as written to.
-    records: RefCell<proof::Records>,
-    /// What was last read of the store's records.
-    written: Mutex<Option<proof::Written>>,
-    /// Whether a question to the store is on its way.
-    asking: Cell<bool>,
-    /// When most other hosts were last in touch.
-    in_touch: Cell<Option<Duration>>,
-    /// Whether this host has a lease, and since when that is so.
-    lease: Cell<(bool, Duration)>,
-    /// Since when this host has known the servers.
-    servers_known: Cell<Option<Duration>>,
+    /// Whether another host that was connected for long enough has reported the orders given before
+    /// this host started.
+    orders_known: Cell<bool>,
+    /// The store epoch for which claims were last checked, and rewritten where necessary.
+    claims_checked_in: Cell<Epoch>,
+    /// Which services are recorded in the store as written to.
+    records: RefCell<empty_log::Records>,
+    /// The store's records as last read, cached for a short time.
+    written_services: Mutex<Option<empty_log::WrittenServices>>,
+    /// Whether a read of the store's claims is in flight.
+    is_reading_claims: Cell<bool>,
+    /// When this host was last in contact with a majority of the other hosts.
+    last_quorum_at: Cell<Option<Duration>>,
+    /// Whether this host holds its lease, and since when that has been the case.
+    lease_state: Cell<(bool, Duration)>,
+    /// When this host first knew the list of servers.
+    servers_known_since: Cell<Option<Duration>>,
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// Ready to run.
+    /// Creates an election that has not started yet.
     pub fn new(
         site: Rc<Site>,
         fleet: Rc<Fleet<C>>,
         platform: Rc<P>,
         socket: Rc<Socket>,
     ) -> Election<C, P> {
-        let lease = Cell::new((false, site.now()));
+        let lease_state = Cell::new((false, site.now()));
         Election {
-            lease,
+            lease_state,
             site,
             fleet,
             platform,
             socket,
             services: RefCell::default(),
-            reserve: RefCell::default(),
-            held: RefCell::default(),
+            reserve_grant: RefCell::default(),
+            known_claims: RefCell::default(),
             changes: RefCell::default(),
             claimed_terms: RefCell::default(),
-            orders_heard: Cell::new(false),
-            claimed_in: Cell::default(),
+            orders_known: Cell::new(false),
+            claims_checked_in: Cell::default(),
             records: RefCell::default(),
-            written: Mutex::default(),
-            asking: Cell::new(false),
-            in_touch: Cell::new(None),
-            servers_known: Cell::new(None),
+            written_services: Mutex::default(),
+            is_reading_claims: Cell::new(false),
+            last_quorum_at: Cell::new(None),
+            servers_known_since: Cell::new(None),
         }
     }
 
-    /// Takes note of a token that may be used while the store is away.
-    pub fn reserve(&self, token: Token) {
+    /// Stores a fencing token that may be used for one promotion while the store is unavailable.
+    pub fn reserve_token(&self, token: Token) {
         let grant = Grant(token.0);
-        *self.reserve.borrow_mut() = Some(grant);
+        *self.reserve_grant.borrow_mut() = Some(grant);
         for succession in self.services.borrow().values() {
             succession.borrow_mut().reserve(grant);
         }
     }
 
-    /// For how long this host has missed a primary that others reach.
+    /// Returns for how long this host has been unable to reach a primary that others reach.
     pub fn outvoted(&self) -> Option<Duration> {
         let now = self.site.now();
         let services = self.services.borrow();
@@ -141,14 +143,14 @@
         since.min().map(|since| now.saturating_sub(since))
     }
 
-    /// Starts a task for each service that has none.
-    pub fn attend(self: &Rc<Self>) {
+    /// Starts a task for each service that does not have one yet.
+    pub fn start_new_services(self: &Rc<Self>) {
         for service in self.fleet.services() {
             if self.services.borrow().contains_key(&service.name) {
                 continue;
             }
             let mut succession = Succession::default();
-            if let Some(grant) = *self.reserve.borrow() {
+            if let Some(grant) = *self.reserve_grant.borrow() {
                 succession.reserve(grant);
             }
             let succession = Rc::new(RefCell::new(succession));
@@ -156,74 +158,84 @@
             services.insert(service.name.clone(), Rc::clone(&succession));
             drop(services);
             let election = Rc::clone(self);
-            tokio::task::spawn_local(async move { election.watch(service, succession).await });
+            tokio::task::spawn_local(
+                async move { election.run_service(service, succession).await },
+            );
         }
     }
 
-    async fn watch(self: Rc<Self>, service: Rc<Service<C>>, succession: Rc<RefCell<Succession>>) {
-        let mut sought = Duration::ZERO;
-        let mut doubted = Duration::ZERO;
-        let mut pleaded = Duration::ZERO;
-        let mut last = self.site.now();
-        let mut epoch = self.epoch_heard();
-        self.tell_of_orders(&service);
+    async fn run_service(
+        self: Rc<Self>,
+        service: Rc<Service<C>>,
+        succession: Rc<RefCell<Succession>>,
+    ) {
+        let mut last_search = Duration::ZERO;
+        let mut last_probe = Duration::ZERO;
+        let mut last_shortage_report = Duration::ZERO;
+        let mut last_step = self.site.now();
+        let mut epoch = self.newest_known_epoch();
+        self.update_known_orders(&service);
         loop {
             let now = self.site.now();
-            if now >= last + PAUSED {
+            if now >= last_step + PAUSED {
                 succession.borrow_mut().paused(now);
             }
-            last = now;
-            let before = std::mem::replace(&mut epoch, self.epoch_heard());
+            last_step = now;
+            let before = std::mem::replace(&mut epoch, self.newest_known_epoch());
             if before < epoch {
                 succession.borrow_mut().restored(now);
             }
             let view = self.view(&service, &succession);
-            let pause = if view.trouble.is_some() { STEP } else { LOOK };
-            if now >= pleaded + PLEA {
-                pleaded = now;
-                self.plead(&service);
+            let pause = if view.trouble.is_some() {
+                ACTIVE_STEP_INTERVAL
+            } else {
+                IDLE_STEP_INTERVAL
+            };
+            if now >= last_shortage_report + SHORTAGE_REPORT_INTERVAL {
+                last_shortage_report = now;
+                self.send_shortages(&service);
             }
             if let Some((target, since)) = service.overdue_statement()
-                && now >= doubted + ASK
+                && now >= last_probe + STATUS_TIMEOUT
             {
-                doubted = now;
-                self.try_primary(&service, target, since);
+                last_probe = now;
+                self.probe_primary(&service, target, since);
             }
             if self.fleet.serves(&service.name)
                 && let Some(target) = service.take_due_check()
             {
-                self.check(&service, target);
+                self.check_primary(&service, target);
             }
-            self.keep_record(&service, view.rank);
-            if view.leader.is_none() && now >= sought + SEEK {
-                sought = now;
+            self.write_record_if_due(&service, view.rank);
+            if view.leader.is_none() && now >= last_search + LEADER_SEARCH_INTERVAL {
+                last_search = now;
                 self.ask_servers(&service, &succession);
             }
             let answered = succession.borrow().answered();
             let next = succession.borrow_mut().step(&view, now);
             for next in next {
                 if let Next::Promote { server, .. } = next {
-                    self.tell_word(&service, server, &answered);
+                    self.log_order_basis(&service, server, &answered);
                 }
-                self.act(&service, &succession, next, &view);
+                self.perform(&service, &succession, next, &view);
             }
-            // Another change of the service's state ends the pause early.
+            // A change of the service's state ends the pause early.
             let _ = timeout(pause, service.failover_notify.notified()).await;
         }
     }
 
-    /// Tries a primary that is silent on a connection of its own, which tells a slow one from
-    /// one that is gone long before the statements there have had their time.
-    fn try_primary(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target, since: Duration) {
+    /// Probes a silent primary on a separate connection. This distinguishes a slow primary from a
+    /// dead one long before pending statements reach their timeout.
+    fn probe_primary(self: &Rc<Self>, service: &Rc<Service<C>>, target: Target, since: Duration) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
-            if let Probe::Silent = election.ask(&service, &target).await {
+            if let Probe::Silent = election.query_status(&service, &target).await {
                 service.record_silence(target.server, since);
             }
         });
     }
 
-    fn act(
+    fn perform(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         succession: &Rc<RefCell<Succession>>,
@@ -251,8 +263,14 @@
         }
     }
 
-    /// Logs whose word an order rests on, and how old it is.
-    fn tell_word(&self, service: &Rc<Service<C>>, server: ServerKey, answered: &BTreeSet<HostKey>) {
+    /// Logs which hosts an order relies on, whether each of them answered, and how long ago each
+    /// was last heard.
+    fn log_order_basis(
+        &self,
+        service: &Rc<Service<C>>,
+        server: ServerKey,
+        answered: &BTreeSet<HostKey>,
+    ) {
         let electors = self.fleet.electors();
         let words = electors.iter().map(|(key, peer)| {
             let said = match answered.contains(key) {
@@ -286,7 +304,11 @@
         let furthest = service.furthest_position().into();
         for (_, peer) in self.fleet.electors() {
             let server = server.clone();
-            self.send(service, Word::Ask { server, furthest }, peer.address);
+            self.send(
+                service,
+                Payload::ReachabilityQuery { server, furthest },
+                peer.address,
+            );
         }
     }
 
@@ -303,7 +325,7 @@
             let (election, service) = (Rc::clone(self), Rc::clone(service));
             let succession = Rc::clone(succession);
             tokio::task::spawn_local(async move {
-                let Probe::Status(status) = election.ask(&service, &target).await else {
+                let Probe::Status(status) = election.query_status(&service, &target).await else {
                     return;
                 };
                 let report = Report {
@@ -317,16 +339,17 @@
         }
     }
 
-    /// Asks a server what it is, on a connection of its own: pooled ones may be stuck.
-    async fn ask(&self, service: &Rc<Service<C>>, target: &Target) -> Probe {
+    /// Queries the status of a server on a separate connection, because pooled connections may be
+    /// stuck.
+    async fn query_status(&self, service: &Rc<Service<C>>, target: &Target) -> Probe {
         let sent = self.site.now();
-        let asked = timeout(ASK, async {
+        let asked = timeout(STATUS_TIMEOUT, async {
             let id = self.site.next_id();
             let mut back = ServerConnection::<C>::connect(id, target, &self.site.host).await?;
             let status = back.status().await?;
             let newest = service.newest_term();
             match status.role {
-                // It comes back, or is reached again, after it was replaced.
+                // A replaced primary is back or reachable again.
                 Role::Primary if status.term < newest => {
                     service.record_status(target.server, &status, sent);
                     back.step_down(newest).await
@@ -370,14 +393,18 @@
         let term = service.newest_term();
         if let Some(named) = service.to_peer_server(server) {
             let successor = (named, succession.borrow().received());
-            let ended = Ended::new(service.name.clone(), term, grant.0, successor, serves);
-            service.end_term(&ended);
+            let ended_term = EndedTerm::new(service.name.clone(), term, grant.0, successor, serves);
+            service.end_term(&ended_term);
             for (_, peer) in self.fleet.peers() {
-                let ended = ended.clone();
-                self.send(&service, Word::Acting { ended }, peer.address);
+                let ended_term = ended_term.clone();
+                self.send(
+                    &service,
+                    Payload::PromotionStarted { ended_term },
+                    peer.address,
+                );
             }
         }
-        if succession.borrow().is_in_turn() && !self.is_first(&service, grant).await {
+        if succession.borrow().is_in_turn() && !self.has_highest_token(&service, grant).await {
             succession
                 .borrow_mut()
                 .ordered(Order::Refused, self.site.now());
@@ -392,7 +419,7 @@
         let token = Token(grant.0);
         let host = &self.site.host;
         let ordered = timeout(
-            ORDER,
+            ORDER_TIMEOUT,
             self.platform.promote(&service.name, &id, host, token),
         );
         let order = match ordered.await {
@@ -405,10 +432,15 @@
         if order == Order::Accepted {
             let next = Term::from_number(term.number() + 1);
             if let Some(replaced) = replaced {
-                self.step_down(&service, &replaced, next, handover::moment(sent, serves));
+                self.step_down(
+                    &service,
+                    &replaced,
+                    next,
+                    handover::step_down_at(sent, serves),
+                );
             }
             if let Some(successor) = target(&service, server) {
-                self.look_for_effect(&service, successor, term, sent);
+                self.await_promotion(&service, successor, term, sent);
             }
         }
         self.site.log(&Event::Ordered {
@@ -421,32 +453,32 @@
         service.failover_notify.notify_one();
     }
 
-    /// Whether no other host announces an order under a higher token in the same moment.
+    /// Reports whether no other host announces an order with a higher token at the same moment.
     ///
-    /// Guards against two hosts whose turns have both come while they waited for the leases of others:
-    /// where the platform carries out whatever it is told, the order under the lower token comes second
-    /// and undoes the change of the first.
-    async fn is_first(&self, service: &Rc<Service<C>>, grant: Grant) -> bool {
-        tokio::time::sleep(ANNOUNCED).await;
+    /// Guards against two hosts that both reach their turn while waiting for the leases of others
+    /// to expire. On a platform that carries out every order, the one with the lower token would
+    /// arrive second and undo the change made by the first.
+    async fn has_highest_token(&self, service: &Rc<Service<C>>, grant: Grant) -> bool {
+        tokio::time::sleep(ORDER_ANNOUNCEMENT_LEAD).await;
         service.newest_order().is_none_or(|newest| newest <= grant)
     }
 
     fn view(&self, service: &Rc<Service<C>>, succession: &Rc<RefCell<Succession>>) -> View {
-        let told = succession.borrow().answered();
+        let answered = succession.borrow().answered();
         let trouble = self.trouble(service);
         let (gone, quiet_at) = self.fleet.with_quorum(|quorum, now| {
-            // Nobody is asked about a primary that leaves: who is in touch hears of the order while
-            // it still serves.
-            let told = match trouble {
+            // No host is queried about a primary that is leaving: connected hosts learn of the
+            // order while the primary still serves.
+            let answered = match trouble {
                 Some(Trouble::Leaving) => quorum.in_touch(now),
-                _ => told,
+                _ => answered,
             };
-            (quorum.gone(now), quorum.quiet_at(&told, now))
+            (quorum.gone(now), quorum.quiet_at(&answered, now))
         });
         let orders_from = self.fleet.orders_from(&gone);
         let targets = service.targets();
         let synchronous = self.fleet.is_synchronous(&service.name);
-        // One that is leaving still receives, and may be the only one to have a commit.
+        // A leaving replica still receives the log and may be the only one that holds a commit.
         let candidates = targets
             .iter()
             .filter(|(_, standing)| synchronous || *standing == ServerState::Serving);
@@ -475,7 +507,8 @@
         }
     }
 
-    /// What is wrong with the primary; nothing is while this host knows too little to tell.
+    /// Returns the problem of a service's primary, or `None` while this host knows too little to
+    /// judge.
     fn trouble(&self, service: &Service<C>) -> Option<Trouble> {
         if !self.fleet.is_known() {
             return None;
@@ -484,9 +517,10 @@
     }
 }
 
-/// What the store answers to `call` within [`CLAIM`], or why there is no such answer.
+/// Returns the store's answer to `call` within [`CLAIM_TIMEOUT`], or a description of why there is
+/// none.
 async fn in_time<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, String> {
-    match timeout(CLAIM, call).await {
+    match timeout(CLAIM_TIMEOUT, call).await {
         Ok(answer) => answer.map_err(|error| error.to_string()),
         Err(_) => Err("no answer in time".to_owned()),
     }
@@ -498,12 +532,12 @@
     found.map(|(target, _)| target)
 }
 
-/// What became of a question to a server.
+/// Outcome of a status query to a server.
 enum Probe {
     Status(Status),
-    /// It refused the question, so it is there.
+    /// The server rejected the query, so it is running.
     Alive,
-    /// Its host refused the connection, or broke it.
+    /// The server's host refused or closed the connection.
     Refused,
     Silent,
 }
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -1,4 +1,4 @@
-//! What follows an order: the successor is asked until it leads, and the primary before it is told to
+//! Follows up on an order: polls the successor until it leads, and tells the replaced primary to
 //! step down.
 
 use std::rc::Rc;
@@ -10,40 +10,41 @@
 use flamingopost_core::term::Term;
 use tokio::time::timeout;
 
-use super::{ASK, Election, STEP};
+use super::{ACTIVE_STEP_INTERVAL, Election, STATUS_TIMEOUT};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::Status;
-use crate::peer::Word;
+use crate::peer::Payload;
 use crate::platform::Platform;
 use crate::server_connection::{self, ServerConnection, Target};
 use crate::service::Service;
 
-/// A primary that leaves is told to step down this long after the last write was sent there, so
-/// that its replicas receive what it has acknowledged: half of the time that is left until the
-/// earliest moment at which its successor leads.
-const DELIVERY: Duration = Duration::from_millis(30);
+/// How long after the last write a leaving primary is told to step down, so that its replicas
+/// receive what it has acknowledged. This is half of the time left until the earliest moment at
+/// which the successor leads.
+const REPLICATION_GRACE: Duration = Duration::from_millis(30);
 
-/// How often a replaced primary is tried to be told of it: it may be cut off for a moment, and
-/// notices by itself a second after it can reach its successor.
-const STEP_DOWNS: u32 = 8;
+/// Number of attempts to tell a replaced primary to step down. It may be partitioned for a moment,
+/// and notices the change by itself one second after it can reach its successor.
+const STEP_DOWN_ATTEMPTS: u32 = 8;
 
-/// When a primary is told to step down whose successor was ordered at `ordered`: at once, or where it
-/// serves for `serves` more, [`DELIVERY`] after that.
-pub(super) fn moment(ordered: Duration, serves: Duration) -> Duration {
+/// Returns when to tell a primary to step down whose successor was ordered at `ordered`:
+/// immediately, or [`REPLICATION_GRACE`] after the remaining time `serves` for which it still
+/// serves.
+pub(super) fn step_down_at(ordered: Duration, serves: Duration) -> Duration {
     match serves.is_zero() {
         true => ordered,
-        false => ordered + serves + DELIVERY,
+        false => ordered + serves + REPLICATION_GRACE,
     }
 }
 
 impl<C: Codec, P: Platform> Election<C, P> {
-    /// Asks the server that was ordered to lead at `ordered` until it does, in a term after `term`,
-    /// and tells the other hosts.
+    /// Polls the server ordered to lead at `ordered` until it leads a term after `term`, then
+    /// notifies the other hosts.
     ///
-    /// The platform's list tells as well, but is away or late at times: on a day with an outage of
-    /// the store, hosts found out 1.1 s after the change, and nothing was written until then.
-    pub(super) fn look_for_effect(
+    /// The platform's list reports the change as well, but may be late or unavailable: during a
+    /// store outage, hosts learned of a change 1.1 s late, and nothing was written until then.
+    pub(super) fn await_promotion(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         successor: Target,
@@ -55,20 +56,20 @@
             let mut effect = Effect::ordered(ordered);
             let until = ordered + EFFECT;
             while election.site.now() < until {
-                let seen = election.watch_lead(&service, &successor, term, &mut effect);
+                let seen = election.poll_until_leading(&service, &successor, term, &mut effect);
                 if let Ok(led) = seen.await {
                     let took = effect.took(election.site.now());
-                    election.tell_of_lead(&service, successor.server, led, took);
+                    election.announce_lead(&service, successor.server, led, took);
                     return;
                 }
-                tokio::time::sleep(STEP).await;
+                tokio::time::sleep(ACTIVE_STEP_INTERVAL).await;
             }
         });
     }
 
-    /// Asks a server on one connection until it leads a term after `term`; `effect` is told when it
-    /// did not.
-    async fn watch_lead(
+    /// Polls a server on one connection until it leads a term after `term`, and records in `effect`
+    /// each time at which it did not lead yet.
+    async fn poll_until_leading(
         &self,
         service: &Rc<Service<C>>,
         target: &Target,
@@ -78,25 +79,25 @@
         let timed_out = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
         let id = self.site.next_id();
         let back = timeout(
-            ASK,
+            STATUS_TIMEOUT,
             ServerConnection::<C>::connect(id, target, &self.site.host),
         )
         .await;
         let mut back = back.map_err(timed_out)??;
         loop {
             let asked = self.site.now();
-            let status = timeout(ASK, back.status()).await;
+            let status = timeout(STATUS_TIMEOUT, back.status()).await;
             let status = status.map_err(timed_out)??;
             service.record_status(target.server, &status, asked);
             if status.role == Role::Primary && status.term > term {
                 return Ok(status.term);
             }
             effect.follows(asked);
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(ACTIVE_STEP_INTERVAL).await;
         }
     }
 
-    fn tell_of_lead(
+    fn announce_lead(
         &self,
         service: &Rc<Service<C>>,
         server: ServerKey,
@@ -104,26 +105,27 @@
         took: Option<Duration>,
     ) {
         if let Some(took) = took {
-            self.site.promoted(took);
+            self.site.record_promotion_time(took);
         }
         let Some(server) = service.to_peer_server(server) else {
             return;
         };
         for (_, peer) in self.fleet.peers() {
-            let word = Word::Leads {
+            let payload = Payload::PrimaryObserved {
                 server: server.clone(),
                 term: term.number(),
                 took: took.and_then(|took| u32::try_from(took.as_millis()).ok()),
             };
-            self.send(service, word, peer.address);
+            self.send(service, payload, peer.address);
         }
     }
 
-    /// Tells a primary whose successor leads from `term` on, or is about to, to follow it, at `at` or
-    /// as soon as it can be reached after that.
+    /// Tells a primary whose successor leads `term`, or is about to, to follow it, at `at` or as
+    /// soon as it is reachable after that.
     ///
-    /// Guards against hosts that have not heard of the change: on some platforms a replaced primary
-    /// goes on leading its own term until it is told, and they would go on writing to it.
+    /// Guards against hosts that do not know of the change yet. On some platforms a replaced
+    /// primary keeps leading its own term until it is told to stop, and those hosts would keep
+    /// writing to it.
     pub(super) fn step_down(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
@@ -134,9 +136,9 @@
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         let target = target.clone();
         tokio::task::spawn_local(async move {
-            for _ in 0..STEP_DOWNS {
-                let Ok(status) = election.tell_to_step_down(&target, term, at).await else {
-                    tokio::time::sleep(ASK).await;
+            for _ in 0..STEP_DOWN_ATTEMPTS {
+                let Ok(status) = election.send_step_down(&target, term, at).await else {
+                    tokio::time::sleep(STATUS_TIMEOUT).await;
                     continue;
                 };
                 service.record_status(target.server, &status, election.site.now());
@@ -151,7 +153,7 @@
         });
     }
 
-    async fn tell_to_step_down(
+    async fn send_step_down(
         &self,
         target: &Target,
         term: Term,
@@ -160,13 +162,13 @@
         let id = self.site.next_id();
         let timed_out = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
         let back = timeout(
-            ASK,
+            STATUS_TIMEOUT,
             ServerConnection::<C>::connect(id, target, &self.site.host),
         )
         .await;
         let mut back = back.map_err(timed_out)??;
         tokio::time::sleep(at.saturating_sub(self.site.now())).await;
-        let status = timeout(ASK, back.step_down(term)).await;
+        let status = timeout(STATUS_TIMEOUT, back.step_down(term)).await;
         status.map_err(timed_out)?
     }
 }
--- /dev/null
+++ b/crates/proxy/src/election/messaging.rs
@@ -0,0 +1,510 @@
+//! Messages between this host and the other entry hosts.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use flamingopost_core::epoch::Epoch;
+use flamingopost_core::key::ServerKey;
+use flamingopost_core::quorum::HEARTBEAT;
+use flamingopost_core::term::Term;
+
+use super::{Election, Probe, RECENT_CONTACT, target};
+use crate::codec::Codec;
+use crate::event::Event;
+use crate::peer::{EndedTerm, LedTerm, LogReport, Message, Payload, Sample, Server};
+use crate::platform::Platform;
+use crate::service::{ResolvedServer, Service};
+
+/// How long hosts repeat the notification of a change of primary. Datagrams are lost, and a host
+/// that received none of them for this long has lost its lease as well.
+const PROPAGATION_WINDOW: Duration = Duration::from_millis(1_000);
+
+/// Maximum number of changes in one message, which has to fit into a datagram. The remaining ones
+/// follow in later messages, when earlier changes have expired.
+const MAX_ENDED_TERMS: usize = 12;
+
+/// Maximum number of services whose samples one message requests or contains, which has to fit into
+/// a datagram.
+const MAX_SAMPLES: usize = 16;
+
+/// Maximum number of log reports in one message, which has to fit into a datagram.
+const MAX_LOG_REPORTS: usize = 8;
+
+impl<C: Codec, P: Platform> Election<C, P> {
+    /// Receives messages from other hosts and handles them, forever.
+    ///
+    /// # Errors
+    /// Returns an error if the socket is unusable.
+    pub async fn listen(self: Rc<Self>) -> std::io::Result<()> {
+        loop {
+            let (message, from) = self.socket.receive().await?;
+            self.handle(message, from);
+        }
+    }
+
+    /// Sends heartbeats to the other hosts, forever.
+    pub async fn send_heartbeats(self: Rc<Self>) {
+        let mut interval = tokio::time::interval(HEARTBEAT);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        loop {
+            // A host that has just started has no quorum until its first heartbeat is
+            // acknowledged, and refuses writes until then.
+            tokio::select! {
+                _ = interval.tick() => {}
+                () = self.fleet.contact_due.notified() => {}
+            }
+            self.fleet.check_feeds();
+            let now = self.site.now();
+            let has_quorum = self.has_quorum();
+            self.rewrite_claims();
+            let beat = self.heartbeat(now);
+            let needs_logs = self.needs_log_reports(has_quorum, now);
+            for (_, peer) in self.fleet.electors() {
+                self.send_message(String::new(), beat.clone(), peer.address);
+                if needs_logs {
+                    self.send_message(String::new(), Payload::LogQuery, peer.address);
+                }
+            }
+            if !has_quorum {
+                self.check_claims_in_store();
+            }
+        }
+    }
+
+    /// Reports whether this host is in contact with a majority of hosts.
+    fn has_quorum(&self) -> bool {
+        self.fleet
+            .with_quorum(|quorum, now| quorum.holds_lease(now))
+    }
+
+    /// Builds a heartbeat of this host at `now`.
+    pub(super) fn heartbeat(&self, now: Duration) -> Payload {
+        Payload::Heartbeat {
+            sent: micros(now),
+            out_of_touch: self.quorum_age_ms(now),
+            epoch: self.newest_known_epoch().0,
+            sample_requests: self.sample_requests(),
+            ended_terms: self.recent_ended_terms(PROPAGATION_WINDOW),
+        }
+    }
+
+    /// Returns for how many milliseconds this host may have missed notifications, because it was
+    /// not in contact with a majority.
+    fn quorum_age_ms(&self, now: Duration) -> u32 {
+        let has_quorum = self.has_quorum();
+        self.log_lease_change(has_quorum, now);
+        if has_quorum {
+            self.last_quorum_at.set(Some(now));
+        }
+        let since = self.last_quorum_at.get().map(|at| now.saturating_sub(at));
+        let millis = since.and_then(|since| u32::try_from(since.as_millis()).ok());
+        millis.unwrap_or(u32::MAX)
+    }
+
+    /// Reports whether this host has to ask the others how far logs reach, because it may have
+    /// missed that.
+    ///
+    /// Guards against a primary that restarted without its log, on a host that has just started or
+    /// was partitioned. Such a host does not know what the primary lacks: one wrote to it for 350
+    /// ms while other hosts did not trust it, and the acknowledged writes were rolled back.
+    fn needs_log_reports(&self, has_quorum: bool, now: Duration) -> bool {
+        if self.servers_known_since.get().is_none() && self.fleet.is_known() {
+            self.servers_known_since.set(Some(now));
+        }
+        let is_new = self
+            .servers_known_since
+            .get()
+            .is_none_or(|known| now < known + PROPAGATION_WINDOW);
+        let (_, since) = self.lease_state.get();
+        is_new || !has_quorum || now < since + PROPAGATION_WINDOW
+    }
+
+    /// Sends `to` how far this host has seen the logs of services reach.
+    fn send_logs(&self, to: SocketAddr) {
+        let services = self.fleet.services();
+        let logs = services
+            .iter()
+            .filter(|service| service.furthest_position().log > 0);
+        let logs: Vec<LogReport> = logs
+            .map(|service| LogReport {
+                service: service.name.clone(),
+                furthest: service.furthest_position().into(),
+                term_start: service.newest_term_start(),
+                doubted: service.doubted_servers(),
+                led: self.led_terms(service),
+            })
+            .collect();
+        for logs in logs.chunks(MAX_LOG_REPORTS) {
+            let logs = logs.to_vec();
+            self.send_message(String::new(), Payload::LogReply { logs }, to);
+        }
+    }
+
+    /// Returns the servers of `service` that were seen to lead, with their terms.
+    fn led_terms(&self, service: &Rc<Service<C>>) -> Vec<LedTerm> {
+        let services = self.services.borrow();
+        let Some(succession) = services.get(&service.name) else {
+            return Vec::new();
+        };
+        let succession = succession.borrow();
+        let led = succession.led().iter();
+        led.filter_map(|(server, term)| Some(LedTerm::new(service.to_peer_server(*server)?, *term)))
+            .collect()
+    }
+
+    /// Records the terms that another host has seen servers of `service` lead.
+    fn apply_led_terms(&self, service: &Rc<Service<C>>, led: &[LedTerm]) {
+        let services = self.services.borrow();
+        let Some(succession) = services.get(&service.name) else {
+            return;
+        };
+        for it in led {
+            if let ResolvedServer::Listed(server) = service.resolve_server(&it.server) {
+                succession.borrow_mut().told_led(server, it.term());
+            }
+        }
+    }
+
+    /// Records how far another host has seen logs reach.
+    fn apply_logs(&self, logs: &[LogReport]) {
+        for log in logs {
+            if let Some(service) = self.fleet.find_service(&log.service) {
+                service.record_peer_position(log.furthest.into());
+                log.term_start
+                    .iter()
+                    .for_each(|it| service.record_term_start(it));
+                log.doubted
+                    .iter()
+                    .for_each(|it| service.record_peer_doubt(it));
+                self.apply_led_terms(&service, &log.led);
+            }
+        }
+    }
+
+    /// Returns for how many milliseconds this host has been in contact with a majority without a
+    /// break.
+    fn quorum_held_ms(&self) -> u32 {
+        let now = self.site.now();
+        let (holds, since) = self.lease_state.get();
+        let lasts = now.saturating_sub(since).as_millis();
+        match holds && self.has_quorum() {
+            true => u32::try_from(lasts).unwrap_or(u32::MAX),
+            false => 0,
+        }
+    }
+
+    /// Logs that this host has lost or regained its lease.
+    fn log_lease_change(&self, holds: bool, now: Duration) {
+        let (held, since) = self.lease_state.get();
+        if held == holds {
+            return;
+        }
+        self.lease_state.set((holds, now));
+        let (heard, hosts) = self
+            .fleet
+            .with_quorum(|quorum, now| (quorum.in_touch(now).len(), quorum.hosts()));
+        self.site.log(&Event::Lease {
+            outcome: if holds { "back" } else { "lost" },
+            millis: now.saturating_sub(since).as_millis(),
+            heard,
+            hosts,
+        });
+    }
+
+    /// Returns the services whose reads wait for a sample of the primary's replication position.
+    fn sample_requests(&self) -> Vec<String> {
+        let services = self.fleet.services();
+        let lacking = services.iter().filter(|service| service.lacks_sample.get());
+        let names = lacking.map(|service| service.name.clone());
+        names.take(MAX_SAMPLES).collect()
+    }
+
+    /// Returns this host's newest samples of the primaries of `services`.
+    fn samples(&self, services: &[String]) -> Vec<Sample> {
+        let sample = |name: &String| {
+            let (position, age) = self.fleet.find_service(name)?.newest_sample()?;
+            Some(Sample {
+                service: name.clone(),
+                position: position.into(),
+                age: u32::try_from(age.as_millis() + 1).ok()?,
+            })
+        };
+        services
+            .iter()
+            .take(MAX_SAMPLES)
+            .filter_map(sample)
+            .collect()
+    }
+
+    /// Records samples from a host that answered the message sent at `sent`. A sample's age counts
+    /// back from the answer, which came no earlier than `sent`, so the primary was queried no
+    /// earlier than that age before `sent`.
+    fn apply_samples(&self, samples: &[Sample], sent: Duration) {
+        let sent = sent.min(self.site.now());
+        for sample in samples {
+            if let Some(service) = self.fleet.find_service(&sample.service) {
+                let age = Duration::from_millis(u64::from(sample.age));
+                service.record_peer_sample(sample.position.into(), sent.saturating_sub(age));
+            }
+        }
+    }
+
+    /// Returns the changes of primaries that this host has learned of within `age`.
+    ///
+    /// An order is announced to each host by a single datagram, which may be lost or miss a host
+    /// that is partitioned. So the messages that keep a lease alive carry the change as well.
+    fn recent_ended_terms(&self, age: Duration) -> Vec<EndedTerm> {
+        let services = self.fleet.services();
+        let ended = services
+            .iter()
+            .filter_map(|service| service.recent_replacement(age));
+        ended.take(MAX_ENDED_TERMS).collect()
+    }
+
+    /// Records that another host reports a primary as replaced.
+    fn apply_ended_term(&self, host: &str, ended: &EndedTerm) {
+        let Some(service) = self.fleet.find_service(&ended.service) else {
+            return;
+        };
+        if !service.end_term(ended) {
+            return;
+        }
+        self.record_peer_change(&service.name, ended.term().number().unsigned_abs());
+        self.site.log(&Event::OtherActs {
+            service: service.name.clone(),
+            host: host.to_owned(),
+        });
+        if let Some(succession) = self.services.borrow().get(&service.name) {
+            succession.borrow_mut().other_acts(self.site.now());
+        }
+    }
+
+    /// Asks the store which primaries are being replaced. While most hosts are silent, only the
+    /// store can show that this host is not the partitioned one.
+    fn check_claims_in_store(self: &Rc<Self>) {
+        if self.is_reading_claims.replace(true) {
+            return;
+        }
+        let election = Rc::clone(self);
+        tokio::task::spawn_local(async move {
+            let sent = election.site.now();
+            let claims = election.read_claims().await;
+            election.is_reading_claims.set(false);
+            let Some(claims) = claims else {
+                return;
+            };
+            // A restored store may lack a claim that is being acted on.
+            let fleet = &election.fleet;
+            if !fleet.with_epochs(|epochs, now| epochs.knows_claims(now)) {
+                return;
+            }
+            for service in election.fleet.services() {
+                let attempt = service.newest_term().number().unsigned_abs();
+                if !claims.contains(&(service.name.clone(), attempt)) {
+                    service.record_no_claims(sent);
+                }
+            }
+        });
+    }
+
+    fn handle(self: &Rc<Self>, message: Message, from: SocketAddr) {
+        if let Some(host) = self.fleet.peer(&message.host) {
+            self.fleet
+                .with_quorum(|quorum, now| quorum.heard(host, now));
+            match message.payload {
+                Payload::Heartbeat {
+                    sent,
+                    out_of_touch,
+                    epoch,
+                    sample_requests,
+                    ended_terms,
+                } => {
+                    self.fleet.record_peer_epoch(host, Epoch(epoch));
+                    let missed =
+                        Duration::from_millis(u64::from(out_of_touch)) + PROPAGATION_WINDOW;
+                    let echo = Payload::HeartbeatAck {
+                        sent,
+                        progress: self.fleet.feed_progress(),
+                        in_touch: self.quorum_held_ms(),
+                        ended_terms: self.recent_ended_terms(missed),
+                        samples: self.samples(&sample_requests),
+                    };
+                    self.send_message(String::new(), echo, from);
+                    ended_terms
+                        .iter()
+                        .for_each(|it| self.apply_ended_term(&message.host, it));
+                    return;
+                }
+                Payload::HeartbeatAck {
+                    sent,
+                    progress,
+                    in_touch,
+                    ended_terms,
+                    samples,
+                } => {
+                    self.fleet.record_peer_epoch(host, Epoch(progress.epoch));
+                    self.fleet.record_peer_progress(progress);
+                    // Ended terms are applied before the acknowledgement extends the lease.
+                    ended_terms
+                        .iter()
+                        .for_each(|it| self.apply_ended_term(&message.host, it));
+                    self.peer_knows_orders(Duration::from_millis(u64::from(in_touch)));
+                    let sent = Duration::from_micros(sent);
+                    self.fleet
+                        .with_quorum(|quorum, _| quorum.answered(host, sent));
+                    self.apply_samples(&samples, sent);
+                    return;
+                }
+                _ => {}
+            }
+        }
+        match &message.payload {
+            Payload::LogQuery => return self.send_logs(from),
+            Payload::LogReply { logs } => return self.apply_logs(logs),
+            _ => {}
+        }
+        let Some(service) = self.fleet.find_service(&message.service) else {
+            return;
+        };
+        let succession = self.services.borrow().get(&service.name).cloned();
+        match message.payload {
+            // Sent by a host that is not listed yet.
+            Payload::Heartbeat { .. } | Payload::HeartbeatAck { .. } => {}
+            // Not specific to a service, and handled above.
+            Payload::LogQuery | Payload::LogReply { .. } => {}
+            Payload::ReachabilityQuery { server, furthest } => {
+                service.record_peer_position(furthest.into());
+                let election = Rc::clone(self);
+                tokio::task::spawn_local(async move {
+                    election.answer_reachability(service, server, from).await;
+                });
+            }
+            Payload::ReachabilityReply {
+                server,
+                furthest,
+                reaches,
+            } => {
+                service.record_peer_position(furthest.into());
+                let host = self.fleet.peer(&message.host);
+                if let (Some(succession), Some(host)) = (succession, host)
+                    && is_about_leader(&service, server.as_ref())
+                {
+                    let opinion = Payload::opinion(reaches);
+                    succession.borrow_mut().opinion(host, opinion);
+                    service.failover_notify.notify_one();
+                }
+            }
+            Payload::ConnectionShortage { server } => {
+                if let ResolvedServer::Listed(server) = service.resolve_server(&server) {
+                    service.yield_connections(server);
+                }
+            }
+            Payload::PrimaryObserved { server, term, took } => {
+                if let Some(took) = took {
+                    self.site
+                        .record_promotion_time(Duration::from_millis(u64::from(took)));
+                }
+                service.record_peer_leader(&server, Term::from_number(term));
+            }
+            Payload::PromotionStarted { ended_term } => {
+                self.apply_ended_term(&message.host, &ended_term)
+            }
+        }
+    }
+
+    /// Answers whether this host reaches `server`, after probing it.
+    async fn answer_reachability(
+        &self,
+        service: Rc<Service<C>>,
+        server: Option<Server>,
+        from: SocketAddr,
+    ) {
+        let meant = match &server {
+            Some(server) => service.resolve_server(server),
+            None => service
+                .leader()
+                .map_or(ResolvedServer::Unknown, ResolvedServer::Listed),
+        };
+        let reaches = match meant {
+            ResolvedServer::Listed(key) => self.reaches(&service, key).await,
+            // A former incarnation is over, no matter what answers at its address now.
+            ResolvedServer::Former | ResolvedServer::Unknown => false,
+            // Nothing is known about an incarnation that is not listed here yet.
+            ResolvedServer::Newer => return,
+        };
+        let payload = Payload::ReachabilityReply {
+            server,
+            furthest: service.furthest_position().into(),
+            reaches,
+        };
+        self.send(&service, payload, from);
+    }
+
+    /// Reports whether this host reaches a server and trusts that it has the service's log.
+    async fn reaches(&self, service: &Rc<Service<C>>, server: ServerKey) -> bool {
+        let Some(target) = target(service, server) else {
+            return false;
+        };
+        match self.query_status(service, &target).await {
+            Probe::Status(_) => !service.is_doubted(server),
+            Probe::Alive => true,
+            Probe::Refused => false,
+            // A server too busy to answer a query in time may still answer statements.
+            Probe::Silent => {
+                let now = self.site.now();
+                let contact = service.contact(server).unwrap_or_default();
+                contact.age(now).is_some_and(|age| age < RECENT_CONTACT)
+            }
+        }
+    }
+
+    /// Notifies the other hosts of servers to which this host lacks connections.
+    pub(super) fn send_shortages(&self, service: &Rc<Service<C>>) {
+        let short = service.take_connection_shortages();
+        for server in short
+            .into_iter()
+            .filter_map(|it| service.to_peer_server(it))
+        {
+            for (_, peer) in self.fleet.peers() {
+                let server = server.clone();
+                self.send(
+                    service,
+                    Payload::ConnectionShortage { server },
+                    peer.address,
+                );
+            }
+        }
+    }
+
+    pub(super) fn send(&self, service: &Rc<Service<C>>, payload: Payload, to: SocketAddr) {
+        self.send_message(service.name.clone(), payload, to);
+    }
+
+    pub(super) fn send_message(&self, service: String, payload: Payload, to: SocketAddr) {
+        let host = self.site.host.clone();
+        let message = Message {
+            host,
+            service,
+            payload,
+        };
+        self.socket.send(&message, to);
+    }
+}
+
+/// Reports whether a report from another host about `server` concerns the primary known to this
+/// host. No server is named if there is no primary.
+fn is_about_leader<C: Codec>(service: &Rc<Service<C>>, server: Option<&Server>) -> bool {
+    match (
+        server.map(|server| service.resolve_server(server)),
+        service.leader(),
+    ) {
+        (Some(ResolvedServer::Listed(server)), Some(leader)) => server == leader,
+        (None, None) => true,
+        _ => false,
+    }
+}
+
+fn micros(time: Duration) -> u64 {
+    u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
+}
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -15,77 +15,78 @@
 
 use crate::codec::Codec;
 use crate::event::Event;
-use crate::feeds::{Feeds, Patience};
+use crate::feeds::{Feeds, StuckDetection};
 use crate::meter;
-use crate::peer::News;
+use crate::peer::FeedProgress;
 use crate::platform::{Backend, Change, Configuration, Entry, Peer, Service as Configured};
+use crate::reported_faults::ReportedFaults;
 use crate::route::Route;
 use crate::service::{Service, Source};
 use crate::site::Site;
-use crate::told::Told;
 
-mod copied;
-mod homes;
+mod incarnations;
 mod peers;
-mod starts;
-mod strangers;
+mod placement;
+mod restored;
+mod unusable_entries;
 
-pub use homes::Home;
-use homes::spread;
-use strangers::{CONFIGURATION, SERVERS, backend_id};
+pub use placement::ServingHost;
+use placement::rendezvous_hash;
+use unusable_entries::{CONFIGURATION, SERVERS, backend_id};
 
-/// How long an entry that has gone from the list is still believed in. Entries of living servers
-/// lapse while the platform's store is away and are back within two seconds of its return; the
-/// bound on work for servers that have left is several seconds.
-pub const LAPSE: Duration = Duration::from_millis(2_300);
+/// How long a server stays in use after its entry disappears from the list. Entries of running
+/// servers expire while the platform's store is unavailable and are back within two seconds of its
+/// return. Servers that have left may be sent work for several seconds at most.
+pub const UNLISTED_GRACE: Duration = Duration::from_millis(2_300);
 
-/// For how long a server that was dropped is remembered: longer than a copy of the store is old
-/// from which it is restored, which is some seconds.
-const DROPPED: Duration = Duration::from_secs(30);
+/// How long a dropped server is remembered. This exceeds the age of the backup that a store is
+/// restored from, which is a few seconds.
+const DROPPED_RETENTION: Duration = Duration::from_secs(30);
 
-/// Up to this many hosts all ask each other whether they are in touch.
-const SMALL: usize = 9;
+/// Up to this many hosts, including this one, all hosts exchange heartbeats with each other.
+const SMALL_FLEET_HOSTS: usize = 9;
 
-/// What this host knows of the fleet.
+/// The fleet as known to this host.
 pub struct Fleet<C: Codec> {
     site: Rc<Site>,
     configuration: RefCell<Option<Rc<Configuration>>>,
     services: RefCell<BTreeMap<String, Rc<Service<C>>>>,
     servers: RefCell<Servers>,
-    /// Entries of servers whose service no configuration names yet, by id.
-    unnamed: RefCell<BTreeMap<String, Backend>>,
-    told: RefCell<Told>,
+    /// Entries of servers whose service is in no configuration yet, by server id.
+    unconfigured: RefCell<BTreeMap<String, Backend>>,
+    reported_faults: RefCell<ReportedFaults>,
     peers: RefCell<Peers>,
     quorum: RefCell<Quorum>,
     epochs: RefCell<Epochs>,
-    /// The other hosts whose majority counts; worked out anew with each change of the list, since
-    /// heartbeats and elections ask for them many times a second.
+    /// The other hosts whose majority forms a quorum. Recomputed only when the list of hosts
+    /// changes, since heartbeats and elections read it many times a second.
     electors: RefCell<Vec<(HostKey, Peer)>>,
-    /// Other hosts are to be asked at once: who they are, or which servers there are, is news.
+    /// Notifies the heartbeat task to contact the other hosts immediately, because the list of
+    /// hosts or of servers has changed.
     pub contact_due: Notify,
     /// How far the platform's feeds have been read.
     pub feeds: Rc<Feeds>,
-    listed: Cell<bool>,
+    server_list_read: Cell<bool>,
 }
 
 #[derive(Default)]
 struct Servers {
     keys: SlotMap<ServerKey, String>,
-    by_id: BTreeMap<String, Listed>,
-    /// Entries that name no server, by id.
+    by_id: BTreeMap<String, ListedServer>,
+    /// Ids of entries that cannot be read.
     unreadable: BTreeSet<String>,
-    /// Starts of servers that were dropped lately, and when.
+    /// Incarnations of recently dropped servers, and when they were dropped.
     dropped: BTreeMap<String, (Incarnation, Duration)>,
 }
 
-struct Listed {
-    /// Stands for one start of the server: what is kept by it goes with it.
+struct ListedServer {
+    /// Identifies one incarnation of the server. State that is kept by this key is dropped with it.
     key: ServerKey,
     incarnation: Incarnation,
     service: String,
-    /// When it went from the list.
-    gone: Option<Duration>,
-    /// It has said that it is about to leave.
+    /// When the entry disappeared from the list.
+    missing_since: Option<Duration>,
+    /// Whether the server has announced that it is leaving.
     leaving: bool,
 }
 
@@ -96,81 +97,81 @@
 }
 
 impl<C: Codec> Fleet<C> {
-    /// A fleet of which nothing is known.
+    /// Creates a fleet of which nothing is known yet.
     pub fn new(site: Rc<Site>) -> Fleet<C> {
         Fleet {
             site,
             configuration: RefCell::default(),
             services: RefCell::default(),
             servers: RefCell::default(),
-            unnamed: RefCell::default(),
-            told: RefCell::default(),
+            unconfigured: RefCell::default(),
+            reported_faults: RefCell::default(),
             peers: RefCell::default(),
             quorum: RefCell::default(),
             epochs: RefCell::default(),
             electors: RefCell::default(),
             contact_due: Notify::new(),
             feeds: Rc::default(),
-            listed: Cell::new(false),
+            server_list_read: Cell::new(false),
         }
     }
 
-    /// Version of the configuration in force; 0 when there is none.
+    /// Returns the version of the configuration in force, or 0 if there is none.
     pub fn version(&self) -> u64 {
         let configuration = self.configuration.borrow();
         configuration.as_ref().map_or(0, |it| it.version)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Whether enough is known to serve callers.
+    /// Reports whether enough is known to serve callers.
     pub fn is_known(&self) -> bool {
         let hosts = self.quorum.borrow().knows_hosts();
-        hosts && self.listed.get() && self.version() > 0
+        hosts && self.server_list_read.get() && self.version() > 0
     }
 
-    /// Whether the list of servers names all that may lead, as far as can be told.
+    /// Reports whether the list of servers is known to include all that may become primary.
     ///
-    /// A successor may be one whose entry cannot be read, or is missing in the copy from which the store was
-    /// restored.
+    /// The entry of a successor may be unreadable, or missing in the backup from which the store
+    /// was restored.
     pub fn knows_all_servers(&self) -> bool {
         let copied = self.epochs.borrow().may_be_copied(self.site.now());
         let unreadable = !self.servers.borrow().unreadable.is_empty();
-        !copied && !unreadable && self.unnamed.borrow().is_empty()
+        !copied && !unreadable && self.unconfigured.borrow().is_empty()
     }
 
-    /// Whether the configuration in force is that of a copy: the store was restored a moment ago, and other
-    /// hosts have a newer one, which operators will write again.
+    /// Reports whether the configuration in force comes from a backup: the store was restored a
+    /// moment ago, and other hosts have a newer version, which operators will write again.
     ///
-    /// Guards against callers that are sent to a host which has just started, and is the only one that does
-    /// not know what operators have changed lately.
-    pub fn has_copied_configuration(&self) -> bool {
+    /// Guards against sending callers to a host that has just started and is the only one without
+    /// the operators' latest changes.
+    pub fn has_outdated_configuration(&self) -> bool {
         let now = self.site.now();
         self.feeds.configuration.is_behind() && self.epochs.borrow().may_be_copied(now)
     }
 
-    /// The route of a database and the service that it leads to.
+    /// Returns the route of a database and the service that it leads to.
     pub fn route(&self, database: &str) -> Option<(Route, Rc<Service<C>>)> {
         let configuration = self.configuration()?;
         let route = configuration.routes.get(database)?;
-        Some((route.clone(), self.service(&route.service)))
+        Some((route.clone(), self.service_or_new(&route.service)))
     }
 
-    /// How long a statement on `database` may take, by its route.
+    /// Returns the statement timeout of the route of `database`.
     pub fn timeout(&self, database: &str) -> Option<Duration> {
         let configuration = self.configuration()?;
         Some(configuration.routes.get(database)?.timeout)
     }
 
-    /// The service called `name`, if it has servers.
-    pub fn named(&self, name: &str) -> Option<Rc<Service<C>>> {
+    /// Returns the service called `name`, if it has servers.
+    pub fn find_service(&self, name: &str) -> Option<Rc<Service<C>>> {
         self.services.borrow().get(name).cloned()
     }
 
-    /// All services that have servers.
+    /// Returns all services that have servers.
     pub fn services(&self) -> Vec<Rc<Service<C>>> {
         self.services.borrow().values().cloned().collect()
     }
@@ -189,82 +190,84 @@
             millis: took.as_millis(),
         });
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
-        self.told.borrow_mut().all_mended(CONFIGURATION);
+        self.reported_faults.borrow_mut().clear_table(CONFIGURATION);
         invariant::check(Invariant::UpwardConfiguration, version > before, || {
             format!("version {version} after {before}")
         });
         // Servers may register before the operators configure their service.
-        let unnamed = std::mem::take(&mut *self.unnamed.borrow_mut());
-        for backend in unnamed.into_values() {
-            self.change(Change::Put(backend));
+        let unconfigured = std::mem::take(&mut *self.unconfigured.borrow_mut());
+        for backend in unconfigured.into_values() {
+            self.apply_server_change(Change::Put(backend));
         }
-        self.allot();
+        self.allot_connections();
     }
 
-    /// Takes a whole list of servers: what it lacks has gone.
+    /// Applies a complete list of servers. Servers that are not in it count as missing.
     ///
-    /// One that a store was restored with may be outdated: it takes back nothing that was known
-    /// before, until servers have written their entries anew.
-    pub fn list(&self, entries: Vec<Entry<Backend>>) {
+    /// The list of a restored store may be outdated. It undoes nothing that was known before, until
+    /// servers have rewritten their entries.
+    pub fn apply_server_list(&self, entries: Vec<Entry<Backend>>) {
         let named: BTreeSet<&str> = entries.iter().map(backend_id).collect();
         let missing: Vec<String> = {
-            let (servers, unnamed) = (self.servers.borrow(), self.unnamed.borrow());
-            let known = servers.by_id.keys().chain(unnamed.keys());
+            let (servers, unconfigured) = (self.servers.borrow(), self.unconfigured.borrow());
+            let known = servers.by_id.keys().chain(unconfigured.keys());
             let known = known.chain(&servers.unreadable);
             let missing = known.filter(|id| !named.contains(id.as_str()));
             missing.cloned().collect()
         };
         for id in missing {
-            self.change(Change::Gone(id));
+            self.apply_server_change(Change::Removed(id));
         }
         let copied = self.epochs.borrow().may_be_copied(self.site.now());
         for entry in entries {
             match Change::from(entry) {
-                Change::Put(backend) if copied => self.put_copied(backend),
-                change => self.change(change),
+                Change::Put(backend) if copied => self.put_restored(backend),
+                change => self.apply_server_change(change),
             }
         }
-        if !self.listed.replace(true) {
+        if !self.server_list_read.replace(true) {
             self.contact_due.notify_one();
         }
     }
 
-    /// Takes one change of the list of servers.
-    pub fn change(&self, change: Change<Backend>) {
+    /// Applies one change of the list of servers.
+    pub fn apply_server_change(&self, change: Change<Backend>) {
         match change {
-            Change::Put(backend) if self.names(&backend.service) => {
-                self.put(&backend, Source::Server);
+            Change::Put(backend) if self.has_service(&backend.service) => {
+                self.put_server(&backend, Source::Server);
             }
             Change::Put(backend) if self.is_former(&backend) => {}
-            Change::Put(backend) => self.put_aside(backend),
-            Change::Spoilt(unusable) => {
-                self.spoilt(SERVERS, &unusable);
-                self.gone(&unusable.id);
+            Change::Put(backend) => self.set_aside(backend),
+            Change::Unusable(unusable) => {
+                self.report_unusable(SERVERS, &unusable);
+                self.mark_missing(&unusable.id);
                 let mut servers = self.servers.borrow_mut();
                 servers.unreadable.insert(unusable.id);
             }
-            Change::Gone(id) => self.gone(&id),
+            Change::Removed(id) => self.mark_missing(&id),
         }
     }
 
-    /// The entry of server `id` has gone or names no server any more. Both may pass: entries of
-    /// living servers lapse, and a server writes its entry anew over what somebody else has put in
-    /// its place. So the server is used for [`LAPSE`] longer, which is within the time in which
-    /// servers that have left still serve; dropped at once, a primary would lose its transactions
-    /// and be replaced for an entry that is good again a heartbeat later.
-    fn gone(&self, id: &str) {
-        self.unnamed.borrow_mut().remove(id);
+    /// Marks server `id` as missing, because its entry disappeared or can no longer be used.
+    ///
+    /// Both may be temporary: entries of running servers expire, and a server rewrites its entry if
+    /// somebody else has overwritten it. So the server stays in use for [`UNLISTED_GRACE`], which
+    /// is within the time for which a leaving server still serves. If it were dropped immediately,
+    /// a primary would lose its transactions and be replaced although its entry is valid again one
+    /// heartbeat later.
+    fn mark_missing(&self, id: &str) {
+        self.unconfigured.borrow_mut().remove(id);
         let now = self.site.now();
         let mut servers = self.servers.borrow_mut();
         servers.unreadable.remove(id);
         if let Some(listed) = servers.by_id.get_mut(id) {
-            listed.gone.get_or_insert(now);
+            listed.missing_since.get_or_insert(now);
         }
     }
 
-    /// Drops servers whose entries have been gone for long enough. While `blind`, the list cannot
-    /// be read, so nothing is known to be missing.
-    pub fn drop_lapsed(&self, blind: bool) {
+    /// Drops servers that have been missing for [`UNLISTED_GRACE`]. While the list is unreadable,
+    /// no server is known to be missing, so the grace starts over.
+    pub fn drop_missing_servers(&self, list_unreadable: bool) {
         let now = self.site.now();
         let mut lapsed = Vec::new();
         {
@@ -275,16 +278,16 @@
                 dropped,
                 ..
             } = &mut *servers;
-            dropped.retain(|_, (_, at)| now < *at + DROPPED);
+            dropped.retain(|_, (_, at)| now < *at + DROPPED_RETENTION);
             by_id.retain(|id, entry| {
-                let Some(gone) = &mut entry.gone else {
+                let Some(gone) = &mut entry.missing_since else {
                     return true;
                 };
-                if blind {
+                if list_unreadable {
                     *gone = now;
                     return true;
                 }
-                if now < *gone + LAPSE {
+                if now < *gone + UNLISTED_GRACE {
                     return true;
                 }
                 keys.remove(entry.key);
@@ -299,16 +302,16 @@
                 server,
                 millis: since.as_millis(),
             });
-            self.service(&service).unlisted(key);
+            self.service_or_new(&service).unlisted(key);
         }
     }
 
-    /// How far this host has read what the platform tells.
-    pub fn news(&self) -> News {
+    /// Returns how far this host has read the platform's feeds.
+    pub fn feed_progress(&self) -> FeedProgress {
         let now = self.site.now();
         let epochs = self.epochs.borrow();
         let restored = epochs.restored().map(|at| now.saturating_sub(at));
-        News {
+        FeedProgress {
             configuration: self.feeds.configuration.newest(),
             backends: self.feeds.backends.newest(),
             epoch: epochs.heard().0,
@@ -316,81 +319,85 @@
         }
     }
 
-    /// Reads of `service` wait for a sample of how far its primary is: the other hosts are asked at once.
-    pub fn ask_for_sample(&self, service: &Service<C>) {
+    /// Requests a sample of the primary's replication position from the other hosts immediately,
+    /// because reads of `service` wait for it.
+    pub fn request_sample(&self, service: &Service<C>) {
         if service.request_sample() {
             self.contact_due.notify_one();
         }
     }
 
-    /// Another host has read as far as `news`.
-    pub fn told(&self, news: News) {
+    /// Records how far another host has read the platform's feeds.
+    pub fn record_peer_progress(&self, progress: FeedProgress) {
         let now = self.site.now();
-        let epoch = Epoch(news.epoch);
-        if let Some(millis) = news.restored {
+        let epoch = Epoch(progress.epoch);
+        if let Some(millis) = progress.restored {
             let age = Duration::from_millis(u64::from(millis));
             let mut epochs = self.epochs.borrow_mut();
             epochs.told_of_restore(epoch, now.saturating_sub(age));
         }
-        self.feeds.configuration.told(news.configuration, now);
-        self.feeds.backends.told(news.backends, now);
+        self.feeds
+            .configuration
+            .record_peer_read(progress.configuration, now);
+        self.feeds.backends.record_peer_read(progress.backends, now);
     }
 
-    /// Has calls given up that wait for what others have read already, or that others no longer
-    /// look after.
-    pub fn look_at_feeds(&self) {
+    /// Cancels calls that wait for changes which other hosts have already read, and calls that no
+    /// other host monitors any more.
+    pub fn check_feeds(&self) {
         let now = self.site.now();
-        let patience = self.patience();
-        self.feeds.configuration.look(patience, now);
-        self.feeds.backends.look(patience, now);
+        let patience = self.stuck_detection();
+        self.feeds.configuration.check_stuck(patience, now);
+        self.feeds.backends.check_stuck(patience, now);
     }
 
-    /// Whether all hosts ask all others.
+    /// Reports whether the fleet is small enough for all hosts to exchange heartbeats.
     pub fn is_small(&self) -> bool {
-        self.peers.borrow().by_host.len() < SMALL
+        self.peers.borrow().by_host.len() < SMALL_FLEET_HOSTS
     }
 
-    /// Who notices that a call which waits for changes is stuck.
+    /// Returns who detects that a call waiting for changes is stuck.
     ///
-    /// The hosts that all others ask find out for themselves whether a feed is stuck, and so do
-    /// all where they are few. The others are told, for as long as they hear most of those.
-    pub fn patience(&self) -> Patience {
+    /// The electors detect a stuck feed themselves, and so do all hosts of a small fleet. Other
+    /// hosts rely on the electors' heartbeats for as long as they are in contact with a majority of
+    /// them.
+    pub fn stuck_detection(&self) -> StuckDetection {
         let quorum = self.quorum.borrow();
         let is_told = !quorum.takes_part() && quorum.holds_lease(self.site.now());
         match is_told && !self.is_small() {
-            true => Patience::Told,
-            false => Patience::Own,
+            true => StuckDetection::ByPeers,
+            false => StuckDetection::Local,
         }
     }
 
-    /// Works on what this host knows of the store's epochs.
+    /// Calls `work` with the known epochs of the store and the current time.
     pub fn with_epochs<T>(&self, work: impl FnOnce(&mut Epochs, Duration) -> T) -> T {
         work(&mut self.epochs.borrow_mut(), self.site.now())
     }
 
-    /// Another host has heard of `epoch`.
-    pub fn told_epoch(&self, host: HostKey, epoch: Epoch) {
+    /// Records that another host knows of `epoch`.
+    pub fn record_peer_epoch(&self, host: HostKey, epoch: Epoch) {
         if self.with_epochs(|epochs, now| epochs.told(host, epoch, now)) {
-            self.feeds.restored();
+            self.feeds.cancel_after_restore();
         }
     }
 
-    /// The store has answered in `epoch`. Returns whether what it said holds: it does not where the
-    /// epoch is over.
-    pub fn saw_epoch(&self, epoch: Epoch) -> bool {
+    /// Records that the store answered in `epoch`. Returns whether the answer is valid: it is not
+    /// if the epoch is over.
+    pub fn observe_epoch(&self, epoch: Epoch) -> bool {
         match self.with_epochs(|epochs, now| epochs.saw(epoch, now)) {
             Sighting::Known => true,
             Sighting::Former => false,
             Sighting::Restored { before } => {
-                self.restored(before, epoch);
+                self.handle_store_restore(before, epoch);
                 true
             }
         }
     }
 
-    /// The store has come back from a copy: all lists are read anew, that of servers once more when
-    /// they have had the time to write their entries.
-    fn restored(&self, before: Epoch, epoch: Epoch) {
+    /// Handles a restore of the store from a backup. All lists are read again, and the list of
+    /// servers once more after servers had time to rewrite their entries.
+    fn handle_store_restore(&self, before: Epoch, epoch: Epoch) {
         meter::store_restored();
         self.site.log(&Event::StoreRestored {
             before: before.0,
@@ -399,46 +406,49 @@
             servers: self.servers.borrow().by_id.len(),
             hosts: self.peers.borrow().by_host.len(),
         });
-        self.feeds.restored();
+        self.feeds.cancel_after_restore();
         let feeds = Rc::clone(&self.feeds);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(SERVERS_REWRITTEN).await;
-            feeds.backends.read_again();
+            feeds.backends.request_full_read();
         });
     }
 
-    /// Works on this host's contact with the others.
+    /// Calls `work` with this host's contacts to the other hosts and the current time.
     pub fn with_quorum<T>(&self, work: impl FnOnce(&mut Quorum, Duration) -> T) -> T {
         work(&mut self.quorum.borrow_mut(), self.site.now())
     }
 
-    /// Whether this host may rely on the primary of `service` now: send it what only a primary may
-    /// run, and acknowledge its writes.
+    /// Reports whether this host may currently rely on the primary of `service`: send it requests
+    /// that only a primary may run, and acknowledge its writes.
     ///
-    /// The store's word is for hosts that most others are out of reach of. One that does not know the
-    /// others yet has asked none of them what it may have missed.
+    /// The store's claims are a substitute for hosts that cannot reach a majority. They are no
+    /// substitute for a host that does not know the other hosts yet, since it has not asked any of
+    /// them what it may have missed.
     pub fn holds_lease(&self, service: &Service<C>) -> bool {
         let quorum = self.quorum.borrow();
         quorum.holds_lease(self.site.now()) || quorum.knows_hosts() && service.holds_store_lease()
     }
 
-    /// Whether commits of `service` are acknowledged only when a replica has received them.
+    /// Reports whether `service` acknowledges a commit only after a replica has received it.
     pub fn is_synchronous(&self, service: &str) -> bool {
         let configured = self.configured(service);
         configured.is_some_and(|configured| configured.synchronous)
     }
 
-    /// What the configuration says of `service`.
+    /// Returns the configuration of `service`.
     fn configured(&self, service: &str) -> Option<Configured> {
         let configuration = self.configuration.borrow();
         configuration.as_ref()?.services.get(service).copied()
     }
 
-    fn put(&self, backend: &Backend, source: Source) {
-        self.told.borrow_mut().mended(SERVERS, &backend.id);
-        self.unnamed.borrow_mut().remove(&backend.id);
+    fn put_server(&self, backend: &Backend, source: Source) {
+        self.reported_faults
+            .borrow_mut()
+            .clear(SERVERS, &backend.id);
+        self.unconfigured.borrow_mut().remove(&backend.id);
         self.servers.borrow_mut().unreadable.remove(&backend.id);
-        let Some((key, start)) = self.take_in(backend) else {
+        let Some((key, start)) = self.resolve_incarnation(backend) else {
             return;
         };
         self.site.log(&Event::Listed {
@@ -447,19 +457,19 @@
             address: backend.address,
             role: backend.role,
             leaving: backend.leaving,
-            revision: backend.changed,
+            revision: backend.revision,
         });
-        let service = self.service(&backend.service);
+        let service = self.service_or_new(&backend.service);
         let slots = service.slots();
         service.listed(key, backend, start, source);
-        // Which hosts serve it depends on what its servers run at once.
+        // The set of serving hosts depends on the number of request slots.
         if service.slots() != slots {
             service.allot(self.allotment(&service.name));
         }
     }
 
-    fn service(&self, name: &str) -> Rc<Service<C>> {
-        if let Some(service) = self.named(name) {
+    fn service_or_new(&self, name: &str) -> Rc<Service<C>> {
+        if let Some(service) = self.find_service(name) {
             return service;
         }
         let service = Rc::new(Service::new(name.to_owned(), Rc::clone(&self.site)));
--- a/crates/proxy/src/fleet/starts.rs
+++ b/crates/proxy/src/fleet/incarnations.rs
@@ -1,47 +1,51 @@
-//! Which start of a server an entry of the list speaks of.
+//! Matches entries of the server list to incarnations, the individual starts of a server.
 
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
 
-use super::{Fleet, Listed, Servers};
+use super::{Fleet, ListedServer, Servers};
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::platform::Backend;
 use crate::service::Start;
 
-/// Which start of a server an entry of the list speaks of.
-enum Sighting {
-    /// The one that is known, or the first.
+/// How an entry relates to the incarnation that is currently listed.
+enum IncarnationMatch {
+    /// The listed incarnation, or the first one of a new server.
     Known(ServerKey),
-    /// A newer one, or the same as a server of another service.
-    Newer { key: ServerKey, before: Listed },
-    /// One before the one that is known.
+    /// A newer incarnation, or the same one under a different service.
+    Newer {
+        key: ServerKey,
+        before: ListedServer,
+    },
+    /// An incarnation before the listed one. Contains the listed one.
     Former(Incarnation),
 }
 
-impl Listed {
-    fn new(key: ServerKey, backend: &Backend) -> Listed {
-        Listed {
+impl ListedServer {
+    fn new(key: ServerKey, backend: &Backend) -> ListedServer {
+        ListedServer {
             key,
             incarnation: backend.incarnation,
             service: backend.service.clone(),
-            gone: None,
+            missing_since: None,
             leaving: backend.leaving,
         }
     }
 }
 
 impl<C: Codec> Fleet<C> {
-    /// The key of the start that `backend` speaks of, which it lists; `None` for a former one.
+    /// Lists the incarnation that `backend` describes and returns its key, or `None` for a former
+    /// incarnation.
     ///
-    /// Guards against what was known of a former start: a key stands for one start of a server, and
-    /// connections, positions, lag, window, contact and roles are kept by it, so that they go with
-    /// it. An entry that comes late, by a store that answers from the past, changes nothing.
-    pub(super) fn take_in(&self, backend: &Backend) -> Option<(ServerKey, Start)> {
-        match self.sight(backend) {
-            Sighting::Known(key) => Some((key, Start::Known)),
-            Sighting::Newer { key, before } => {
-                self.service(&before.service).restarted(before.key);
+    /// Guards against using state of a former incarnation. Connections, positions, lag, window,
+    /// contact and roles are stored under the key of one incarnation and are dropped with it. A
+    /// late entry, from a store that answers with outdated data, changes nothing.
+    pub(super) fn resolve_incarnation(&self, backend: &Backend) -> Option<(ServerKey, Start)> {
+        match self.match_incarnation(backend) {
+            IncarnationMatch::Known(key) => Some((key, Start::Known)),
+            IncarnationMatch::Newer { key, before } => {
+                self.service_or_new(&before.service).restarted(before.key);
                 if backend.incarnation == before.incarnation {
                     return Some((key, Start::Known));
                 }
@@ -53,7 +57,7 @@
                 });
                 Some((key, Start::Restarted(before.key)))
             }
-            Sighting::Former(newest) => {
+            IncarnationMatch::Former(newest) => {
                 self.site.log(&Event::FormerStart {
                     service: backend.service.clone(),
                     server: backend.id.clone(),
@@ -65,29 +69,29 @@
         }
     }
 
-    fn sight(&self, backend: &Backend) -> Sighting {
+    fn match_incarnation(&self, backend: &Backend) -> IncarnationMatch {
         let mut servers = self.servers.borrow_mut();
         let Servers { keys, by_id, .. } = &mut *servers;
         let Some(listed) = by_id.get_mut(&backend.id) else {
             let key = keys.insert(backend.id.clone());
-            by_id.insert(backend.id.clone(), Listed::new(key, backend));
-            return Sighting::Known(key);
+            by_id.insert(backend.id.clone(), ListedServer::new(key, backend));
+            return IncarnationMatch::Known(key);
         };
         if backend.incarnation < listed.incarnation {
-            return Sighting::Former(listed.incarnation);
+            return IncarnationMatch::Former(listed.incarnation);
         }
-        listed.gone = None;
+        listed.missing_since = None;
         listed.leaving = backend.leaving;
         if backend.incarnation == listed.incarnation && backend.service == listed.service {
-            return Sighting::Known(listed.key);
+            return IncarnationMatch::Known(listed.key);
         }
         keys.remove(listed.key);
         let key = keys.insert(backend.id.clone());
-        let before = std::mem::replace(listed, Listed::new(key, backend));
-        Sighting::Newer { key, before }
+        let before = std::mem::replace(listed, ListedServer::new(key, backend));
+        IncarnationMatch::Newer { key, before }
     }
 
-    /// Whether `backend` speaks of a start before the one that is listed.
+    /// Reports whether `backend` describes an incarnation before the listed one.
     pub(super) fn is_former(&self, backend: &Backend) -> bool {
         let servers = self.servers.borrow();
         let listed = servers.by_id.get(&backend.id);
--- /dev/null
+++ b/crates/proxy/src/fleet/placement.rs
@@ -0,0 +1,172 @@
+//! Assigns services to hosts, and a number of server connections to each host.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+use super::Fleet;
+use crate::codec::Codec;
+use crate::service::Allotment;
+
+/// Divisor for the part of a server's connections that hosts keep open. After a power loss, servers
+/// keep counting the connections of dead hosts for a few seconds, and the other part admits the
+/// hosts that start meanwhile. With all connections kept open, no request was served for two
+/// seconds after such a restart.
+const KEPT_OPEN_DIVISOR: u16 = 2;
+
+/// Maximum number of connections that a host keeps open to one server: one for each of the few
+/// statements that a fraction of a core can have in flight.
+const MAX_KEPT_OPEN: u16 = 4;
+
+/// Percentage of a server's connections that all hosts together use at most, where each host's
+/// share is rounded up. The remainder is for a restart of the whole fleet: servers keep counting
+/// the connections of hosts that lost power for a few seconds. With all of them in use, no host
+/// reached a primary for another second.
+const MAX_USED_PERCENT: u32 = 75;
+
+/// Connections to each server that a host should have if it serves a service for its zone.
+const CONNECTIONS_PER_SERVING_HOST: usize = 5;
+
+/// Hosts per server slot above which a service is crowded. Each host has at least one request
+/// running at a server, whatever the server's capacity. Above this ratio these requests alone
+/// overflow the server's queue and it refuses requests, because no host can narrow its window any
+/// further.
+const CROWDED_HOSTS_PER_SLOT: usize = 6;
+
+/// Number of hosts that serve a service for their zones, over all zones, per server slot. This is
+/// enough for most of them to remain when one is lost, and few enough for their windows to reflect
+/// the server's capacity.
+const SERVING_HOSTS_PER_SLOT: usize = 2;
+
+impl<C: Codec> Fleet<C> {
+    /// Returns the hosts of this zone that serve `service` for the whole zone, in order of
+    /// preference, or `None` if each host serves it for itself.
+    ///
+    /// With more hosts than server connections, most hosts would be refused and all would reconnect
+    /// all the time. With many more hosts than server slots, a server's queue overflows: with 65
+    /// hosts and servers with 5 slots, one in eight requests to a service was refused for the rest
+    /// of a day after its replicas had lagged for a few seconds.
+    pub fn serving_hosts(&self, service: &str) -> Option<Vec<ServingHost>> {
+        let connections = usize::from(self.configured(service)?.connections);
+        let slots = self.slots(service);
+        let peers = self.peers.borrow();
+        let crowded =
+            slots.is_some_and(|slots| peers.by_host.len() > slots * CROWDED_HOSTS_PER_SLOT);
+        if peers.by_host.len() < connections && !crowded {
+            return None;
+        }
+        let by_connections = connections / CONNECTIONS_PER_SERVING_HOST;
+        let by_slots = slots.map_or(by_connections, |slots| slots * SERVING_HOSTS_PER_SLOT);
+        let count = (by_connections.min(by_slots) / self.zones()).max(1);
+        let all = peers.by_host.values().map(|(_, peer)| peer);
+        let mut hosts: Vec<(u64, ServingHost)> = all
+            .filter(|peer| peer.zone == self.site.zone)
+            .map(|peer| {
+                (
+                    rendezvous_hash(service, &peer.host),
+                    ServingHost::Remote(peer.address),
+                )
+            })
+            .collect();
+        hosts.push((
+            rendezvous_hash(service, &self.site.host),
+            ServingHost::Local,
+        ));
+        hosts.sort_by_key(|(order, _)| *order);
+        let homes = hosts.into_iter().take(count);
+        Some(homes.map(|(_, home)| home).collect())
+    }
+
+    /// Reports whether this host itself sends statements to the servers of `service`.
+    pub fn serves(&self, service: &str) -> bool {
+        let homes = self.serving_hosts(service);
+        homes.is_none_or(|homes| homes.contains(&ServingHost::Local))
+    }
+
+    /// Returns how many requests each server of `service` runs concurrently, or `None` while no
+    /// server is listed.
+    fn slots(&self, service: &str) -> Option<usize> {
+        self.find_service(service)?.slots().map(usize::from)
+    }
+
+    /// Returns the number of availability zones that have hosts.
+    fn zones(&self) -> usize {
+        let peers = self.peers.borrow();
+        let zones = peers.by_host.values().map(|(_, peer)| peer.zone.as_str());
+        let mut zones: BTreeSet<&str> = zones.collect();
+        zones.insert(&self.site.zone);
+        zones.len()
+    }
+
+    /// Recomputes the connection allotment of all services.
+    pub(super) fn allot_connections(&self) {
+        for service in self.services() {
+            service.allot(self.allotment(&service.name));
+        }
+    }
+
+    /// Returns how many connections this host may have to each server of `service`.
+    pub(super) fn allotment(&self, service: &str) -> Allotment {
+        let Some(configured) = self.configured(service) else {
+            return Allotment {
+                base: 0,
+                fair: 1,
+                most: 1,
+            };
+        };
+        let hosts = match self.serving_hosts(service) {
+            None => self.peers.borrow().by_host.len() + 1,
+            Some(homes) if homes.contains(&ServingHost::Local) => homes.len() * self.zones(),
+            // Other hosts serve it. One connection remains for when none of them is reachable.
+            Some(_) => {
+                return Allotment {
+                    base: 0,
+                    fair: 1,
+                    most: 1,
+                };
+            }
+        };
+        let hosts = u16::try_from(hosts).unwrap_or(u16::MAX);
+        let base = (configured.connections / KEPT_OPEN_DIVISOR / hosts).clamp(1, MAX_KEPT_OPEN);
+        let most = connection_share(configured.connections, hosts);
+        let fair = (configured.connections / hosts).clamp(1, most);
+        Allotment { base, fair, most }
+    }
+
+    /// Returns this host's rank for a task named `what`, which is the number of hosts that come
+    /// before it.
+    ///
+    /// The order differs by `what`, so that one lost host is not the first for every task.
+    pub fn rank(&self, what: &str) -> u32 {
+        let own = rendezvous_hash(what, &self.site.host);
+        let peers = self.peers.borrow();
+        let before = peers
+            .by_host
+            .keys()
+            .filter(|host| rendezvous_hash(what, host) < own);
+        u32::try_from(before.count()).unwrap_or(u32::MAX)
+    }
+}
+
+/// Returns how many of `connections` each of `hosts` may use, rounded up.
+fn connection_share(connections: u16, hosts: u16) -> u16 {
+    let used = u32::from(connections) * MAX_USED_PERCENT / 100;
+    let share = used.div_ceil(u32::from(hosts).max(1)).max(1);
+    u16::try_from(share).unwrap_or(u16::MAX)
+}
+
+/// A host that serves a service for this host's availability zone.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ServingHost {
+    /// This host.
+    Local,
+    /// Another host, which answers its peers at this address.
+    Remote(SocketAddr),
+}
+
+/// Computes the FNV-1a hash of two names. Every host computes the same value.
+pub(super) fn rendezvous_hash(what: &str, host: &str) -> u64 {
+    let bytes = what.bytes().chain(host.bytes());
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
+}
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -141,8 +141,8 @@
             biased;
             request = self.caller.request() => Ok(RelayEvent::Request(request?)),
             () = self.peer.wait_closed() => Ok(RelayEvent::End),
-            () = stop.sessions(self.moves), if idle => Ok(RelayEvent::End),
-            () = stop.transactions(), if !idle => Ok(RelayEvent::End),
+            () = stop.sessions_must_end(self.moves), if idle => Ok(RelayEvent::End),
+            () = stop.transactions_must_end(), if !idle => Ok(RelayEvent::End),
         }
     }
 }
--- a/crates/proxy/src/server_connection.rs
+++ b/crates/proxy/src/server_connection.rs
@@ -256,7 +256,7 @@
 
     /// Reports whether the server has closed the idle connection or sent unsolicited data.
     pub fn is_closed(&self) -> bool {
-        !self.received.is_empty() || socket::is_over(&self.stream)
+        !self.received.is_empty() || socket::is_closed(&self.stream)
     }
 
     async fn read_answer(&mut self) -> Result<Answer, Error> {
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -44,7 +44,7 @@
         let id = self.site.next_id();
         match self.connect_and_examine(id, &target).await {
             Ok(connection) => {
-                meter::connected(&self.name);
+                meter::server_connected(&self.name);
                 self.record_answer(server, connection.position, now, false);
                 if let Some(position) = connection.position {
                     self.check_log(server, position, now);
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -13,7 +13,7 @@
 use super::{ResolvedServer, Service, State};
 use crate::codec::Codec;
 use crate::event::Event;
-use crate::peer::{self, Ended};
+use crate::peer::{self, EndedTerm};
 
 /// A primary that is about to leave serves until this long before its successor leads. Its
 /// successor might not receive what it acknowledges in this interval. Many times the latency
@@ -103,7 +103,7 @@
         if promotion.previous_term <= start.before() {
             *promotion = PromotionRecord {
                 previous_term: start.before(),
-                received: start.had(),
+                received: start.received(),
             };
         }
     }
@@ -130,7 +130,10 @@
     pub fn remaining_service_time(&self) -> Duration {
         match self.state.borrow().successor_hold {
             Some(_) => Duration::ZERO,
-            None => self.site.promotion().saturating_sub(HANDOVER_MARGIN),
+            None => self
+                .site
+                .shortest_promotion()
+                .saturating_sub(HANDOVER_MARGIN),
         }
     }
 
@@ -151,7 +154,7 @@
     ///
     /// Statements for the primary are held for its successor. From then on, no server that leads
     /// the ended term is relied on, even if it appears healthy: the order may be carried out late.
-    pub fn end_term(&self, ended: &Ended) -> bool {
+    pub fn end_term(&self, ended: &EndedTerm) -> bool {
         let now = self.site.now();
         let successor = self.resolve_listed(&ended.successor);
         let mut state = self.state.borrow_mut();
@@ -169,13 +172,13 @@
             ended_term: ended.term(),
             token: ended.token,
             successor: ended.successor.clone(),
-            successor_position: ended.had(),
+            successor_position: ended.received(),
             hold_from,
             ignore_from,
             heard_at: now,
         });
         let id = ended.successor.id.clone();
-        state.record_term_start(&peer::TermStart::new(id, ended.term(), ended.had()));
+        state.record_term_start(&peer::TermStart::new(id, ended.term(), ended.received()));
         state.leader.end(ended.term(), successor);
         let leads = state.dispatch.leader();
         let is_done = state.vouch.term() > ended.term() || leads.is_some() && leads == successor;
@@ -188,7 +191,7 @@
 
     /// Returns the newest replacement of the primary if this host learned of it within the last
     /// `age`, to inform hosts that may not know of it.
-    pub fn recent_replacement(&self, age: Duration) -> Option<Ended> {
+    pub fn recent_replacement(&self, age: Duration) -> Option<EndedTerm> {
         let now = self.site.now();
         let state = self.state.borrow();
         let replacement = state.replacement.as_ref()?;
@@ -198,7 +201,7 @@
                 replacement.successor.clone(),
                 replacement.successor_position,
             );
-            Ended::new(
+            EndedTerm::new(
                 self.name.clone(),
                 replacement.ended_term,
                 replacement.token,
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -12,10 +12,10 @@
 use crate::caller_connection::{self, CallerConnection};
 use crate::caller_state::CallerState;
 use crate::codec::Codec;
-use crate::fleet::{Fleet, Home};
+use crate::fleet::{Fleet, ServingHost};
 use crate::host::Stop;
 use crate::message::{Access, Code, Query, Request, Shape, Statement, Transaction};
-use crate::meter::End;
+use crate::meter::StatementEnd;
 use crate::relay::{self, Relay};
 use crate::server_connection::ServerConnection;
 use crate::site::Site;
@@ -203,13 +203,13 @@
                 () = tokio::time::sleep(idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
                     Ok(SessionEvent::Idle)
                 }
-                () = stop.transactions() => Ok(SessionEvent::Stop),
+                () = stop.transactions_must_end() => Ok(SessionEvent::Stop),
             };
         }
         tokio::select! {
             biased;
             request = self.caller.request() => Ok(SessionEvent::Request(request?)),
-            () = stop.sessions(self.moves) => Ok(SessionEvent::Stop),
+            () = stop.sessions_must_end(self.moves) => Ok(SessionEvent::Stop),
         }
     }
 
@@ -337,9 +337,9 @@
                 }
                 self.record_seen(&service, outcome.position.filter(|_| outcome.end.is_ok()));
                 let end = if by_primary {
-                    End::Primary
+                    StatementEnd::Primary
                 } else {
-                    End::Replica
+                    StatementEnd::Replica
                 };
                 self.deliver(&outcome, Transaction::Idle, end, arrived);
                 connection.return_to_pool();
@@ -374,14 +374,14 @@
     database: &str,
 ) -> Option<ServerConnection<C>> {
     let (route, _) = context.fleet.route(database)?;
-    let homes = context.fleet.homes(&route.service)?;
-    if homes.contains(&Home::Here) {
+    let homes = context.fleet.serving_hosts(&route.service)?;
+    if homes.contains(&ServingHost::Local) {
         return None;
     }
     let first = usize::try_from(context.site.next_id()).unwrap_or_default();
     for place in 0..homes.len() {
         // Distributes sessions over the serving hosts in turn.
-        if let Home::Peer(address) = homes[(first + place) % homes.len()]
+        if let ServingHost::Remote(address) = homes[(first + place) % homes.len()]
             && let Some(peer) = relay::open(context, database, address).await
         {
             return Some(peer);
--- a/crates/proxy/src/session/respond.rs
+++ b/crates/proxy/src/session/respond.rs
@@ -10,7 +10,7 @@
 use crate::codec::Codec;
 use crate::event::Event;
 use crate::message::{Code, Query, Transaction};
-use crate::meter::{self, End};
+use crate::meter::{self, StatementEnd};
 use crate::server_connection::Outcome;
 use crate::service::Service;
 
@@ -31,13 +31,13 @@
         &mut self,
         outcome: &Outcome,
         transaction: Transaction,
-        end: End,
+        end: StatementEnd,
         since: Duration,
     ) {
         self.caller.answer(outcome, transaction);
         let end = match &outcome.end {
             Ok(_) => end,
-            Err(error) => End::Error(error.code),
+            Err(error) => StatementEnd::Error(error.code),
         };
         let took = self.context.site.now().saturating_sub(since);
         meter::statement(&self.database, end, took);
@@ -62,7 +62,7 @@
             leader: leader.unwrap_or_default(),
             version: self.context.fleet.version(),
         });
-        meter::statement(&self.database, End::Error(code), took);
+        meter::statement(&self.database, StatementEnd::Error(code), took);
         self.refuse(code, reason.as_bytes());
     }
 
--- a/crates/proxy/src/session/transaction.rs
+++ b/crates/proxy/src/session/transaction.rs
@@ -10,7 +10,7 @@
 use crate::attempt::{self, Job, RunResult, TransactionFrame};
 use crate::codec::Codec;
 use crate::message::{Access, Code, Command, Query, Shape, Transaction};
-use crate::meter::End;
+use crate::meter::StatementEnd;
 use crate::route::Consistency;
 use crate::server_connection::Outcome;
 use crate::service::{PooledConnection, Service};
@@ -68,9 +68,9 @@
                     by_primary,
                 } = *answered;
                 let end = if by_primary {
-                    End::Primary
+                    StatementEnd::Primary
                 } else {
-                    End::Replica
+                    StatementEnd::Replica
                 };
                 let wrote = access == Access::Write;
                 let transaction = outcome.transaction;
@@ -132,9 +132,9 @@
                 open.record_answer(&outcome, arrived, by_primary);
                 let transaction = outcome.transaction;
                 let end = if open.by_primary {
-                    End::Primary
+                    StatementEnd::Primary
                 } else {
-                    End::Replica
+                    StatementEnd::Replica
                 };
                 self.transaction = match transaction {
                     Transaction::Idle => {
@@ -211,9 +211,9 @@
                         .record_acknowledgement(&query.id, outcome.position);
                 }
                 let end = if open.by_primary {
-                    End::Primary
+                    StatementEnd::Primary
                 } else {
-                    End::Replica
+                    StatementEnd::Replica
                 };
                 self.deliver(&outcome, Transaction::Idle, end, arrived);
                 if outcome.transaction == Transaction::Idle {
