--- a/crates/core/src/epoch.rs
+++ b/crates/core/src/epoch.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::key::HostKey;
-use crate::succession::HOLDER;
+use crate::succession::CLAIM_HOLDER_TIMEOUT;
 
 /// How long after a host has heard of a new epoch the claims that the copy lacks are written anew:
 /// hosts hear of an epoch with the answer to the call that waits for the configuration, which takes
@@ -52,7 +52,7 @@
 /// use std::time::Duration;
 /// use flamingopost_core::epoch::{CLAIMS_REWRITTEN, Epoch, Epochs, Sighting};
 /// use flamingopost_core::key::HostKey;
-/// use flamingopost_core::succession::HOLDER;
+/// use flamingopost_core::succession::CLAIM_HOLDER_TIMEOUT;
 ///
 /// let at = Duration::from_secs;
 /// let others = BTreeSet::from([HostKey::default()]);
@@ -62,7 +62,7 @@
 /// assert_eq!(epochs.saw(Epoch(5), at(60)), Sighting::Restored { before: Epoch(4) });
 /// assert!(!epochs.knows_claims(at(60)));
 /// assert!(epochs.knows_claims(at(60) + CLAIMS_REWRITTEN));
-/// assert_eq!(epochs.orders_from(&others), at(60) + HOLDER);
+/// assert_eq!(epochs.orders_from(&others), at(60) + CLAIM_HOLDER_TIMEOUT);
 /// epochs.told(HostKey::default(), Epoch(5), at(61));
 /// assert_eq!(epochs.orders_from(&others), Duration::ZERO, "nobody acts on what the copy lacks");
 /// ```
@@ -141,7 +141,8 @@
 
     /// Whether [`Epochs::orders_from`] can be later than `now`.
     pub fn may_delay_orders(&self, now: Duration) -> bool {
-        self.restored.is_some_and(|at| now < at + HOLDER)
+        self.restored
+            .is_some_and(|at| now < at + CLAIM_HOLDER_TIMEOUT)
     }
 
     /// From when on this host may order a change of primary.
@@ -157,7 +158,7 @@
         let knows = |host: &HostKey| self.told.get(host).is_some_and(|told| *told >= self.heard);
         match others.iter().all(knows) {
             true => Duration::ZERO,
-            false => restored + HOLDER,
+            false => restored + CLAIM_HOLDER_TIMEOUT,
         }
     }
 
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -25,48 +25,48 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::key::ServerKey;
-/// use flamingopost_core::leader::{Leader, Role};
+/// use flamingopost_core::leader::{LeaderTracker, Role};
 /// use flamingopost_core::term::Term;
 ///
 /// let server = ServerKey::default();
-/// let mut leader = Leader::default();
-/// leader.listed(server, Role::Primary, 17);
-/// assert_eq!(leader.get(), Some(server));
-/// leader.refused(server);
-/// assert_eq!(leader.get(), None);
-/// leader.said(server, Role::Primary, Term::from_number(3));
-/// assert_eq!(leader.get(), Some(server));
+/// let mut leader = LeaderTracker::default();
+/// leader.record_listing(server, Role::Primary, 17);
+/// assert_eq!(leader.primary(), Some(server));
+/// leader.record_not_primary(server);
+/// assert_eq!(leader.primary(), None);
+/// leader.record_role(server, Role::Primary, Term::from_number(3));
+/// assert_eq!(leader.primary(), Some(server));
 /// ```
 #[derive(Debug, Default)]
-pub struct Leader {
-    servers: BTreeMap<ServerKey, Known>,
-    changed: Duration,
+pub struct LeaderTracker {
+    servers: BTreeMap<ServerKey, ServerState>,
+    changed_at: Duration,
     current: Option<ServerKey>,
     /// A successor was ordered for the primary of this term.
-    ended: Term,
+    ended_term: Term,
     successor: Option<ServerKey>,
     /// No server is gone back to for a lead of this term or one before.
-    given_up: Option<Term>,
+    given_up_term: Option<Term>,
 }
 
 #[derive(Debug)]
-struct Known {
-    claims: bool,
+struct ServerState {
+    claims_primary: bool,
     /// It may lack what the service's log holds: whatever it claims does not count.
-    doubted: bool,
+    distrusted: bool,
     term: Term,
     /// The newest term in which it has itself shown that it leads.
-    led: Term,
+    led_term: Term,
     /// Its lead of terms up to this one is over, whatever it claims.
-    over: Option<Term>,
+    ended_through: Option<Term>,
     /// It does not even count as the last one that is known.
-    disowned: bool,
-    listed: u64,
+    excluded: bool,
+    listed_version: u64,
     /// The version of its row with which the list began to say that it leads.
-    claimed: u64,
+    claim_version: u64,
 }
 
-impl Leader {
+impl LeaderTracker {
     /// The platform's list gives `role` for `server`, in a row last changed at `version`.
     ///
     /// A server that is new to the list after a successor was ordered may be the old primary, come
@@ -75,48 +75,48 @@
     ///
     /// One that says again that it leads says nothing new: a replaced primary does so until it hears of its
     /// successor, whose row may be older by then.
-    pub fn listed(&mut self, server: ServerKey, role: Role, version: u64) {
-        let proves = self.ended > Term::default() && self.successor != Some(server);
-        let ended = proves.then_some(self.ended);
-        let known = self.servers.entry(server).or_insert(Known {
-            claims: false,
-            doubted: false,
+    pub fn record_listing(&mut self, server: ServerKey, role: Role, version: u64) {
+        let proves = self.ended_term > Term::default() && self.successor != Some(server);
+        let ended = proves.then_some(self.ended_term);
+        let known = self.servers.entry(server).or_insert(ServerState {
+            claims_primary: false,
+            distrusted: false,
             term: Term::default(),
-            led: Term::default(),
-            over: ended,
-            disowned: false,
-            listed: 0,
-            claimed: 0,
+            led_term: Term::default(),
+            ended_through: ended,
+            excluded: false,
+            listed_version: 0,
+            claim_version: 0,
         });
-        if version <= known.listed {
+        if version <= known.listed_version {
             return;
         }
-        known.listed = version;
-        let claimed = known.claims;
-        known.claims = role == Role::Primary;
-        if known.claims && !claimed {
-            known.claimed = version;
+        known.listed_version = version;
+        let claimed = known.claims_primary;
+        known.claims_primary = role == Role::Primary;
+        if known.claims_primary && !claimed {
+            known.claim_version = version;
         }
-        known.doubted &= known.claims;
-        if !known.claims {
-            known.forgive();
+        known.distrusted &= known.claims_primary;
+        if !known.claims_primary {
+            known.reset_ended();
         }
     }
 
     /// `server` is no longer in the list.
-    pub fn unlisted(&mut self, server: ServerKey) {
+    pub fn remove_server(&mut self, server: ServerKey) {
         self.servers.remove(&server);
     }
 
     /// `server` refused something because it does not lead.
-    pub fn refused(&mut self, server: ServerKey) {
+    pub fn record_not_primary(&mut self, server: ServerKey) {
         if let Some(known) = self.servers.get_mut(&server) {
-            known.claims = false;
+            known.claims_primary = false;
         }
     }
 
     /// `server` answered as `role` of `term`.
-    pub fn said(&mut self, server: ServerKey, role: Role, term: Term) {
+    pub fn record_role(&mut self, server: ServerKey, role: Role, term: Term) {
         let newest = self.newest_term();
         let Some(known) = self.servers.get_mut(&server) else {
             return;
@@ -126,16 +126,16 @@
             // A primary that was cut off while it was replaced still says that it leads, under
             // the term that has ended.
             Role::Primary => {
-                known.claims = term >= newest;
-                known.led = known.led.max(term);
-                if known.led <= self.ended {
-                    known.over = Some(self.ended);
+                known.claims_primary = term >= newest;
+                known.led_term = known.led_term.max(term);
+                if known.led_term <= self.ended_term {
+                    known.ended_through = Some(self.ended_term);
                 }
             }
             Role::Replica => {
-                known.claims = false;
-                known.doubted = false;
-                known.forgive();
+                known.claims_primary = false;
+                known.distrusted = false;
+                known.reset_ended();
             }
         }
     }
@@ -150,54 +150,54 @@
     ///
     /// ```
     /// use flamingopost_core::key::ServerKey;
-    /// use flamingopost_core::leader::{Leader, Role};
+    /// use flamingopost_core::leader::{LeaderTracker, Role};
     /// use flamingopost_core::term::Term;
     ///
     /// let (server, term) = (ServerKey::default(), Term::from_number(3));
-    /// let mut leader = Leader::default();
-    /// leader.listed(server, Role::Primary, 17);
-    /// leader.said(server, Role::Primary, term);
-    /// leader.end(term, None);
-    /// leader.said(server, Role::Primary, term);
-    /// assert_eq!(leader.get(), Some(server), "its successor does not lead yet");
-    /// leader.disown();
-    /// leader.said(server, Role::Primary, term);
-    /// assert_eq!(leader.get(), None);
-    /// leader.said(server, Role::Primary, Term::from_number(5));
-    /// assert_eq!(leader.get(), Some(server), "it was promoted again");
+    /// let mut leader = LeaderTracker::default();
+    /// leader.record_listing(server, Role::Primary, 17);
+    /// leader.record_role(server, Role::Primary, term);
+    /// leader.record_order(term, None);
+    /// leader.record_role(server, Role::Primary, term);
+    /// assert_eq!(leader.primary(), Some(server), "its successor does not lead yet");
+    /// leader.give_up_ended_terms();
+    /// leader.record_role(server, Role::Primary, term);
+    /// assert_eq!(leader.primary(), None);
+    /// leader.record_role(server, Role::Primary, Term::from_number(5));
+    /// assert_eq!(leader.primary(), Some(server), "it was promoted again");
     /// ```
-    pub fn end(&mut self, term: Term, successor: Option<ServerKey>) {
+    pub fn record_order(&mut self, term: Term, successor: Option<ServerKey>) {
         // Whoever ordered may not know that the successor of the order before leads already, in a term
         // that this order does not name.
         let before = self.successor.filter(|before| Some(*before) != successor);
         if let Some(known) = before.and_then(|before| self.servers.get_mut(&before)) {
-            known.over = known.over.max(Some(known.led.max(term)));
+            known.ended_through = known.ended_through.max(Some(known.led_term.max(term)));
         }
-        if term >= self.ended {
-            self.ended = term;
+        if term >= self.ended_term {
+            self.ended_term = term;
             self.successor = successor;
         }
         for (server, known) in &mut self.servers {
-            if known.claims && known.led <= term && Some(*server) != successor {
-                known.over = known.over.max(Some(term));
+            if known.claims_primary && known.led_term <= term && Some(*server) != successor {
+                known.ended_through = known.ended_through.max(Some(term));
             }
         }
     }
 
     /// `term` has begun: a server that has shown that it leads an older one was replaced.
-    pub fn began(&mut self, term: Term) {
+    pub fn record_term_start(&mut self, term: Term) {
         for known in self.servers.values_mut() {
             // One that has not shown its term may be the successor.
-            if known.claims && known.led > Term::default() && known.led < term {
-                known.over = known.over.max(Some(known.led));
+            if known.claims_primary && known.led_term > Term::default() && known.led_term < term {
+                known.ended_through = known.ended_through.max(Some(known.led_term));
             }
         }
     }
 
     /// Whether `server` leads no term but those that are over, as far as is known.
-    pub fn is_over(&self, server: ServerKey) -> bool {
+    pub fn is_term_ended(&self, server: ServerKey) -> bool {
         let known = self.servers.get(&server);
-        known.is_some_and(Known::is_over)
+        known.is_some_and(ServerState::has_ended)
     }
 
     /// Servers whose terms are over do not lead, though no other one claims to: neither those that are known
@@ -206,42 +206,42 @@
     /// Guards against a service without a primary for good. Where the order is not carried out and the replaced
     /// primary comes back as a new start, hosts would believe its claim, refuse its answers, and begin anew
     /// to miss a primary each time.
-    pub fn disown(&mut self) {
-        self.given_up = Some(self.ended);
+    pub fn give_up_ended_terms(&mut self) {
+        self.given_up_term = Some(self.ended_term);
         for known in self.servers.values_mut() {
-            known.disowned |= known.over.is_some();
+            known.excluded |= known.ended_through.is_some();
         }
     }
 
     /// `server` may lack what the service's log holds: its claims to lead do not count until
-    /// [`Leader::trust`], or until it follows: one that claims to lead after that was promoted.
+    /// [`LeaderTracker::trust`], or until it follows: one that claims to lead after that was promoted.
     ///
     /// Guards against a primary that has started again without its log. It claims to lead the term
     /// that it led before; reads there would be stale, and writes lost when another server is
     /// promoted, which is not before somebody misses it.
-    pub fn doubt(&mut self, server: ServerKey) {
+    pub fn distrust(&mut self, server: ServerKey) {
         if let Some(known) = self.servers.get_mut(&server) {
-            known.doubted = true;
+            known.distrusted = true;
         }
     }
 
     /// `server` has shown that it has the service's log.
     pub fn trust(&mut self, server: ServerKey) {
         if let Some(known) = self.servers.get_mut(&server) {
-            known.doubted = false;
+            known.distrusted = false;
         }
     }
 
     /// Whether the claims of `server` do not count.
-    pub fn is_doubted(&self, server: ServerKey) -> bool {
+    pub fn is_distrusted(&self, server: ServerKey) -> bool {
         let known = self.servers.get(&server);
-        known.is_some_and(|known| known.doubted)
+        known.is_some_and(|known| known.distrusted)
     }
 
     /// `server` answered what only the primary of `term` answers.
-    pub fn led(&mut self, server: ServerKey, term: Term) {
+    pub fn record_term_led(&mut self, server: ServerKey, term: Term) {
         if let Some(known) = self.servers.get_mut(&server) {
-            known.led = known.led.max(term);
+            known.led_term = known.led_term.max(term);
         }
     }
 
@@ -249,56 +249,56 @@
     /// not.
     pub fn term_led(&self, server: ServerKey) -> Term {
         let known = self.servers.get(&server);
-        known.map_or_else(Term::default, |known| known.led)
+        known.map_or_else(Term::default, |known| known.led_term)
     }
 
     /// Servers that have themselves shown that they lead, believed or not, and the newest term in which they
     /// did.
-    pub fn led_by(&self) -> BTreeMap<ServerKey, Term> {
+    pub fn terms_led(&self) -> BTreeMap<ServerKey, Term> {
         let led = self
             .servers
             .iter()
-            .map(|(server, known)| (*server, known.led));
+            .map(|(server, known)| (*server, known.led_term));
         led.filter(|(_, term)| *term > Term::default()).collect()
     }
 
     /// The log of `server` reaches `term`.
-    pub fn saw_term(&mut self, server: ServerKey, term: Term) {
+    pub fn record_log_term(&mut self, server: ServerKey, term: Term) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.term = known.term.max(term);
         }
     }
 
     /// Who leads, if anybody is known to.
-    pub fn get(&self) -> Option<ServerKey> {
-        let claims = |known: &Known| known.claims && !known.doubted;
-        let counts = |known: &Known| claims(known) && !self.is_given_up(known);
+    pub fn primary(&self) -> Option<ServerKey> {
+        let claims = |known: &ServerState| known.claims_primary && !known.distrusted;
+        let counts = |known: &ServerState| claims(known) && !self.is_excluded(known);
         let claiming = self.servers.iter().filter(|(_, known)| counts(known));
-        let order = |known: &Known| (!known.is_over(), known.term, known.claimed);
+        let order = |known: &ServerState| (!known.has_ended(), known.term, known.claim_version);
         let newest = claiming.max_by_key(|(_, known)| order(known))?;
         Some(*newest.0)
     }
 
     /// Brings the answer up to date; returns the change, if there was one.
     pub fn refresh(&mut self, now: Duration) -> Option<Change> {
-        let leader = self.get();
+        let leader = self.primary();
         if leader == self.current {
             return None;
         }
         let change = Change {
             before: self.current,
             after: leader,
-            lasted: now.saturating_sub(self.changed),
+            lasted: now.saturating_sub(self.changed_at),
         };
         self.current = leader;
-        self.changed = now;
+        self.changed_at = now;
         Some(change)
     }
 
     /// Whether a server that claims to lead is not gone back to.
-    fn is_given_up(&self, known: &Known) -> bool {
-        let given_up = known.over <= self.given_up;
-        known.is_over() && (known.disowned || given_up)
+    fn is_excluded(&self, known: &ServerState) -> bool {
+        let given_up = known.ended_through <= self.given_up_term;
+        known.has_ended() && (known.excluded || given_up)
     }
 
     fn newest_term(&self) -> Term {
@@ -307,16 +307,16 @@
     }
 }
 
-impl Known {
+impl ServerState {
     /// Whether it leads no term but those that are over.
-    fn is_over(&self) -> bool {
-        self.over.is_some_and(|over| self.led <= over)
+    fn has_ended(&self) -> bool {
+        self.ended_through.is_some_and(|over| self.led_term <= over)
     }
 
     /// It follows: if it claims to lead again, it was promoted.
-    fn forgive(&mut self) {
-        self.over = None;
-        self.disowned = false;
+    fn reset_ended(&mut self) {
+        self.ended_through = None;
+        self.excluded = false;
     }
 }
 
--- a/crates/core/src/succession.rs
+++ b/crates/core/src/succession.rs
@@ -15,82 +15,84 @@
 use crate::position::Position;
 use crate::term::Term;
 
+mod action;
 mod contact;
-mod effect;
 mod inquiry;
-mod led;
-mod next;
-mod orders;
+mod leader_history;
+mod prior_orders;
+mod promotion_timer;
 mod view;
 
+pub use action::{FencingToken, Opinion, Order, Report, SuccessionAction};
 pub use contact::{Contact, Trouble};
-pub use effect::Effect;
-pub use inquiry::{ALONE, DIVIDED, OBJECTION, REPORT_AGE, RETURN};
-use inquiry::{Inquiry, Verdict};
-use led::Led;
-pub use next::{Grant, Next, Opinion, Order, Report};
-pub use orders::Orders;
+pub use inquiry::{
+    DIVIDED_DELAY, MINORITY_DELAY, OBJECTION_TIMEOUT, REPORT_AGE_MAX, RETURN_TIMEOUT,
+};
+use inquiry::{Decision, Inquiry};
+use leader_history::LeaderHistory;
+pub use prior_orders::PriorOrders;
+pub use promotion_timer::PromotionTimer;
 pub use view::View;
 
 /// How long other hosts and servers may take to say what they see: a few round trips between
 /// zones, and the time in which a host tries the primary itself.
-pub const INQUIRY: Duration = Duration::from_millis(220);
+pub const INQUIRY_TIMEOUT: Duration = Duration::from_millis(220);
 
 /// A primary that answers nothing is suspected after this long. Slow statements take tens of
 /// milliseconds; the bound keeps a burst from looking like a death.
-pub const SILENCE: Duration = Duration::from_millis(300);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Pause between two inquiries.
-const PAUSE: Duration = Duration::from_millis(150);
+const INQUIRY_BACKOFF: Duration = Duration::from_millis(150);
 
 /// How long an accepted order may take to show before another one is given. A promotion takes
 /// about a second.
-pub const EFFECT: Duration = Duration::from_millis(2_500);
+pub const PROMOTION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How long an order without an answer may be carried out late: the platform speaks of seconds, and
 /// this is several of them.
-const LATE: Duration = Duration::from_secs(15);
+const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(15);
 
 /// Hosts relieve a leaving primary one after the other with this between them: a claim and an
 /// order take about as long.
-const RELIEF_TURN: Duration = Duration::from_millis(20);
+const LEAVING_TURN: Duration = Duration::from_millis(20);
 
 /// The last of many hosts waits no longer than this; a leaving server has seconds.
-const RELIEF_MOST: Duration = Duration::from_millis(800);
+const LEAVING_DELAY_MAX: Duration = Duration::from_millis(800);
 
 /// How long the holder of a claim may take until its order is heard of.
-pub const HOLDER: Duration = Duration::from_millis(1_800);
+pub const CLAIM_HOLDER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Without the store, hosts act one after the other with this between them.
-const TURN: Duration = Duration::from_millis(250);
+const STORELESS_TURN: Duration = Duration::from_millis(250);
 
 /// A planned change waits at most this long for a replica to have all that its primary has.
-const CATCH_UP: Duration = Duration::from_millis(400);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A host that takes no step for so long was paused. Others may have acted meanwhile: a claim is
-/// taken over after [`HOLDER`], and steps are tens of milliseconds apart.
-pub const PAUSED: Duration = Duration::from_secs(1);
+/// taken over after [`CLAIM_HOLDER_TIMEOUT`], and steps are tens of milliseconds apart.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// What one host knows of the succession in one service.
 #[derive(Debug, Default)]
 pub struct Succession {
     phase: Phase,
-    pause_until: Duration,
-    reserve: Option<Grant>,
-    outvoted: Option<Duration>,
+    retry_at: Duration,
+    reserved_token: Option<FencingToken>,
+    outvoted_since: Option<Duration>,
     /// Since when the primary is known to be about to leave.
-    leaving: Option<Duration>,
-    led: Led,
+    leaving_since: Option<Duration>,
+    leader_history: LeaderHistory,
     /// An order that had no answer.
-    unanswered: Option<Unanswered>,
+    unanswered_order: Option<UnansweredOrder>,
     /// The change that is under way is made in turn, without the store's word that no other host makes it.
-    in_turn: bool,
+    without_claim: bool,
 }
 
 /// An order without an answer: the platform may carry it out later.
 #[derive(Debug, Clone, Copy)]
-struct Unanswered {
-    grant: Grant,
+struct UnansweredOrder {
+    token: FencingToken,
     server: ServerKey,
     at: Duration,
 }
@@ -103,7 +105,7 @@
     /// The store was asked for the claim.
     Claiming(Inquiry),
     /// Another host has the claim, or has said that it acts.
-    Standing {
+    Deferring {
         until: Duration,
     },
     /// The store is away: hosts act in turn.
@@ -113,13 +115,13 @@
     },
     /// This host has the claim and asks servers how far they have received the log.
     Choosing {
-        grant: Grant,
+        token: FencingToken,
         until: Duration,
         inquiry: Inquiry,
     },
     /// An order is on its way, for a server that has said that it has received `had`.
     Ordering {
-        grant: Grant,
+        token: FencingToken,
         server: ServerKey,
         had: Position,
     },
@@ -131,14 +133,14 @@
 
 impl Succession {
     /// Takes note of a token that may be used while the store is away.
-    pub fn reserve(&mut self, grant: Grant) {
-        self.reserve = Some(grant);
+    pub fn reserve_token(&mut self, token: FencingToken) {
+        self.reserved_token = Some(token);
     }
 
     /// Whether an order that is given now rests on this host's turn alone: another host may give one in the
     /// same moment.
-    pub fn is_in_turn(&self) -> bool {
-        self.in_turn
+    pub fn acts_without_claim(&self) -> bool {
+        self.without_claim
     }
 
     /// Whether a change is under way, as far as this host knows: whoever waits for a primary has
@@ -148,35 +150,35 @@
     }
 
     /// Hosts that have answered the inquiry that is under way.
-    pub fn answered(&self) -> BTreeSet<HostKey> {
+    pub fn answered_hosts(&self) -> BTreeSet<HostKey> {
         match &self.phase {
             Phase::Inquiring(inquiry)
             | Phase::Claiming(inquiry)
             | Phase::Queued { inquiry, .. }
             | Phase::Choosing { inquiry, .. } => inquiry.opinions.keys().copied().collect(),
             Phase::Watching
-            | Phase::Standing { .. }
+            | Phase::Deferring { .. }
             | Phase::Ordering { .. }
             | Phase::Awaiting { .. } => BTreeSet::new(),
         }
     }
 
     /// Servers that were seen to lead, by this host or another, each with the newest term in which it did.
-    pub fn led(&self) -> &BTreeMap<ServerKey, Term> {
-        self.led.terms()
+    pub fn known_leaders(&self) -> &BTreeMap<ServerKey, Term> {
+        self.leader_history.terms()
     }
 
     /// Another host has seen `server` lead `term`.
     ///
     /// Guards against the promotion of a replaced primary by a host that has started since, and has not seen
     /// it lead: its log is the longest, and ends with what the change dropped.
-    pub fn told_led(&mut self, server: ServerKey, term: Term) {
-        self.led.told(server, term);
+    pub fn record_leader(&mut self, server: ServerKey, term: Term) {
+        self.leader_history.record_term_led(server, term);
     }
 
     /// How far the server that is being ordered to lead has received the log, by its own word: its term
     /// begins there or after that.
-    pub fn received(&self) -> Position {
+    pub fn successor_position(&self) -> Position {
         match self.phase {
             Phase::Ordering { had, .. } => had,
             _ => Position::default(),
@@ -186,42 +188,42 @@
     /// Since when this host has missed a primary that is not replaced, because others reach it or
     /// too few miss it: callers are served better elsewhere.
     pub fn outvoted(&self) -> Option<Duration> {
-        self.outvoted
+        self.outvoted_since
     }
 
     /// Another host says what it sees of the primary.
-    pub fn opinion(&mut self, host: HostKey, opinion: Opinion) {
-        if let Some(inquiry) = self.inquiry() {
+    pub fn record_opinion(&mut self, host: HostKey, opinion: Opinion) {
+        if let Some(inquiry) = self.inquiry_mut() {
             inquiry.opinions.insert(host, opinion);
         }
     }
 
     /// A server has said how far it is.
-    pub fn report(&mut self, server: ServerKey, report: Report) {
-        if let Some(inquiry) = self.inquiry() {
-            inquiry.report(server, report);
+    pub fn record_report(&mut self, server: ServerKey, report: Report) {
+        if let Some(inquiry) = self.inquiry_mut() {
+            inquiry.record_report(server, report);
         }
     }
 
     /// Another host says that it changes the primary.
-    pub fn other_acts(&mut self, now: Duration) {
+    pub fn defer_to_peer(&mut self, now: Duration) {
         match self.phase {
             Phase::Ordering { .. } | Phase::Awaiting { .. } => {}
             _ => {
-                self.phase = Phase::Standing {
-                    until: now + HOLDER,
+                self.phase = Phase::Deferring {
+                    until: now + CLAIM_HOLDER_TIMEOUT,
                 }
             }
         }
     }
 
     /// The claim was won.
-    pub fn won(&mut self, grant: Grant, now: Duration) -> Vec<Next> {
-        self.reserve = Some(grant);
+    pub fn claim_won(&mut self, token: FencingToken, now: Duration) -> Vec<SuccessionAction> {
+        self.reserved_token = Some(token);
         match std::mem::take(&mut self.phase) {
             Phase::Claiming(inquiry) => {
-                self.in_turn = false;
-                self.choose(grant, inquiry, now)
+                self.without_claim = false;
+                self.start_choosing(token, inquiry, now)
             }
             phase => {
                 self.phase = phase;
@@ -231,88 +233,92 @@
     }
 
     /// Somebody else has the claim.
-    pub fn held(&mut self, now: Duration) {
+    pub fn claim_lost(&mut self, now: Duration) {
         if matches!(self.phase, Phase::Claiming(_)) {
-            self.phase = Phase::Standing {
-                until: now + HOLDER,
+            self.phase = Phase::Deferring {
+                until: now + CLAIM_HOLDER_TIMEOUT,
             };
         }
     }
 
     /// The store cannot say who has the claim.
-    pub fn unclaimed(&mut self, rank: u32, now: Duration) {
+    pub fn claim_undecided(&mut self, rank: u32, now: Duration) {
         if let Phase::Claiming(inquiry) = &mut self.phase {
             let inquiry = std::mem::take(inquiry);
             self.phase = Phase::Queued {
-                until: now + TURN * rank,
+                until: now + STORELESS_TURN * rank,
                 inquiry,
             };
         }
     }
 
     /// How the order ended.
-    pub fn ordered(&mut self, order: Order, now: Duration) {
-        let Phase::Ordering { grant, server, .. } = self.phase else {
+    pub fn order_finished(&mut self, order: Order, now: Duration) {
+        let Phase::Ordering { token, server, .. } = self.phase else {
             return;
         };
         if order == Order::Unknown {
             let at = now;
-            self.unanswered = Some(Unanswered { grant, server, at });
+            self.unanswered_order = Some(UnansweredOrder { token, server, at });
         }
         self.phase = match order {
             Order::Accepted | Order::Unknown => Phase::Awaiting {
-                until: now + EFFECT,
+                until: now + PROMOTION_TIMEOUT,
             },
             Order::Refused => {
                 // The token is outdated, or the server is not there. Either way somebody has to
                 // look again; a token that was refused is never used again.
-                self.reserve = None;
-                self.pause_until = now + PAUSE;
+                self.reserved_token = None;
+                self.retry_at = now + INQUIRY_BACKOFF;
                 Phase::Watching
             }
         };
     }
 
     /// Takes the next step.
-    pub fn step(&mut self, view: &View, now: Duration) -> Vec<Next> {
-        self.led.saw(view);
+    pub fn step(&mut self, view: &View, now: Duration) -> Vec<SuccessionAction> {
+        self.leader_history.observe_view(view);
         if matches!(view.trouble, None | Some(Trouble::Leaving)) {
-            self.outvoted = None;
+            self.outvoted_since = None;
         }
         if view.trouble.is_none() {
-            self.leaving = None;
+            self.leaving_since = None;
         }
         match std::mem::take(&mut self.phase) {
-            Phase::Watching => self.watch(view, now),
-            Phase::Inquiring(inquiry) => self.judge(inquiry, view, now),
+            Phase::Watching => self.detect_failure(view, now),
+            Phase::Inquiring(inquiry) => self.evaluate_inquiry(inquiry, view, now),
             Phase::Claiming(inquiry) => {
                 self.phase = Phase::Claiming(inquiry);
                 Vec::new()
             }
-            Phase::Standing { until } => self.wait(Phase::Standing { until }, until, view, now),
-            Phase::Queued { until, inquiry } => self.queue(until, inquiry, view, now),
+            Phase::Deferring { until } => {
+                self.wait_until(Phase::Deferring { until }, until, view, now)
+            }
+            Phase::Queued { until, inquiry } => self.wait_for_turn(until, inquiry, view, now),
             Phase::Choosing {
-                grant,
+                token,
                 until,
                 inquiry,
-            } => self.pick(grant, until, inquiry, view, now),
-            Phase::Ordering { grant, server, had } => {
-                self.phase = Phase::Ordering { grant, server, had };
+            } => self.choose_successor(token, until, inquiry, view, now),
+            Phase::Ordering { token, server, had } => {
+                self.phase = Phase::Ordering { token, server, had };
                 Vec::new()
             }
-            Phase::Awaiting { until } => self.wait(Phase::Awaiting { until }, until, view, now),
+            Phase::Awaiting { until } => {
+                self.wait_until(Phase::Awaiting { until }, until, view, now)
+            }
         }
     }
 
-    /// This host was paused for [`PAUSED`] or longer: what it was about to do is dropped, since what
+    /// This host was paused for [`PAUSE_THRESHOLD`] or longer: what it was about to do is dropped, since what
     /// that rests on is outdated.
     ///
     /// Guards against an order under a claim that another host has taken over, on a platform that
     /// carries out whatever it is told.
-    pub fn paused(&mut self, now: Duration) {
+    pub fn resume_after_pause(&mut self, now: Duration) {
         if !matches!(self.phase, Phase::Ordering { .. }) {
             self.phase = Phase::Watching;
-            self.pause_until = now + INQUIRY;
+            self.retry_at = now + INQUIRY_TIMEOUT;
         }
     }
 
@@ -321,7 +327,7 @@
     ///
     /// Guards against two hosts that carry out the same change, one after the other: what the first
     /// successor has acknowledged is rolled back by the second.
-    pub fn restored(&mut self, now: Duration) {
+    pub fn invalidate_claim(&mut self, now: Duration) {
         let inquiry = match std::mem::take(&mut self.phase) {
             Phase::Claiming(inquiry) | Phase::Choosing { inquiry, .. } => inquiry,
             phase => {
@@ -331,108 +337,121 @@
         };
         if inquiry.cause != Some(Trouble::Leaving) {
             self.phase = Phase::Inquiring(Inquiry {
-                until: now + INQUIRY,
+                deadline: now + INQUIRY_TIMEOUT,
                 ..inquiry
             });
         }
     }
 
-    fn watch(&mut self, view: &View, now: Duration) -> Vec<Next> {
+    fn detect_failure(&mut self, view: &View, now: Duration) -> Vec<SuccessionAction> {
         let Some(trouble) = view.trouble else {
             return Vec::new();
         };
-        if now < self.pause_until || view.candidates.is_empty() {
+        if now < self.retry_at || view.candidates.is_empty() {
             return Vec::new();
         }
         if trouble == Trouble::Leaving {
-            return self.relieve(view, now);
+            return self.replace_leaving(view, now);
         }
-        self.leaving = None;
+        self.leaving_since = None;
         self.phase = Phase::Inquiring(Inquiry {
             cause: Some(trouble),
             term: view.term,
-            since: now,
-            until: now + INQUIRY,
-            asked: now,
+            started_at: now,
+            deadline: now + INQUIRY_TIMEOUT,
+            servers_asked_at: now,
             ..Inquiry::default()
         });
-        vec![Next::AskHosts, Next::AskServers]
+        vec![SuccessionAction::AskHosts, SuccessionAction::AskServers]
     }
 
     /// A primary is about to leave. Nobody has to be asked, and seconds are left: hosts claim one
     /// after the other, so that most of them hear of the first one's order before their turn.
-    fn relieve(&mut self, view: &View, now: Duration) -> Vec<Next> {
-        let since = *self.leaving.get_or_insert(now);
-        let turn = (RELIEF_TURN * view.rank).min(RELIEF_MOST);
+    fn replace_leaving(&mut self, view: &View, now: Duration) -> Vec<SuccessionAction> {
+        let since = *self.leaving_since.get_or_insert(now);
+        let turn = (LEAVING_TURN * view.rank).min(LEAVING_DELAY_MAX);
         if now < since + turn {
             return Vec::new();
         }
         self.phase = Phase::Claiming(Inquiry {
             cause: Some(Trouble::Leaving),
             term: view.term,
-            since: now,
-            until: now + INQUIRY,
+            started_at: now,
+            deadline: now + INQUIRY_TIMEOUT,
             ..Inquiry::default()
         });
-        vec![Next::Claim]
+        vec![SuccessionAction::Claim]
     }
 
-    fn judge(&mut self, inquiry: Inquiry, view: &View, now: Duration) -> Vec<Next> {
+    fn evaluate_inquiry(
+        &mut self,
+        inquiry: Inquiry,
+        view: &View,
+        now: Duration,
+    ) -> Vec<SuccessionAction> {
         let Some(trouble) = view.trouble else {
             return Vec::new();
         };
-        let verdict = inquiry.verdict(trouble, view, &self.led, now);
+        let verdict = inquiry.decide(trouble, view, &self.leader_history, now);
         match verdict {
-            Verdict::Open => {
+            Decision::Pending => {
                 self.phase = Phase::Inquiring(inquiry);
                 Vec::new()
             }
-            Verdict::Keep => {
-                self.pause_until = now + PAUSE;
-                self.outvoted.get_or_insert(now);
+            Decision::Keep => {
+                self.retry_at = now + INQUIRY_BACKOFF;
+                self.outvoted_since.get_or_insert(now);
                 Vec::new()
             }
-            Verdict::Replace => {
-                self.outvoted = None;
+            Decision::Replace => {
+                self.outvoted_since = None;
                 self.phase = Phase::Claiming(inquiry);
-                vec![Next::Claim]
+                vec![SuccessionAction::Claim]
             }
         }
     }
 
-    fn queue(
+    fn wait_for_turn(
         &mut self,
         until: Duration,
         inquiry: Inquiry,
         view: &View,
         now: Duration,
-    ) -> Vec<Next> {
+    ) -> Vec<SuccessionAction> {
         if view.trouble.is_none() {
             return Vec::new();
         }
-        match self.reserve.filter(|grant| Some(*grant) >= view.ordered) {
-            Some(grant) if now >= until => {
-                self.in_turn = true;
-                self.choose(grant, inquiry, now)
+        match self
+            .reserved_token
+            .filter(|token| Some(*token) >= view.newest_token)
+        {
+            Some(token) if now >= until => {
+                self.without_claim = true;
+                self.start_choosing(token, inquiry, now)
             }
             Some(_) => {
                 self.phase = Phase::Queued { until, inquiry };
                 Vec::new()
             }
             None => {
-                self.pause_until = now + PAUSE;
+                self.retry_at = now + INQUIRY_BACKOFF;
                 Vec::new()
             }
         }
     }
 
-    fn choose(&mut self, grant: Grant, inquiry: Inquiry, now: Duration) -> Vec<Next> {
+    fn start_choosing(
+        &mut self,
+        token: FencingToken,
+        inquiry: Inquiry,
+        now: Duration,
+    ) -> Vec<SuccessionAction> {
         if inquiry.cause != Some(Trouble::Leaving) {
             // Nothing more arrives from a primary that is gone: what servers have said stands,
             // and those that were silent have had their time.
-            let until = inquiry.until;
+            let until = inquiry.deadline;
             self.phase = Phase::Choosing {
-                grant,
+                token,
                 until,
                 inquiry,
             };
@@ -441,72 +460,72 @@
         let inquiry = Inquiry {
             reports: BTreeMap::new(),
             unconfirmed: BTreeSet::new(),
-            asked: now,
+            servers_asked_at: now,
             ..inquiry
         };
         self.phase = Phase::Choosing {
-            grant,
-            until: now + CATCH_UP,
+            token,
+            until: now + CATCH_UP_TIMEOUT,
             inquiry,
         };
-        vec![Next::AskServers]
+        vec![SuccessionAction::AskServers]
     }
 
-    fn pick(
+    fn choose_successor(
         &mut self,
-        grant: Grant,
+        token: FencingToken,
         until: Duration,
         mut inquiry: Inquiry,
         view: &View,
         now: Duration,
-    ) -> Vec<Next> {
+    ) -> Vec<SuccessionAction> {
         // Another host's order may have taken effect while the store decided on this one's claim.
         // What was found out of one primary is no reason to replace the next.
         let over = view.term > inquiry.term;
-        if view.trouble.is_none() || over || inquiry.newer_leader(view) {
+        if view.trouble.is_none() || over || inquiry.sees_newer_leader(view) {
             return Vec::new();
         }
         // Hosts that are cut off together with the primary may go on relying on it; what they
         // acknowledge after the order, the successor lacks.
-        let quiet = now >= view.quiet_at;
-        let best = inquiry.best(view, &self.led, now);
-        let best = best.filter(|best| quiet && self.may_order(grant, *best, view, now));
+        let quiet = now >= view.leases_end;
+        let best = inquiry.best_candidate(view, &self.leader_history, now);
+        let best = best.filter(|best| quiet && self.may_order(token, *best, view, now));
         let over = now >= until;
-        let complete = inquiry.is_complete(view, &self.led, now);
-        let gains = inquiry.may_gain(view, &self.led, now);
+        let complete = inquiry.is_complete(view, &self.leader_history, now);
+        let gains = inquiry.may_find_better(view, &self.leader_history, now);
         let lacks = view.synchronous && !complete || gains;
         match best {
-            Some(_) if inquiry.is_outdated(now) && (complete || over && !lacks) => {
+            Some(_) if inquiry.are_reports_outdated(now) && (complete || over && !lacks) => {
                 inquiry.ask_again(now);
                 self.phase = Phase::Choosing {
-                    grant,
-                    until: now + INQUIRY,
+                    token,
+                    until: now + INQUIRY_TIMEOUT,
                     inquiry,
                 };
-                vec![Next::AskServers]
+                vec![SuccessionAction::AskServers]
             }
             Some(server) if complete && inquiry.has_confirmed(server) || over && !lacks => {
-                let had = inquiry.received(server);
-                self.phase = Phase::Ordering { grant, server, had };
-                vec![Next::Promote { server, grant }]
+                let had = inquiry.received_position(server);
+                self.phase = Phase::Ordering { token, server, had };
+                vec![SuccessionAction::Promote { server, token }]
             }
             _ if over && (lacks || !quiet) => {
                 inquiry.ask_again(now);
                 self.phase = Phase::Choosing {
-                    grant,
-                    until: now + INQUIRY,
+                    token,
+                    until: now + INQUIRY_TIMEOUT,
                     inquiry,
                 };
                 // A host that is heard and has not answered may only have missed the question.
-                vec![Next::AskHosts, Next::AskServers]
+                vec![SuccessionAction::AskHosts, SuccessionAction::AskServers]
             }
             None if over => {
-                self.pause_until = now + PAUSE;
+                self.retry_at = now + INQUIRY_BACKOFF;
                 Vec::new()
             }
             _ => {
                 self.phase = Phase::Choosing {
-                    grant,
+                    token,
                     until,
                     inquiry,
                 };
@@ -515,40 +534,54 @@
         }
     }
 
-    /// Whether an order for `server` may go out under `grant`.
+    /// Whether an order for `server` may go out under `token`.
     ///
     /// Guards against an order without an answer that the platform carries out after a later one:
     /// the platform refuses lower tokens only, so under one token the earlier order would replace
     /// the server of the later one and roll back what that has acknowledged. And against an order
     /// under a token below one that was used: whoever used that one has acted since.
-    fn may_order(&self, grant: Grant, server: ServerKey, view: &View, now: Duration) -> bool {
-        let newest = Some(grant) >= view.ordered;
+    fn may_order(
+        &self,
+        token: FencingToken,
+        server: ServerKey,
+        view: &View,
+        now: Duration,
+    ) -> bool {
+        let newest = Some(token) >= view.newest_token;
         newest
-            && self.unanswered.is_none_or(|order| {
-                order.grant != grant || order.server == server || now >= order.at + LATE
+            && self.unanswered_order.is_none_or(|order| {
+                order.token != token
+                    || order.server == server
+                    || now >= order.at + LATE_EXECUTION_WINDOW
             })
     }
 
     /// Stays in `phase` until the trouble or the wait is over.
-    fn wait(&mut self, phase: Phase, until: Duration, view: &View, now: Duration) -> Vec<Next> {
+    fn wait_until(
+        &mut self,
+        phase: Phase,
+        until: Duration,
+        view: &View,
+        now: Duration,
+    ) -> Vec<SuccessionAction> {
         if view.trouble.is_none() {
             return Vec::new();
         }
         if now >= until {
-            return self.watch(view, now);
+            return self.detect_failure(view, now);
         }
         self.phase = phase;
         Vec::new()
     }
 
-    fn inquiry(&mut self) -> Option<&mut Inquiry> {
+    fn inquiry_mut(&mut self) -> Option<&mut Inquiry> {
         match &mut self.phase {
             Phase::Inquiring(inquiry)
             | Phase::Claiming(inquiry)
             | Phase::Queued { inquiry, .. }
             | Phase::Choosing { inquiry, .. } => Some(inquiry),
             Phase::Watching
-            | Phase::Standing { .. }
+            | Phase::Deferring { .. }
             | Phase::Ordering { .. }
             | Phase::Awaiting { .. } => None,
         }
--- a/crates/core/src/succession/next.rs
+++ b/crates/core/src/succession/action.rs
@@ -7,11 +7,11 @@
 
 /// A token under which orders may be given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Grant(pub u64);
+pub struct FencingToken(pub u64);
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum SuccessionAction {
     /// Ask the other hosts what they see of the primary.
     AskHosts,
     /// Ask all servers for their role and how far they have received the log.
@@ -23,7 +23,7 @@
         /// The server.
         server: ServerKey,
         /// The token.
-        grant: Grant,
+        token: FencingToken,
     },
 }
 
--- a/crates/core/src/succession/led.rs
+++ b/crates/core/src/succession/leader_history.rs
@@ -5,39 +5,39 @@
 use crate::key::ServerKey;
 use crate::term::Term;
 
-use super::next::Report;
+use super::action::Report;
 use super::view::View;
 
 /// Servers that were seen to lead, each with the newest term in which it did.
 #[derive(Debug, Default)]
-pub(super) struct Led {
+pub(super) struct LeaderHistory {
     terms: BTreeMap<ServerKey, Term>,
-    last: Option<ServerKey>,
+    last_leader: Option<ServerKey>,
 }
 
-impl Led {
+impl LeaderHistory {
     /// Takes note of who leads in `view`, and of servers that have started again: what a log ends
     /// with outlives a restart.
-    pub(super) fn saw(&mut self, view: &View) {
-        for (server, former) in &view.former {
-            self.follow(*server, *former);
+    pub(super) fn observe_view(&mut self, view: &View) {
+        for (server, former) in &view.previous_starts {
+            self.transfer(*server, *former);
         }
         // A host that has just started learns of a replaced primary only by a claim that it does not
         // believe.
-        for (server, term) in &view.led_by {
-            self.told(*server, *term);
+        for (server, term) in &view.terms_led {
+            self.record_term_led(*server, *term);
         }
         if let Some(leader) = view.leader {
             // Not the newest term that is known: a replica's log shows a change before the host
             // hears of the successor, and the old primary would count as having led that term. Once
             // it follows, it would be passed over with commits that it alone has.
-            self.told(leader, view.led);
-            self.last = Some(leader);
+            self.record_term_led(leader, view.leader_term);
+            self.last_leader = Some(leader);
         }
     }
 
     /// `server` was seen to lead `term`.
-    pub(super) fn told(&mut self, server: ServerKey, term: Term) {
+    pub(super) fn record_term_led(&mut self, server: ServerKey, term: Term) {
         let known = self.terms.entry(server).or_default();
         *known = term.max(*known);
     }
@@ -47,12 +47,12 @@
         &self.terms
     }
 
-    fn follow(&mut self, server: ServerKey, former: ServerKey) {
+    fn transfer(&mut self, server: ServerKey, former: ServerKey) {
         if let Some(term) = self.terms.remove(&former) {
             self.terms.insert(server, term);
         }
-        if self.last == Some(former) {
-            self.last = Some(server);
+        if self.last_leader == Some(former) {
+            self.last_leader = Some(server);
         }
     }
 
@@ -64,7 +64,7 @@
     /// server that was promoted with such a log brought back what the change had dropped, and
     /// dropped what its successor had acknowledged since: 816 to 849 stale reads in 3 of 24 trials.
     /// A log that has reached a newer term than its server led in follows the successor's.
-    pub(super) fn is_superseded(&self, server: ServerKey, report: &Report) -> bool {
+    pub(super) fn has_unmerged_log(&self, server: ServerKey, report: &Report) -> bool {
         let term = self.terms.get(&server);
         term.is_some_and(|term| report.received.term <= *term)
     }
@@ -79,7 +79,7 @@
     ///
     /// A former primary that has not heard of its successor names its own term, and stays passed over:
     /// the successor may lead.
-    pub(super) fn follows(&self, server: ServerKey, report: &Report) -> bool {
+    pub(super) fn follows_newest_primary(&self, server: ServerKey, report: &Report) -> bool {
         let newest = self.terms.values().max();
         let own = self.terms.get(&server);
         own < newest && newest.is_some_and(|newest| report.term >= *newest)
@@ -89,8 +89,8 @@
     /// listed, so it was not lost; and a server gives up its lead only to a successor, which this
     /// host has not heard of yet. One that still claims to lead and is not believed was not
     /// replaced.
-    pub(super) fn is_replaced(&self, view: &View) -> bool {
-        let listed = |last| view.candidates.contains(&last) && !view.doubted.contains(&last);
-        view.leader.is_none() && self.last.is_some_and(listed)
+    pub(super) fn is_last_replaced(&self, view: &View) -> bool {
+        let listed = |last| view.candidates.contains(&last) && !view.distrusted.contains(&last);
+        view.leader.is_none() && self.last_leader.is_some_and(listed)
     }
 }
--- a/crates/core/tests/epoch.rs
+++ b/crates/core/tests/epoch.rs
@@ -9,7 +9,8 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    Grant, HOLDER, Next, Opinion, Report, Succession, Trouble, View,
+    CLAIM_HOLDER_TIMEOUT, FencingToken, Opinion, Report, Succession, SuccessionAction, Trouble,
+    View,
 };
 use flamingopost_core::term::Term;
 
@@ -19,8 +20,8 @@
 const STEP: Duration = ms(20);
 
 /// Claims of the epoch before the drill and of the one after it.
-const BEFORE: Grant = Grant(900);
-const AFTER: Grant = Grant((1 << 40) + 3);
+const BEFORE: FencingToken = FencingToken(900);
+const AFTER: FencingToken = FencingToken((1 << 40) + 3);
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -39,7 +40,7 @@
     succession: Succession,
     epochs: Epochs,
     others: BTreeSet<HostKey>,
-    orders: Vec<(Duration, Grant)>,
+    orders: Vec<(Duration, FencingToken)>,
     claims: usize,
 }
 
@@ -83,41 +84,41 @@
         View {
             leader: Some(self.servers[0]),
             term: Term::from_number(1),
-            led: Term::from_number(1),
-            led_by: BTreeMap::new(),
+            leader_term: Term::from_number(1),
+            terms_led: BTreeMap::new(),
             trouble: Some(Trouble::Silent { since: ms(0) }),
             candidates: self.servers.iter().copied().collect(),
             peers: electors.filter(|key| host.others.contains(key)).collect(),
             rank: 0,
-            ordered: None,
-            quiet_at: leases.max(host.epochs.orders_from(&host.others)),
+            newest_token: None,
+            leases_end: leases.max(host.epochs.orders_from(&host.others)),
             synchronous: false,
-            newest: Position::default(),
-            marks: BTreeMap::new(),
-            former: BTreeMap::new(),
-            doubted: BTreeSet::new(),
+            newest_position: Position::default(),
+            required_positions: BTreeMap::new(),
+            previous_starts: BTreeMap::new(),
+            distrusted: BTreeSet::new(),
         }
     }
 
     /// Host `number` takes a step; what it asks is answered at once, a claim is won with `grant`.
-    fn step(&mut self, number: usize, leases: Duration, grant: Grant, now: Duration) {
+    fn step(&mut self, number: usize, leases: Duration, grant: FencingToken, now: Duration) {
         let view = self.view(number, leases);
         let servers = self.servers.clone();
         let host = &mut self.hosts[number];
         let mut todo = host.succession.step(&view, now);
         while let Some(next) = todo.pop() {
             match next {
-                Next::AskHosts => view.peers.iter().for_each(|peer| {
-                    host.succession.opinion(*peer, Opinion::Fails);
+                SuccessionAction::AskHosts => view.peers.iter().for_each(|peer| {
+                    host.succession.record_opinion(*peer, Opinion::Fails);
                 }),
-                Next::AskServers => servers[1..].iter().for_each(|server| {
-                    host.succession.report(*server, report());
+                SuccessionAction::AskServers => servers[1..].iter().for_each(|server| {
+                    host.succession.record_report(*server, report());
                 }),
-                Next::Claim => {
+                SuccessionAction::Claim => {
                     host.claims += 1;
-                    todo.extend(host.succession.won(grant, now));
+                    todo.extend(host.succession.claim_won(grant, now));
                 }
-                Next::Promote { grant, .. } => host.orders.push((now, grant)),
+                SuccessionAction::Promote { token: grant, .. } => host.orders.push((now, grant)),
             }
         }
     }
@@ -130,7 +131,7 @@
             host.epochs.saw(Epoch(1), now),
             Sighting::Restored { before }
         );
-        host.succession.restored(now);
+        host.succession.invalidate_claim(now);
     }
 
     /// Host `number` is told by `from` which epoch that one knows.
@@ -174,7 +175,10 @@
     let (at, grant) = orders.first().copied().expect("an order");
     assert_eq!(grant, AFTER);
     assert!(at >= heard, "{at:?}");
-    assert!(at <= drill + HOLDER + STEP, "{at:?}: nobody is waited for");
+    assert!(
+        at <= drill + CLAIM_HOLDER_TIMEOUT + STEP,
+        "{at:?}: nobody is waited for"
+    );
 }
 
 #[test]
@@ -205,7 +209,7 @@
         now += STEP;
     }
     assert_eq!(fleet.hosts[0].claims, 2);
-    let grants: Vec<Grant> = fleet.hosts[0].orders.iter().map(|it| it.1).collect();
+    let grants: Vec<FencingToken> = fleet.hosts[0].orders.iter().map(|it| it.1).collect();
     assert_eq!(grants, [AFTER]);
 }
 
@@ -222,7 +226,10 @@
     epochs.told_of_restore(Epoch(0), ms(1_000));
     assert_eq!(epochs.restored(), None, "an epoch that is over");
     epochs.told_of_restore(Epoch(1), ms(1_500));
-    assert_eq!(epochs.orders_from(&others), ms(1_500) + HOLDER);
+    assert_eq!(
+        epochs.orders_from(&others),
+        ms(1_500) + CLAIM_HOLDER_TIMEOUT
+    );
     assert!(epochs.may_be_copied(ms(2_000)));
     assert!(!epochs.knows_claims(ms(2_000)));
 }
@@ -244,7 +251,10 @@
         !epochs.told(fleet.keys[2], Epoch(9), ms(520)),
         "asked already"
     );
-    assert_eq!(epochs.orders_from(&fleet.hosts[0].others), ms(500) + HOLDER);
+    assert_eq!(
+        epochs.orders_from(&fleet.hosts[0].others),
+        ms(500) + CLAIM_HOLDER_TIMEOUT
+    );
     let before = Epoch(2);
     let next = epochs.saw(Epoch(3), ms(9_000));
     assert_eq!(next, Sighting::Restored { before });
--- a/crates/core/tests/leader.rs
+++ b/crates/core/tests/leader.rs
@@ -1,7 +1,7 @@
 //! Which server leads, where the platform's list, refusals and servers' own words disagree.
 
 use flamingopost_core::key::ServerKey;
-use flamingopost_core::leader::{Leader, Role};
+use flamingopost_core::leader::{LeaderTracker, Role};
 use flamingopost_core::names::Names;
 use flamingopost_core::term::Term;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 #[test]
 fn a_refusal_outlives_the_list_that_it_contradicts() {
     let (old, new) = servers();
-    let mut leader = Leader::default();
-    leader.listed(old, Role::Primary, 4);
-    leader.refused(old);
-    assert_eq!(leader.get(), None);
-    leader.listed(old, Role::Primary, 4);
-    assert_eq!(leader.get(), None, "the same entry is no news");
-    leader.listed(new, Role::Primary, 9);
-    assert_eq!(leader.get(), Some(new));
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(old, Role::Primary, 4);
+    leader.record_not_primary(old);
+    assert_eq!(leader.primary(), None);
+    leader.record_listing(old, Role::Primary, 4);
+    assert_eq!(leader.primary(), None, "the same entry is no news");
+    leader.record_listing(new, Role::Primary, 9);
+    assert_eq!(leader.primary(), Some(new));
 }
 
 /// A primary crashes and its entry stays for seconds, while a successor reports itself. Both say
@@ -35,13 +35,13 @@
 #[test]
 fn the_successor_wins_over_the_entry_of_the_dead() {
     let (dead, successor) = servers();
-    let mut leader = Leader::default();
-    leader.listed(dead, Role::Primary, 3);
-    leader.listed(successor, Role::Primary, 8);
-    assert_eq!(leader.get(), Some(successor));
-    leader.saw_term(dead, term(1));
-    leader.saw_term(successor, term(2));
-    assert_eq!(leader.get(), Some(successor));
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(dead, Role::Primary, 3);
+    leader.record_listing(successor, Role::Primary, 8);
+    assert_eq!(leader.primary(), Some(successor));
+    leader.record_log_term(dead, term(1));
+    leader.record_log_term(successor, term(2));
+    assert_eq!(leader.primary(), Some(successor));
 }
 
 /// A primary that was cut off while it was replaced answers a question with its old term. That
@@ -49,23 +49,23 @@
 #[test]
 fn a_primary_of_an_ended_term_does_not_lead() {
     let (old, new) = servers();
-    let mut leader = Leader::default();
-    leader.listed(old, Role::Replica, 3);
-    leader.listed(new, Role::Replica, 4);
-    leader.said(new, Role::Primary, term(2));
-    leader.said(old, Role::Primary, term(1));
-    assert_eq!(leader.get(), Some(new));
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(old, Role::Replica, 3);
+    leader.record_listing(new, Role::Replica, 4);
+    leader.record_role(new, Role::Primary, term(2));
+    leader.record_role(old, Role::Primary, term(1));
+    assert_eq!(leader.primary(), Some(new));
 }
 
 #[test]
 fn changes_are_told_once_with_what_was_before() {
     let (first, _) = servers();
-    let mut leader = Leader::default();
-    leader.listed(first, Role::Primary, 1);
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(first, Role::Primary, 1);
     let change = leader.refresh(Duration::from_secs(2)).unwrap();
     assert_eq!((change.before, change.after), (None, Some(first)));
     assert_eq!(leader.refresh(Duration::from_secs(3)), None);
-    leader.unlisted(first);
+    leader.remove_server(first);
     let change = leader.refresh(Duration::from_secs(5)).unwrap();
     assert_eq!((change.before, change.after), (Some(first), None));
     assert_eq!(change.lasted, Duration::from_secs(3));
@@ -77,18 +77,18 @@
 #[test]
 fn a_claim_that_is_doubted_does_not_count() {
     let (empty, other) = servers();
-    let mut leader = Leader::default();
-    leader.listed(other, Role::Replica, 3);
-    leader.listed(empty, Role::Primary, 7);
-    leader.doubt(empty);
-    assert_eq!(leader.get(), None);
-    leader.listed(empty, Role::Primary, 9);
-    leader.said(empty, Role::Primary, term(1));
-    assert_eq!(leader.get(), None, "saying so again proves nothing");
-    leader.said(other, Role::Primary, term(2));
-    assert_eq!(leader.get(), Some(other));
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(other, Role::Replica, 3);
+    leader.record_listing(empty, Role::Primary, 7);
+    leader.distrust(empty);
+    assert_eq!(leader.primary(), None);
+    leader.record_listing(empty, Role::Primary, 9);
+    leader.record_role(empty, Role::Primary, term(1));
+    assert_eq!(leader.primary(), None, "saying so again proves nothing");
+    leader.record_role(other, Role::Primary, term(2));
+    assert_eq!(leader.primary(), Some(other));
     leader.trust(empty);
-    assert_eq!(leader.get(), Some(other), "its term has ended");
+    assert_eq!(leader.primary(), Some(other), "its term has ended");
 }
 
 /// An empty primary was replaced and follows its successor. Later it is promoted, and
@@ -96,18 +96,18 @@
 #[test]
 fn a_server_that_has_followed_is_believed_again() {
     let (empty, other) = servers();
-    let mut leader = Leader::default();
-    leader.listed(other, Role::Replica, 3);
-    leader.listed(empty, Role::Primary, 7);
-    leader.doubt(empty);
-    leader.listed(empty, Role::Replica, 9);
-    assert!(!leader.is_doubted(empty));
-    leader.listed(empty, Role::Primary, 12);
-    assert_eq!(leader.get(), Some(empty));
-    leader.doubt(empty);
-    leader.said(empty, Role::Replica, term(1));
-    leader.said(empty, Role::Primary, term(2));
-    assert_eq!(leader.get(), Some(empty));
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(other, Role::Replica, 3);
+    leader.record_listing(empty, Role::Primary, 7);
+    leader.distrust(empty);
+    leader.record_listing(empty, Role::Replica, 9);
+    assert!(!leader.is_distrusted(empty));
+    leader.record_listing(empty, Role::Primary, 12);
+    assert_eq!(leader.primary(), Some(empty));
+    leader.distrust(empty);
+    leader.record_role(empty, Role::Replica, term(1));
+    leader.record_role(empty, Role::Primary, term(2));
+    assert_eq!(leader.primary(), Some(empty));
 }
 
 /// A server starts again under its id. The count by which its entries are told apart is that of
@@ -116,14 +116,14 @@
 #[test]
 fn a_newer_start_owes_nothing_to_the_former() {
     let (former, newer) = servers();
-    let mut leader = Leader::default();
-    leader.listed(former, Role::Primary, 9);
-    leader.refused(former);
-    leader.unlisted(former);
-    leader.said(former, Role::Primary, term(5));
-    assert_eq!(leader.get(), None, "a late word of the former start");
-    leader.listed(newer, Role::Primary, 4);
-    assert_eq!(leader.get(), Some(newer));
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(former, Role::Primary, 9);
+    leader.record_not_primary(former);
+    leader.remove_server(former);
+    leader.record_role(former, Role::Primary, term(5));
+    assert_eq!(leader.primary(), None, "a late word of the former start");
+    leader.record_listing(newer, Role::Primary, 4);
+    assert_eq!(leader.primary(), Some(newer));
 }
 
 /// A primary is replaced on a platform where it goes on leading its own term. It lists itself as
@@ -132,19 +132,19 @@
 #[test]
 fn a_replaced_primary_that_leads_on_gives_way_to_any_other() {
     let (old, new) = servers();
-    let mut leader = Leader::default();
-    leader.listed(old, Role::Primary, 3);
-    leader.said(old, Role::Primary, term(1));
-    leader.listed(new, Role::Replica, 4);
-    leader.end(term(1), Some(new));
-    assert_eq!(leader.get(), Some(old), "nobody else leads yet");
-    leader.listed(new, Role::Primary, 9);
-    assert_eq!(leader.get(), Some(new));
-    leader.said(old, Role::Primary, term(1));
-    leader.listed(old, Role::Primary, 10);
-    assert_eq!(leader.get(), Some(new));
-    assert!(leader.is_over(old));
-    assert!(!leader.is_over(new));
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(old, Role::Primary, 3);
+    leader.record_role(old, Role::Primary, term(1));
+    leader.record_listing(new, Role::Replica, 4);
+    leader.record_order(term(1), Some(new));
+    assert_eq!(leader.primary(), Some(old), "nobody else leads yet");
+    leader.record_listing(new, Role::Primary, 9);
+    assert_eq!(leader.primary(), Some(new));
+    leader.record_role(old, Role::Primary, term(1));
+    leader.record_listing(old, Role::Primary, 10);
+    assert_eq!(leader.primary(), Some(new));
+    assert!(leader.is_term_ended(old));
+    assert!(!leader.is_term_ended(new));
 }
 
 /// A host hears of an order, but no successor shows. The order may still be carried out after
@@ -152,29 +152,29 @@
 #[test]
 fn an_ended_term_does_not_come_back() {
     let (old, new) = servers();
-    let mut leader = Leader::default();
-    leader.listed(old, Role::Primary, 3);
-    leader.end(term(1), Some(new));
-    leader.disown();
-    assert_eq!(leader.get(), None);
-    leader.said(old, Role::Primary, term(1));
-    assert_eq!(leader.get(), None);
-    leader.said(old, Role::Replica, term(2));
-    leader.said(old, Role::Primary, term(3));
-    assert_eq!(leader.get(), Some(old), "it was promoted again");
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(old, Role::Primary, 3);
+    leader.record_order(term(1), Some(new));
+    leader.give_up_ended_terms();
+    assert_eq!(leader.primary(), None);
+    leader.record_role(old, Role::Primary, term(1));
+    assert_eq!(leader.primary(), None);
+    leader.record_role(old, Role::Replica, term(2));
+    leader.record_role(old, Role::Primary, term(3));
+    assert_eq!(leader.primary(), Some(old), "it was promoted again");
 }
 
 /// A host missed the order and sees only that some replica's log has reached the next term.
 #[test]
 fn a_newer_term_ends_those_before() {
     let (old, new) = servers();
-    let mut leader = Leader::default();
-    leader.said(old, Role::Primary, term(1));
-    leader.listed(old, Role::Primary, 3);
-    leader.said(old, Role::Primary, term(1));
-    leader.listed(new, Role::Primary, 2);
-    leader.began(term(2));
-    assert_eq!(leader.get(), Some(new));
+    let mut leader = LeaderTracker::default();
+    leader.record_role(old, Role::Primary, term(1));
+    leader.record_listing(old, Role::Primary, 3);
+    leader.record_role(old, Role::Primary, term(1));
+    leader.record_listing(new, Role::Primary, 2);
+    leader.record_term_start(term(2));
+    assert_eq!(leader.primary(), Some(new));
 }
 
 /// A primary that was cut off starts again under another id, with its log, just after its successor
@@ -184,18 +184,18 @@
 fn a_replaced_primary_under_another_id_is_not_believed_before_it_shows_its_term() {
     let mut names: Names<ServerKey> = Names::default();
     let [old, new, again] = ["ledger-1", "ledger-2", "ledger-4"].map(|name| names.intern(name));
-    let mut leader = Leader::default();
-    leader.listed(old, Role::Primary, 3);
-    leader.listed(new, Role::Replica, 4);
-    leader.end(term(1), Some(new));
-    leader.listed(new, Role::Primary, 9);
-    leader.unlisted(old);
-    leader.listed(again, Role::Primary, 12);
-    assert_eq!(leader.get(), Some(new));
-    leader.said(again, Role::Primary, term(1));
-    assert_eq!(leader.get(), Some(new));
-    leader.said(again, Role::Primary, term(3));
-    assert_eq!(leader.get(), Some(again), "it was promoted since");
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(old, Role::Primary, 3);
+    leader.record_listing(new, Role::Replica, 4);
+    leader.record_order(term(1), Some(new));
+    leader.record_listing(new, Role::Primary, 9);
+    leader.remove_server(old);
+    leader.record_listing(again, Role::Primary, 12);
+    assert_eq!(leader.primary(), Some(new));
+    leader.record_role(again, Role::Primary, term(1));
+    assert_eq!(leader.primary(), Some(new));
+    leader.record_role(again, Role::Primary, term(3));
+    assert_eq!(leader.primary(), Some(again), "it was promoted since");
 }
 
 /// Hosts are cut off before the successor that they ordered leads, and order another one. They do not
@@ -206,22 +206,22 @@
 fn an_order_ends_the_lead_that_the_order_before_began() {
     let mut names: Names<ServerKey> = Names::default();
     let [old, first, second] = ["ledger-1", "ledger-2", "ledger-3"].map(|name| names.intern(name));
-    let mut leader = Leader::default();
+    let mut leader = LeaderTracker::default();
     for server in [old, first, second] {
-        leader.listed(server, Role::Replica, 1);
+        leader.record_listing(server, Role::Replica, 1);
     }
-    leader.said(old, Role::Primary, term(1));
-    leader.end(term(1), Some(first));
-    leader.said(first, Role::Primary, term(2));
-    assert_eq!(leader.get(), Some(first));
-    assert!(!leader.is_over(first));
-    leader.end(term(1), Some(second));
-    assert!(leader.is_over(first));
-    leader.said(second, Role::Primary, term(3));
-    assert_eq!(leader.get(), Some(second));
-    leader.said(first, Role::Replica, term(3));
-    leader.said(first, Role::Primary, term(4));
-    assert!(!leader.is_over(first), "it was promoted again");
+    leader.record_role(old, Role::Primary, term(1));
+    leader.record_order(term(1), Some(first));
+    leader.record_role(first, Role::Primary, term(2));
+    assert_eq!(leader.primary(), Some(first));
+    assert!(!leader.is_term_ended(first));
+    leader.record_order(term(1), Some(second));
+    assert!(leader.is_term_ended(first));
+    leader.record_role(second, Role::Primary, term(3));
+    assert_eq!(leader.primary(), Some(second));
+    leader.record_role(first, Role::Replica, term(3));
+    leader.record_role(first, Role::Primary, term(4));
+    assert!(!leader.is_term_ended(first), "it was promoted again");
 }
 
 /// A server is promoted and the list says so. The one that it replaced does not know yet, and writes its
@@ -230,16 +230,16 @@
 #[test]
 fn a_primary_that_repeats_itself_does_not_hide_its_successor() {
     let (old, new) = servers();
-    let mut leader = Leader::default();
-    leader.listed(old, Role::Primary, 3);
-    leader.listed(new, Role::Replica, 4);
-    leader.listed(new, Role::Primary, 9);
-    assert_eq!(leader.get(), Some(new));
-    leader.listed(old, Role::Primary, 10);
-    assert_eq!(leader.get(), Some(new));
-    leader.listed(old, Role::Replica, 11);
-    leader.listed(old, Role::Primary, 15);
-    assert_eq!(leader.get(), Some(old), "it was promoted again");
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(old, Role::Primary, 3);
+    leader.record_listing(new, Role::Replica, 4);
+    leader.record_listing(new, Role::Primary, 9);
+    assert_eq!(leader.primary(), Some(new));
+    leader.record_listing(old, Role::Primary, 10);
+    assert_eq!(leader.primary(), Some(new));
+    leader.record_listing(old, Role::Replica, 11);
+    leader.record_listing(old, Role::Primary, 15);
+    assert_eq!(leader.primary(), Some(old), "it was promoted again");
 }
 
 /// Guards against a service without a primary for good: its successor never came to lead, and hosts went back
@@ -249,17 +249,17 @@
     let (old, successor) = servers();
     let mut names: Names<ServerKey> = Names::default();
     let again = ["ledger-1", "ledger-2", "ledger-1 again"].map(|name| names.intern(name))[2];
-    let mut leader = Leader::default();
-    leader.listed(old, Role::Primary, 3);
-    leader.listed(successor, Role::Replica, 4);
-    leader.said(old, Role::Primary, term(4));
-    leader.end(term(4), Some(successor));
-    leader.disown();
-    leader.unlisted(old);
-    leader.listed(again, Role::Primary, 9);
-    assert_eq!(leader.get(), None);
-    leader.said(again, Role::Primary, term(4));
-    assert_eq!(leader.get(), None);
-    leader.said(again, Role::Primary, term(6));
-    assert_eq!(leader.get(), Some(again), "it was promoted");
+    let mut leader = LeaderTracker::default();
+    leader.record_listing(old, Role::Primary, 3);
+    leader.record_listing(successor, Role::Replica, 4);
+    leader.record_role(old, Role::Primary, term(4));
+    leader.record_order(term(4), Some(successor));
+    leader.give_up_ended_terms();
+    leader.remove_server(old);
+    leader.record_listing(again, Role::Primary, 9);
+    assert_eq!(leader.primary(), None);
+    leader.record_role(again, Role::Primary, term(4));
+    assert_eq!(leader.primary(), None);
+    leader.record_role(again, Role::Primary, term(6));
+    assert_eq!(leader.primary(), Some(again), "it was promoted");
 }
--- a/crates/core/tests/succession.rs
+++ b/crates/core/tests/succession.rs
@@ -8,8 +8,8 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    ALONE, DIVIDED, Effect, Grant, INQUIRY, Next, OBJECTION, Opinion, Order, Report, Succession,
-    Trouble, View,
+    DIVIDED_DELAY, FencingToken, INQUIRY_TIMEOUT, MINORITY_DELAY, OBJECTION_TIMEOUT, Opinion,
+    Order, PromotionTimer, Report, Succession, SuccessionAction, Trouble, View,
 };
 use flamingopost_core::term::Term;
 
@@ -50,19 +50,19 @@
     let view = View {
         leader: Some(servers[0]),
         term: Term::from_number(1),
-        led: Term::from_number(1),
-        led_by: BTreeMap::new(),
+        leader_term: Term::from_number(1),
+        terms_led: BTreeMap::new(),
         trouble: Some(Trouble::Refuses { since: ms(1_000) }),
         candidates: servers.into_iter().collect(),
         peers: hosts.iter().copied().collect(),
         rank: 2,
-        ordered: None,
-        quiet_at: ms(0),
+        newest_token: None,
+        leases_end: ms(0),
         synchronous: false,
-        newest: position(1, 40),
-        marks: BTreeMap::new(),
-        former: BTreeMap::new(),
-        doubted: BTreeSet::new(),
+        newest_position: position(1, 40),
+        required_positions: BTreeMap::new(),
+        previous_starts: BTreeMap::new(),
+        distrusted: BTreeSet::new(),
     };
     Scene {
         succession: Succession::default(),
@@ -76,31 +76,31 @@
     /// All hosts miss the primary, the claim is won, and only the first replica has answered.
     fn claim(&mut self) {
         self.step(ms(1_020));
-        self.succession.report(self.servers[1], replica(40));
+        self.succession.record_report(self.servers[1], replica(40));
         self.hear(5, 0);
         self.step(ms(1_025));
-        self.succession.won(Grant(7), ms(1_032));
+        self.succession.claim_won(FencingToken(7), ms(1_032));
     }
 
     /// The order that makes the second replica the primary.
-    fn order(&self) -> Next {
-        Next::Promote {
+    fn order(&self) -> SuccessionAction {
+        SuccessionAction::Promote {
             server: self.servers[2],
-            grant: Grant(7),
+            token: FencingToken(7),
         }
     }
 
-    fn step(&mut self, now: Duration) -> Vec<Next> {
+    fn step(&mut self, now: Duration) -> Vec<SuccessionAction> {
         self.succession.step(&self.view, now)
     }
 
     fn hear(&mut self, fails: usize, reaches: usize) {
         let (missing, reaching) = (&self.hosts[..fails], &self.hosts[fails..fails + reaches]);
         for host in missing {
-            self.succession.opinion(*host, Opinion::Fails);
+            self.succession.record_opinion(*host, Opinion::Fails);
         }
         for host in reaching {
-            self.succession.opinion(*host, Opinion::Reaches);
+            self.succession.record_opinion(*host, Opinion::Reaches);
         }
     }
 }
@@ -110,16 +110,23 @@
 #[test]
 fn a_dead_primary_is_replaced_by_the_replica_with_most() {
     let mut scene = scene();
-    assert_eq!(scene.step(ms(1_020)), [Next::AskHosts, Next::AskServers]);
-    scene.succession.report(scene.servers[1], replica(40));
-    scene.succession.report(scene.servers[2], replica(43));
+    assert_eq!(
+        scene.step(ms(1_020)),
+        [SuccessionAction::AskHosts, SuccessionAction::AskServers]
+    );
+    scene
+        .succession
+        .record_report(scene.servers[1], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(43));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [Next::Claim]);
+    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
     assert_eq!(scene.step(ms(1_030)), [], "the store has not answered yet");
-    scene.succession.won(Grant(7), ms(1_032));
+    scene.succession.claim_won(FencingToken(7), ms(1_032));
     let order = scene.order();
     assert_eq!(scene.step(ms(1_032)), [order]);
-    scene.succession.ordered(Order::Accepted, ms(1_050));
+    scene.succession.order_finished(Order::Accepted, ms(1_050));
     assert!(scene.succession.is_under_way());
     assert_eq!(scene.step(ms(1_500)), [], "it takes about a second to show");
 }
@@ -131,19 +138,23 @@
 fn a_replica_that_is_not_heard_may_be_the_one_that_has_it() {
     let mut scene = scene();
     scene.view.synchronous = true;
-    scene.view.newest = position(1, 43);
+    scene.view.newest_position = position(1, 43);
     scene.claim();
     let mut asked = 0;
     for now in (1_040..2_000).step_by(20) {
         let next = scene.step(ms(now));
         assert!(
-            !next.iter().any(|it| matches!(it, Next::Promote { .. })),
+            !next
+                .iter()
+                .any(|it| matches!(it, SuccessionAction::Promote { .. })),
             "at {now}"
         );
-        asked += usize::from(next.contains(&Next::AskServers));
+        asked += usize::from(next.contains(&SuccessionAction::AskServers));
     }
     assert!(asked >= 3, "it is asked again");
-    scene.succession.report(scene.servers[2], replica(43));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(43));
     let order = scene.order();
     assert_eq!(scene.step(ms(2_000)), [order]);
 }
@@ -154,13 +165,16 @@
 fn what_was_acknowledged_is_waited_for_as_long_as_a_restart_takes() {
     let mut scene = scene();
     scene.view.synchronous = true;
-    scene.view.newest = position(1, 43);
+    scene.view.newest_position = position(1, 43);
     scene.view.candidates.remove(&scene.servers[2]);
     scene.claim();
     let mut now = 1_040;
     let ordered = loop {
         let next = scene.step(ms(now));
-        if next.iter().any(|it| matches!(it, Next::Promote { .. })) {
+        if next
+            .iter()
+            .any(|it| matches!(it, SuccessionAction::Promote { .. }))
+        {
             break now;
         }
         assert!(now < 20_000, "it never ends");
@@ -175,18 +189,25 @@
 #[test]
 fn a_replica_that_lost_its_log_is_passed_over_while_others_may_answer() {
     let mut scene = scene();
-    scene.view.marks.insert(scene.servers[1], position(1, 40));
+    scene
+        .view
+        .required_positions
+        .insert(scene.servers[1], position(1, 40));
     scene.step(ms(1_020));
-    scene.succession.report(scene.servers[1], replica(0));
+    scene.succession.record_report(scene.servers[1], replica(0));
     scene.hear(5, 0);
     scene.step(ms(1_025));
-    scene.succession.won(Grant(7), ms(1_032));
+    scene.succession.claim_won(FencingToken(7), ms(1_032));
     for now in (1_040..4_000).step_by(20) {
         let next = scene.step(ms(now));
-        let promotes = next.iter().any(|it| matches!(it, Next::Promote { .. }));
+        let promotes = next
+            .iter()
+            .any(|it| matches!(it, SuccessionAction::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
-    scene.succession.report(scene.servers[2], replica(38));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(38));
     let order = scene.order();
     assert_eq!(scene.step(ms(4_000)), [order]);
 }
@@ -196,14 +217,19 @@
 #[test]
 fn an_empty_log_is_not_chosen_on_a_host_that_knows_nothing() {
     let mut scene = scene();
-    scene.view.newest = Position::default();
+    scene.view.newest_position = Position::default();
     scene.step(ms(1_020));
-    scene.succession.report(scene.servers[1], replica(0));
+    scene.succession.record_report(scene.servers[1], replica(0));
     scene.hear(5, 0);
     scene.step(ms(1_025));
-    scene.succession.won(Grant(7), ms(1_032));
-    assert_eq!(scene.step(ms(1_500)), [Next::AskHosts, Next::AskServers]);
-    scene.succession.report(scene.servers[2], replica(38));
+    scene.succession.claim_won(FencingToken(7), ms(1_032));
+    assert_eq!(
+        scene.step(ms(1_500)),
+        [SuccessionAction::AskHosts, SuccessionAction::AskServers]
+    );
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(38));
     let order = scene.order();
     assert_eq!(scene.step(ms(1_510)), [order]);
 }
@@ -218,11 +244,13 @@
         received: position(2, 0),
         ..replica(0)
     };
-    scene.succession.report(scene.servers[1], empty);
-    scene.succession.report(scene.servers[2], replica(38));
+    scene.succession.record_report(scene.servers[1], empty);
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(38));
     scene.hear(5, 0);
     scene.step(ms(1_025));
-    scene.succession.won(Grant(7), ms(1_032));
+    scene.succession.claim_won(FencingToken(7), ms(1_032));
     let order = scene.order();
     assert_eq!(scene.step(ms(1_032)), [order]);
 }
@@ -232,17 +260,23 @@
 #[test]
 fn an_empty_replica_leads_when_nobody_else_comes_back() {
     let mut scene = scene();
-    scene.view.marks.insert(scene.servers[1], position(1, 40));
+    scene
+        .view
+        .required_positions
+        .insert(scene.servers[1], position(1, 40));
     scene.view.candidates.remove(&scene.servers[2]);
     scene.step(ms(1_020));
-    scene.succession.report(scene.servers[1], replica(0));
+    scene.succession.record_report(scene.servers[1], replica(0));
     scene.hear(5, 0);
     scene.step(ms(1_025));
-    scene.succession.won(Grant(7), ms(1_032));
+    scene.succession.claim_won(FencingToken(7), ms(1_032));
     let mut now = 1_040;
     let ordered = loop {
         let next = scene.step(ms(now));
-        if next.iter().any(|it| matches!(it, Next::Promote { .. })) {
+        if next
+            .iter()
+            .any(|it| matches!(it, SuccessionAction::Promote { .. }))
+        {
             break now;
         }
         assert!(now < 20_000, "it never ends");
@@ -262,8 +296,10 @@
     let mut now = ms(1_450);
     while now < ms(12_000) {
         let next = scene.step(now);
-        assert!(!next.contains(&Next::Claim), "at {now:?}");
-        scene.succession.report(scene.servers[1], replica(40));
+        assert!(!next.contains(&SuccessionAction::Claim), "at {now:?}");
+        scene
+            .succession
+            .record_report(scene.servers[1], replica(40));
         now += ms(20);
     }
 }
@@ -274,21 +310,29 @@
 #[test]
 fn an_order_waits_until_unheard_hosts_cannot_write() {
     let mut scene = scene();
-    scene.view.quiet_at = ms(2_000);
+    scene.view.leases_end = ms(2_000);
     scene.step(ms(1_020));
-    scene.succession.report(scene.servers[1], replica(40));
-    scene.succession.report(scene.servers[2], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[1], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(40));
     scene.hear(3, 0);
-    let over = ms(1_020) + INQUIRY;
-    assert_eq!(scene.step(over), [Next::Claim]);
-    scene.succession.won(Grant(7), over);
+    let over = ms(1_020) + INQUIRY_TIMEOUT;
+    assert_eq!(scene.step(over), [SuccessionAction::Claim]);
+    scene.succession.claim_won(FencingToken(7), over);
     assert_eq!(
         scene.step(ms(1_990)),
-        [Next::AskHosts, Next::AskServers],
+        [SuccessionAction::AskHosts, SuccessionAction::AskServers],
         "asked once more, and no order"
     );
-    scene.succession.report(scene.servers[1], replica(40));
-    scene.succession.report(scene.servers[2], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[1], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(40));
     assert_eq!(scene.step(ms(1_999)), []);
     let order = scene.order();
     assert_eq!(scene.step(ms(2_000)), [order]);
@@ -300,7 +344,7 @@
     let mut scene = scene();
     scene.step(ms(1_020));
     scene.hear(1, 0);
-    assert_eq!(scene.step(ms(1_020) + INQUIRY), []);
+    assert_eq!(scene.step(ms(1_020) + INQUIRY_TIMEOUT), []);
     assert!(!scene.succession.is_under_way());
 }
 
@@ -313,7 +357,7 @@
     assert_eq!(scene.succession.outvoted(), None);
     scene.step(ms(1_020));
     scene.hear(1, 0);
-    let over = ms(1_020) + INQUIRY;
+    let over = ms(1_020) + INQUIRY_TIMEOUT;
     scene.step(over);
     assert_eq!(scene.succession.outvoted(), Some(over));
     scene.step(ms(3_000));
@@ -333,7 +377,7 @@
     let mut scene = scene();
     scene.step(ms(1_020));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_030)), [Next::Claim]);
+    assert_eq!(scene.step(ms(1_030)), [SuccessionAction::Claim]);
     assert_eq!(scene.succession.outvoted(), None);
 }
 
@@ -346,13 +390,13 @@
     scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut now = ms(1_020);
     let claimed = loop {
-        if scene.step(now).contains(&Next::Claim) {
+        if scene.step(now).contains(&SuccessionAction::Claim) {
             break now;
         }
         now += ms(20);
         assert!(now < ms(10_000));
     };
-    assert!(claimed >= ms(1_000) + ALONE);
+    assert!(claimed >= ms(1_000) + MINORITY_DELAY);
 }
 
 /// Most hosts miss the primary and some reach it. The path may heal, so the change waits; it does
@@ -362,10 +406,13 @@
     let mut scene = scene();
     scene.step(ms(1_020));
     scene.hear(3, 2);
-    assert_eq!(scene.step(ms(1_020) + INQUIRY), []);
-    scene.step(ms(1_000) + DIVIDED);
+    assert_eq!(scene.step(ms(1_020) + INQUIRY_TIMEOUT), []);
+    scene.step(ms(1_000) + DIVIDED_DELAY);
     scene.hear(3, 2);
-    assert_eq!(scene.step(ms(1_000) + DIVIDED + INQUIRY), [Next::Claim]);
+    assert_eq!(
+        scene.step(ms(1_000) + DIVIDED_DELAY + INQUIRY_TIMEOUT),
+        [SuccessionAction::Claim]
+    );
 }
 
 /// A host that was replaced never answers. With most others refused by the primary's own machine,
@@ -376,7 +423,10 @@
     scene.step(ms(1_020));
     scene.hear(4, 0);
     assert_eq!(scene.step(ms(1_030)), [], "somebody may object");
-    assert_eq!(scene.step(ms(1_020) + OBJECTION), [Next::Claim]);
+    assert_eq!(
+        scene.step(ms(1_020) + OBJECTION_TIMEOUT),
+        [SuccessionAction::Claim]
+    );
 }
 
 /// Another host has acted already: a server leads a newer term that this host has not heard of.
@@ -390,7 +440,7 @@
         term: Term::from_number(2),
         received: position(2, 44),
     };
-    scene.succession.report(scene.servers[1], leads);
+    scene.succession.record_report(scene.servers[1], leads);
     assert_eq!(scene.step(ms(1_025)), []);
 }
 
@@ -399,15 +449,19 @@
 #[test]
 fn without_the_store_hosts_act_in_turn() {
     let mut scene = scene();
-    scene.succession.reserve(Grant(3));
+    scene.succession.reserve_token(FencingToken(3));
     scene.step(ms(1_020));
-    scene.succession.report(scene.servers[1], replica(40));
-    scene.succession.report(scene.servers[2], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[1], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(40));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [Next::Claim]);
-    scene.succession.unclaimed(2, ms(1_275));
+    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
+    scene.succession.claim_undecided(2, ms(1_275));
     assert_eq!(scene.step(ms(1_300)), [], "two hosts come first");
-    scene.succession.other_acts(ms(1_310));
+    scene.succession.defer_to_peer(ms(1_310));
     assert_eq!(scene.step(ms(2_000)), [], "one of them has acted");
 }
 
@@ -418,50 +472,59 @@
     let mut scene = scene();
     scene.step(ms(1_020));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [Next::Claim]);
-    scene.succession.held(ms(1_030));
+    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
+    scene.succession.claim_lost(ms(1_030));
     assert_eq!(scene.step(ms(1_500)), []);
     let again = scene.step(ms(1_030) + ms(1_800));
-    assert_eq!(again, [Next::AskHosts, Next::AskServers]);
+    assert_eq!(
+        again,
+        [SuccessionAction::AskHosts, SuccessionAction::AskServers]
+    );
 }
 
 /// An order is refused: the token is outdated. It is never used again, with or without the store.
 #[test]
 fn a_refused_token_is_not_used_again() {
     let mut scene = scene();
-    scene.succession.reserve(Grant(3));
+    scene.succession.reserve_token(FencingToken(3));
     scene.step(ms(1_020));
-    scene.succession.report(scene.servers[1], replica(40));
-    scene.succession.report(scene.servers[2], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[1], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(40));
     scene.hear(5, 0);
     scene.step(ms(1_025));
-    scene.succession.unclaimed(0, ms(1_275));
+    scene.succession.claim_undecided(0, ms(1_275));
     assert_eq!(
         scene.step(ms(1_280)),
         [],
         "its turn has come; what servers said is looked at"
     );
-    let order = Next::Promote {
+    let order = SuccessionAction::Promote {
         server: scene.servers[2],
-        grant: Grant(3),
+        token: FencingToken(3),
     };
     assert_eq!(scene.step(ms(1_281)), [order]);
-    scene.succession.ordered(Order::Refused, ms(1_300));
+    scene.succession.order_finished(Order::Refused, ms(1_300));
     let mut now = ms(1_320);
     while now < ms(4_000) {
         for next in scene.step(now) {
             assert!(!matches!(
                 next,
-                Next::Promote {
-                    grant: Grant(3),
+                SuccessionAction::Promote {
+                    token: FencingToken(3),
                     ..
                 }
             ));
-            if next == Next::Claim {
-                scene.succession.unclaimed(0, now);
+            if next == SuccessionAction::Claim {
+                scene.succession.claim_undecided(0, now);
             }
         }
-        scene.succession.report(scene.servers[1], replica(40));
+        scene
+            .succession
+            .record_report(scene.servers[1], replica(40));
         scene.hear(5, 0);
         now += ms(20);
     }
@@ -476,17 +539,21 @@
     scene.view.trouble = Some(Trouble::Leaving);
     scene.view.candidates = BTreeSet::from([scene.servers[1], scene.servers[2]]);
     assert_eq!(scene.step(ms(1_000)), [], "two hosts come first");
-    assert_eq!(scene.step(ms(1_040)), [Next::Claim]);
+    assert_eq!(scene.step(ms(1_040)), [SuccessionAction::Claim]);
     assert_eq!(
-        scene.succession.won(Grant(9), ms(1_045)),
-        [Next::AskServers]
+        scene.succession.claim_won(FencingToken(9), ms(1_045)),
+        [SuccessionAction::AskServers]
     );
-    scene.succession.report(scene.servers[1], replica(50));
+    scene
+        .succession
+        .record_report(scene.servers[1], replica(50));
     assert_eq!(scene.step(ms(1_048)), [], "the other replica may have more");
-    scene.succession.report(scene.servers[2], replica(51));
-    let order = Next::Promote {
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(51));
+    let order = SuccessionAction::Promote {
         server: scene.servers[2],
-        grant: Grant(9),
+        token: FencingToken(9),
     };
     assert_eq!(scene.step(ms(1_050)), [order]);
 }
@@ -506,12 +573,17 @@
     let mut now = ms(1_020);
     while now < ms(9_000) {
         for next in scene.step(now) {
-            assert!(!matches!(next, Next::Promote { .. }), "{next:?} at {now:?}");
-            if next == Next::Claim {
-                scene.succession.won(Grant(7), now);
+            assert!(
+                !matches!(next, SuccessionAction::Promote { .. }),
+                "{next:?} at {now:?}"
+            );
+            if next == SuccessionAction::Claim {
+                scene.succession.claim_won(FencingToken(7), now);
             }
         }
-        scene.succession.report(scene.servers[0], replica(56));
+        scene
+            .succession
+            .record_report(scene.servers[0], replica(56));
         now += ms(20);
     }
 }
@@ -531,15 +603,23 @@
     while now < ms(2_500) {
         for next in scene.step(now) {
             match next {
-                Next::Claim => orders.extend(scene.succession.won(Grant(7), now)),
-                Next::Promote { .. } => orders.push(next),
-                Next::AskHosts | Next::AskServers => {}
+                SuccessionAction::Claim => {
+                    orders.extend(scene.succession.claim_won(FencingToken(7), now))
+                }
+                SuccessionAction::Promote { .. } => orders.push(next),
+                SuccessionAction::AskHosts | SuccessionAction::AskServers => {}
             }
         }
         scene.hear(5, 0);
-        scene.succession.report(scene.servers[0], replica(56));
-        scene.succession.report(scene.servers[1], replica(40));
-        scene.succession.report(scene.servers[2], replica(43));
+        scene
+            .succession
+            .record_report(scene.servers[0], replica(56));
+        scene
+            .succession
+            .record_report(scene.servers[1], replica(40));
+        scene
+            .succession
+            .record_report(scene.servers[2], replica(43));
         now += ms(20);
     }
     assert_eq!(orders, [scene.order()]);
@@ -556,7 +636,7 @@
     let mut names: Names<ServerKey> = Names::default();
     let starts = ["ledger-1", "ledger-2", "ledger-3", "ledger-1 again"];
     let again = starts.map(|name| names.intern(name))[3];
-    scene.view.former.insert(again, scene.servers[0]);
+    scene.view.previous_starts.insert(again, scene.servers[0]);
     scene.view.candidates = BTreeSet::from([again, scene.servers[1], scene.servers[2]]);
     scene.view.leader = None;
     scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
@@ -565,15 +645,21 @@
     while now < ms(2_500) {
         for next in scene.step(now) {
             match next {
-                Next::Claim => orders.extend(scene.succession.won(Grant(7), now)),
-                Next::Promote { .. } => orders.push(next),
-                Next::AskHosts | Next::AskServers => {}
+                SuccessionAction::Claim => {
+                    orders.extend(scene.succession.claim_won(FencingToken(7), now))
+                }
+                SuccessionAction::Promote { .. } => orders.push(next),
+                SuccessionAction::AskHosts | SuccessionAction::AskServers => {}
             }
         }
         scene.hear(5, 0);
-        scene.succession.report(again, replica(56));
-        scene.succession.report(scene.servers[1], replica(40));
-        scene.succession.report(scene.servers[2], replica(43));
+        scene.succession.record_report(again, replica(56));
+        scene
+            .succession
+            .record_report(scene.servers[1], replica(40));
+        scene
+            .succession
+            .record_report(scene.servers[2], replica(43));
         now += ms(20);
     }
     assert_eq!(orders, [scene.order()]);
@@ -588,17 +674,24 @@
     scene.view.trouble = Some(Trouble::Leaving);
     scene.view.candidates = BTreeSet::from([scene.servers[1]]);
     scene.step(ms(1_000));
-    assert_eq!(scene.step(ms(1_040)), [Next::Claim]);
-    scene.succession.won(Grant(7), ms(1_045));
-    scene.succession.report(scene.servers[1], replica(0));
+    assert_eq!(scene.step(ms(1_040)), [SuccessionAction::Claim]);
+    scene.succession.claim_won(FencingToken(7), ms(1_045));
+    scene.succession.record_report(scene.servers[1], replica(0));
     for now in (1_060..3_000).step_by(20) {
         let next = scene.step(ms(now));
-        let promotes = next.iter().any(|it| matches!(it, Next::Promote { .. }));
+        let promotes = next
+            .iter()
+            .any(|it| matches!(it, SuccessionAction::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
-    scene.succession.report(scene.servers[1], replica(40));
+    scene
+        .succession
+        .record_report(scene.servers[1], replica(40));
     let next = scene.step(ms(3_000));
-    assert!(matches!(next[..], [Next::Promote { .. }]), "{next:?}");
+    assert!(
+        matches!(next[..], [SuccessionAction::Promote { .. }]),
+        "{next:?}"
+    );
 }
 
 /// The store is away, and another host has replaced the primary before under a token of its own.
@@ -607,16 +700,20 @@
 #[test]
 fn no_order_goes_out_under_a_lower_token_than_was_used() {
     let mut scene = scene();
-    scene.succession.reserve(Grant(4));
-    scene.view.ordered = Some(Grant(18));
+    scene.succession.reserve_token(FencingToken(4));
+    scene.view.newest_token = Some(FencingToken(18));
     scene.step(ms(1_020));
-    scene.succession.report(scene.servers[2], replica(43));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(43));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [Next::Claim]);
-    scene.succession.unclaimed(2, ms(1_275));
+    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
+    scene.succession.claim_undecided(2, ms(1_275));
     for now in (1_280..3_000).step_by(20) {
         let next = scene.step(ms(now));
-        let orders = next.iter().any(|it| matches!(it, Next::Promote { .. }));
+        let orders = next
+            .iter()
+            .any(|it| matches!(it, SuccessionAction::Promote { .. }));
         assert!(!orders, "at {now}: {next:?}");
     }
 }
@@ -627,8 +724,10 @@
 fn a_claim_that_was_taken_over_is_not_acted_on() {
     let mut scene = scene();
     scene.claim();
-    scene.succession.report(scene.servers[2], replica(43));
-    scene.view.ordered = Some(Grant(9));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(43));
+    scene.view.newest_token = Some(FencingToken(9));
     let next = scene.step(ms(1_300));
     assert!(!next.contains(&scene.order()), "{next:?}");
 }
@@ -639,8 +738,10 @@
 fn a_host_that_was_paused_drops_its_claim() {
     let mut scene = scene();
     scene.claim();
-    scene.succession.report(scene.servers[2], replica(43));
-    scene.succession.paused(ms(6_000));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(43));
+    scene.succession.resume_after_pause(ms(6_000));
     let next = scene.step(ms(6_000));
     assert_eq!(next, [], "it looks around first");
 }
@@ -651,7 +752,9 @@
 fn what_was_found_out_of_one_primary_replaces_no_other() {
     let mut scene = scene();
     scene.claim();
-    scene.succession.report(scene.servers[2], replica(43));
+    scene
+        .succession
+        .record_report(scene.servers[2], replica(43));
     scene.view.term = Term::from_number(2);
     assert_eq!(scene.step(ms(1_300)), []);
     assert!(!scene.succession.is_under_way());
@@ -662,11 +765,15 @@
 /// promotion too early.
 #[test]
 fn a_promotion_that_was_not_seen_well_is_no_measure() {
-    let mut effect = Effect::ordered(ms(1_000));
-    assert_eq!(effect.took(ms(1_600)), None, "nothing was heard before");
-    effect.follows(ms(1_250));
-    assert_eq!(effect.took(ms(1_600)), None);
-    assert_eq!(effect.took(ms(1_290)), Some(ms(250)));
+    let mut effect = PromotionTimer::start(ms(1_000));
+    assert_eq!(
+        effect.min_duration(ms(1_600)),
+        None,
+        "nothing was heard before"
+    );
+    effect.record_replica(ms(1_250));
+    assert_eq!(effect.min_duration(ms(1_600)), None);
+    assert_eq!(effect.min_duration(ms(1_290)), Some(ms(250)));
 }
 
 /// Two hosts of six are cut off from the others, with the store and the replicas on their side. The
@@ -680,6 +787,6 @@
     scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     for now in (1_020..8_700).step_by(20) {
         let next = scene.step(ms(now));
-        assert!(!next.contains(&Next::Claim), "at {now}");
+        assert!(!next.contains(&SuccessionAction::Claim), "at {now}");
     }
 }
--- a/crates/core/tests/succession_fleet.rs
+++ b/crates/core/tests/succession_fleet.rs
@@ -8,7 +8,8 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    Grant, HOLDER, Next, Opinion, Order, Report, SILENCE, Succession, Trouble, View,
+    CLAIM_HOLDER_TIMEOUT, FencingToken, Opinion, Order, Report, SILENCE_TIMEOUT, Succession,
+    SuccessionAction, Trouble, View,
 };
 use flamingopost_core::term::Term;
 use rand::{RngExt as _, SeedableRng};
@@ -203,25 +204,27 @@
         }
         let trouble = match (it.leader, it.since) {
             (None, Some(since)) => Some(Trouble::Absent { since }),
-            (Some(_), Some(since)) if now >= since + SILENCE => Some(Trouble::Silent { since }),
+            (Some(_), Some(since)) if now >= since + SILENCE_TIMEOUT => {
+                Some(Trouble::Silent { since })
+            }
             _ => None,
         };
         View {
             leader: it.leader.map(|server| self.server_keys[server]),
             term: Term::from_number(it.term),
-            led: Term::from_number(it.term),
-            led_by: BTreeMap::new(),
+            leader_term: Term::from_number(it.term),
+            terms_led: BTreeMap::new(),
             trouble,
             candidates: self.server_keys.iter().copied().collect(),
             peers: peers.iter().map(|peer| self.host_keys[*peer]).collect(),
             rank: u32::try_from(host).unwrap_or(u32::MAX),
-            ordered: None,
-            quiet_at: ms(0),
+            newest_token: None,
+            leases_end: ms(0),
             synchronous: false,
-            newest: position(1, 40),
-            marks: BTreeMap::new(),
-            former: BTreeMap::new(),
-            doubted: BTreeSet::new(),
+            newest_position: position(1, 40),
+            required_positions: BTreeMap::new(),
+            previous_starts: BTreeMap::new(),
+            distrusted: BTreeSet::new(),
         }
     }
 
@@ -232,7 +235,7 @@
         let next = self.hosts[host].succession.step(&view, now);
         self.act(host, next);
         if view.leader.is_none() && self.dice.random_bool(0.15) {
-            self.act(host, vec![Next::AskServers]);
+            self.act(host, vec![SuccessionAction::AskServers]);
         }
         self.at(now + STEP, Event::Step(host));
     }
@@ -253,16 +256,16 @@
         }
     }
 
-    fn act(&mut self, host: usize, next: Vec<Next>) {
+    fn act(&mut self, host: usize, next: Vec<SuccessionAction>) {
         for next in next {
             match next {
-                Next::AskHosts => {
+                SuccessionAction::AskHosts => {
                     let about = self.hosts[host].leader;
                     for other in self.electors(host) {
                         self.send(Event::Ask(host, other, about));
                     }
                 }
-                Next::AskServers => {
+                SuccessionAction::AskServers => {
                     for server in 0..SERVERS {
                         if !self.is_cut(host, server) {
                             let report = self.report(server);
@@ -270,12 +273,15 @@
                         }
                     }
                 }
-                Next::Claim => {
+                SuccessionAction::Claim => {
                     let attempt = self.hosts[host].term;
                     let way = ms(self.dice.random_range(5..240));
                     self.at(self.now + way, Event::Claimed(host, attempt));
                 }
-                Next::Promote { server, grant } => {
+                SuccessionAction::Promote {
+                    server,
+                    token: grant,
+                } => {
                     let server = self.server_keys.iter().position(|key| *key == server);
                     let server = server.expect("it is one of the servers");
                     for other in 0..self.hosts.len() {
@@ -315,22 +321,22 @@
             Event::Tell(host, from, about, opinion) if !self.is_cut(host, from) => {
                 if self.hosts[host].leader == about {
                     let from = self.host_keys[from];
-                    self.hosts[host].succession.opinion(from, opinion);
+                    self.hosts[host].succession.record_opinion(from, opinion);
                 }
             }
             Event::Report(host, server, report) if !self.is_cut(host, server) => {
                 let key = self.server_keys[server];
                 let it = &mut self.hosts[host];
-                it.succession.report(key, report);
+                it.succession.record_report(key, report);
                 if report.role == Role::Primary && report.term >= Term::from_number(it.term) {
                     it.leader = Some(server);
                     it.term = it.term.max(self.servers[server].term);
                     it.since = None;
                 }
             }
-            Event::Acting(host) => self.hosts[host].succession.other_acts(now),
+            Event::Acting(host) => self.hosts[host].succession.defer_to_peer(now),
             Event::Claimed(host, attempt) => self.claim(host, attempt),
-            Event::Ordered(host, order) => self.hosts[host].succession.ordered(order, now),
+            Event::Ordered(host, order) => self.hosts[host].succession.order_finished(order, now),
             Event::Order(host, server, token) => self.order(host, server, token),
             Event::Leads(server) => self.lead(server),
             Event::Heals => {
@@ -346,20 +352,22 @@
         let is_away = self.away.0 <= now && now < self.away.1;
         let rank = u32::try_from(host).unwrap_or(u32::MAX);
         if is_away || !self.reaches_platform(host) {
-            self.hosts[host].succession.unclaimed(rank, now);
+            self.hosts[host].succession.claim_undecided(rank, now);
             return;
         }
         if let Some((by, revision)) = self.claims.get(&attempt).copied() {
             let it = &mut self.hosts[host];
             let seen = *it.held.entry((attempt, revision)).or_insert(now);
-            if by != host && now < seen + HOLDER {
-                it.succession.held(now);
+            if by != host && now < seen + CLAIM_HOLDER_TIMEOUT {
+                it.succession.claim_lost(now);
                 return;
             }
         }
         self.token += 1;
         self.claims.insert(attempt, (host, self.token));
-        let next = self.hosts[host].succession.won(Grant(self.token), now);
+        let next = self.hosts[host]
+            .succession
+            .claim_won(FencingToken(self.token), now);
         self.act(host, next);
     }
 
@@ -423,7 +431,7 @@
 impl Host {
     fn new(number: usize) -> Host {
         let mut succession = Succession::default();
-        succession.reserve(Grant(u64::try_from(number).unwrap_or_default()));
+        succession.reserve_token(FencingToken(u64::try_from(number).unwrap_or_default()));
         Host {
             succession,
             leader: Some(0),
--- a/crates/core/tests/succession_terms.rs
+++ b/crates/core/tests/succession_terms.rs
@@ -8,7 +8,7 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    Grant, Next, Opinion, Order, Report, Succession, Trouble, View,
+    FencingToken, Opinion, Order, Report, Succession, SuccessionAction, Trouble, View,
 };
 use flamingopost_core::term::Term;
 
@@ -50,19 +50,19 @@
     let view = View {
         leader: Some(servers[0]),
         term: Term::from_number(1),
-        led: Term::from_number(1),
-        led_by: BTreeMap::new(),
+        leader_term: Term::from_number(1),
+        terms_led: BTreeMap::new(),
         trouble: None,
         candidates: servers.iter().copied().collect(),
         peers: hosts.iter().copied().collect(),
         rank: 0,
-        ordered: None,
-        quiet_at: ms(0),
+        newest_token: None,
+        leases_end: ms(0),
         synchronous: true,
-        newest: position(1, 40),
-        marks: BTreeMap::new(),
-        former: BTreeMap::new(),
-        doubted: BTreeSet::new(),
+        newest_position: position(1, 40),
+        required_positions: BTreeMap::new(),
+        previous_starts: BTreeMap::new(),
+        distrusted: BTreeSet::new(),
     };
     Scene {
         succession: Succession::default(),
@@ -77,7 +77,7 @@
     fn succeed(&mut self, now: Duration) {
         self.view.leader = Some(self.servers[1]);
         self.view.term = Term::from_number(2);
-        self.view.led = Term::from_number(2);
+        self.view.leader_term = Term::from_number(2);
         self.view.trouble = None;
         self.succession.step(&self.view, now);
     }
@@ -95,16 +95,16 @@
         while now < until {
             let mut steps = self.succession.step(&self.view, now);
             for host in &self.hosts {
-                self.succession.opinion(*host, Opinion::Fails);
+                self.succession.record_opinion(*host, Opinion::Fails);
             }
             for (server, report) in reports {
-                self.succession.report(*server, *report);
+                self.succession.record_report(*server, *report);
             }
-            if steps.contains(&Next::Claim) {
-                steps.extend(self.succession.won(Grant(7), now));
+            if steps.contains(&SuccessionAction::Claim) {
+                steps.extend(self.succession.claim_won(FencingToken(7), now));
             }
             for next in steps {
-                if let Next::Promote { server, .. } = next {
+                if let SuccessionAction::Promote { server, .. } = next {
                     return Some((server, now));
                 }
             }
@@ -125,7 +125,7 @@
     scene.view.term = Term::from_number(2);
     scene.succession.step(&scene.view, ms(600));
     scene.succeed(ms(700));
-    scene.view.newest = position(2, 60);
+    scene.view.newest_position = position(2, 60);
     let reports = [
         (scene.servers[0], replica(2, position(2, 60))),
         (scene.servers[2], replica(2, position(2, 50))),
@@ -155,7 +155,7 @@
     let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
     scene.succession.step(&scene.view, ms(500));
     scene.succeed(ms(700));
-    scene.view.newest = position(2, 60);
+    scene.view.newest_position = position(2, 60);
     let reports = [
         (scene.servers[0], replica(2, position(2, 60))),
         (scene.servers[2], replica(2, position(2, 50))),
@@ -173,28 +173,33 @@
 fn an_order_without_an_answer_is_not_followed_by_another_under_its_token() {
     let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
     scene.view.synchronous = false;
-    scene.succession.reserve(Grant(7));
+    scene.succession.reserve_token(FencingToken(7));
     scene.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
-    let mut orders: Vec<(ServerKey, Grant)> = Vec::new();
+    let mut orders: Vec<(ServerKey, FencingToken)> = Vec::new();
     for now in (1_000..12_000).step_by(20).map(ms) {
         let steps = scene.succession.step(&scene.view, now);
         for host in &scene.hosts {
-            scene.succession.opinion(*host, Opinion::Fails);
+            scene.succession.record_opinion(*host, Opinion::Fails);
         }
         let report = replica(1, position(1, 40));
-        scene.succession.report(scene.servers[1], report);
+        scene.succession.record_report(scene.servers[1], report);
         if orders.is_empty() {
             let report = replica(1, position(1, 43));
-            scene.succession.report(scene.servers[2], report);
+            scene.succession.record_report(scene.servers[2], report);
         }
         for next in steps {
             match next {
-                Next::Claim => scene.succession.unclaimed(0, now),
-                Next::Promote { server, grant } => {
+                SuccessionAction::Claim => scene.succession.claim_undecided(0, now),
+                SuccessionAction::Promote {
+                    server,
+                    token: grant,
+                } => {
                     orders.push((server, grant));
-                    scene.succession.ordered(Order::Unknown, now + ms(500));
+                    scene
+                        .succession
+                        .order_finished(Order::Unknown, now + ms(500));
                 }
-                Next::AskHosts | Next::AskServers => {}
+                SuccessionAction::AskHosts | SuccessionAction::AskServers => {}
             }
         }
     }
@@ -236,14 +241,16 @@
     let mut orders = Vec::new();
     for now in (3_000..5_000).step_by(20).map(ms) {
         let mut steps = scene.succession.step(&scene.view, now);
-        if steps.contains(&Next::Claim) {
-            steps.extend(scene.succession.won(Grant(7), now));
+        if steps.contains(&SuccessionAction::Claim) {
+            steps.extend(scene.succession.claim_won(FencingToken(7), now));
         }
         let report = replica(2, position(1, 40));
-        scene.succession.report(scene.servers[0], report);
+        scene.succession.record_report(scene.servers[0], report);
         orders.extend(steps.into_iter().filter_map(|it| match it {
-            Next::Promote { server, .. } => Some(server),
-            Next::Claim | Next::AskHosts | Next::AskServers => None,
+            SuccessionAction::Promote { server, .. } => Some(server),
+            SuccessionAction::Claim | SuccessionAction::AskHosts | SuccessionAction::AskServers => {
+                None
+            }
         }));
     }
     assert_eq!(orders, [scene.servers[0]]);
@@ -256,27 +263,29 @@
 fn an_order_does_not_rest_on_what_a_server_said_long_before() {
     let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
     scene.view.synchronous = false;
-    scene.succession.reserve(Grant(7));
+    scene.succession.reserve_token(FencingToken(7));
     scene.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
     let mut orders = Vec::new();
     for now in (1_000..4_000).step_by(20).map(ms) {
         let steps = scene.succession.step(&scene.view, now);
         for host in &scene.hosts {
-            scene.succession.opinion(*host, Opinion::Fails);
+            scene.succession.record_opinion(*host, Opinion::Fails);
         }
         for next in steps {
             match next {
-                Next::Claim => scene.succession.unclaimed(3, now),
-                Next::AskServers => {
+                SuccessionAction::Claim => scene.succession.claim_undecided(3, now),
+                SuccessionAction::AskServers => {
                     let longest = if now < ms(1_300) { 43 } else { 0 };
                     let said = [(1, position(1, 40)), (2, position(1, longest))];
                     for (server, received) in said {
                         let report = replica(1, received);
-                        scene.succession.report(scene.servers[server], report);
+                        scene
+                            .succession
+                            .record_report(scene.servers[server], report);
                     }
                 }
-                Next::Promote { server, .. } => orders.push((server, now)),
-                Next::AskHosts => {}
+                SuccessionAction::Promote { server, .. } => orders.push((server, now)),
+                SuccessionAction::AskHosts => {}
             }
         }
     }
@@ -304,17 +313,19 @@
         scene.view.trouble = Some(Trouble::Absent { since });
         let mut steps = scene.succession.step(&scene.view, now);
         for host in &scene.hosts {
-            scene.succession.opinion(*host, Opinion::Fails);
+            scene.succession.record_opinion(*host, Opinion::Fails);
         }
         for (server, report) in reports {
-            scene.succession.report(server, report);
+            scene.succession.record_report(server, report);
         }
-        if steps.contains(&Next::Claim) {
-            steps.extend(scene.succession.won(Grant(7), now));
+        if steps.contains(&SuccessionAction::Claim) {
+            steps.extend(scene.succession.claim_won(FencingToken(7), now));
         }
         let server = steps.into_iter().find_map(|it| match it {
-            Next::Promote { server, .. } => Some(server),
-            Next::Claim | Next::AskHosts | Next::AskServers => None,
+            SuccessionAction::Promote { server, .. } => Some(server),
+            SuccessionAction::Claim | SuccessionAction::AskHosts | SuccessionAction::AskServers => {
+                None
+            }
         });
         ordered = ordered.or(server);
     }
@@ -330,7 +341,7 @@
     scene.view.rank = 2;
     scene.view.trouble = Some(Trouble::Leaving);
     assert_eq!(scene.succession.step(&scene.view, ms(1_000)), []);
-    scene.succession.other_acts(ms(1_010));
+    scene.succession.defer_to_peer(ms(1_010));
     scene.succeed(ms(2_000));
     assert_eq!(scene.succession.step(&scene.view, ms(50_000)), []);
     scene.view.trouble = Some(Trouble::Leaving);
@@ -353,11 +364,11 @@
     for now in (30_000..90_000).step_by(20).map(ms) {
         let mut steps = scene.succession.step(&scene.view, now);
         let report = replica(2, position(1, 40));
-        scene.succession.report(scene.servers[0], report);
-        if steps.contains(&Next::Claim) {
-            steps.extend(scene.succession.won(Grant(7), now));
+        scene.succession.record_report(scene.servers[0], report);
+        if steps.contains(&SuccessionAction::Claim) {
+            steps.extend(scene.succession.claim_won(FencingToken(7), now));
         }
-        let promotes = |it: &Next| matches!(it, Next::Promote { .. });
+        let promotes = |it: &SuccessionAction| matches!(it, SuccessionAction::Promote { .. });
         assert!(!steps.iter().any(promotes), "{steps:?} at {now:?}");
     }
 }
@@ -369,7 +380,7 @@
     scene.view.synchronous = false;
     scene.view.leader = Some(scene.servers[1]);
     scene.view.term = Term::from_number(2);
-    scene.view.led = Term::default();
+    scene.view.leader_term = Term::default();
     let report = replica(1, position(1, 45));
     let reports = [(scene.servers[0], report)];
     (scene, reports)
@@ -380,7 +391,7 @@
 #[test]
 fn a_replaced_primary_that_was_never_believed_is_passed_over() {
     let (mut scene, reports) = fresh_beside_a_replaced_primary();
-    scene.view.led_by = BTreeMap::from([(scene.servers[0], Term::from_number(1))]);
+    scene.view.terms_led = BTreeMap::from([(scene.servers[0], Term::from_number(1))]);
     assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
 }
 
@@ -390,7 +401,7 @@
     let (mut scene, reports) = fresh_beside_a_replaced_primary();
     scene
         .succession
-        .told_led(scene.servers[0], Term::from_number(1));
+        .record_leader(scene.servers[0], Term::from_number(1));
     assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
 }
 
@@ -400,7 +411,7 @@
     let (mut scene, reports) = fresh_beside_a_replaced_primary();
     scene
         .succession
-        .told_led(scene.servers[0], Term::from_number(1));
+        .record_leader(scene.servers[0], Term::from_number(1));
     let ordered = scene.lose(&reports, ms(1_000), ms(14_000));
     let server = ordered.map(|(server, _)| server);
     assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
@@ -413,9 +424,9 @@
     let mut scene = scene(&["ledger-1", "ledger-2"]);
     scene.view.synchronous = false;
     scene.view.term = Term::from_number(4);
-    scene.view.led = Term::from_number(4);
-    scene.view.newest = position(4, 0);
-    scene.view.marks = BTreeMap::from([(scene.servers[1], position(3, 391))]);
+    scene.view.leader_term = Term::from_number(4);
+    scene.view.newest_position = position(4, 0);
+    scene.view.required_positions = BTreeMap::from([(scene.servers[1], position(3, 391))]);
     let reports = [(scene.servers[1], replica(4, position(4, 0)))];
     assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
     let ordered = scene.lose(&reports, ms(9_000), ms(14_000));
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -10,7 +10,7 @@
 use flamingopost_core::key::{HostKey, ServerKey};
 use flamingopost_core::leader::Role;
 use flamingopost_core::succession::{
-    Grant, Next, Order, PAUSED, Report, Succession, Trouble, View,
+    FencingToken, Order, PAUSE_THRESHOLD, Report, Succession, SuccessionAction, Trouble, View,
 };
 use flamingopost_core::term::Term;
 use tokio::sync::Mutex;
@@ -68,7 +68,7 @@
     platform: Rc<P>,
     socket: Rc<Socket>,
     services: RefCell<BTreeMap<String, Rc<RefCell<Succession>>>>,
-    reserve: RefCell<Option<Grant>>,
+    reserve: RefCell<Option<FencingToken>>,
     /// Claims of others, and since when each is known.
     held: RefCell<BTreeMap<(String, Revision), Duration>>,
     /// Changes of primaries that were claimed or ordered, and when this host heard of each.
@@ -126,10 +126,10 @@
 
     /// Takes note of a token that may be used while the store is away.
     pub fn reserve(&self, token: Token) {
-        let grant = Grant(token.0);
+        let grant = FencingToken(token.0);
         *self.reserve.borrow_mut() = Some(grant);
         for succession in self.services.borrow().values() {
-            succession.borrow_mut().reserve(grant);
+            succession.borrow_mut().reserve_token(grant);
         }
     }
 
@@ -149,7 +149,7 @@
             }
             let mut succession = Succession::default();
             if let Some(grant) = *self.reserve.borrow() {
-                succession.reserve(grant);
+                succession.reserve_token(grant);
             }
             let succession = Rc::new(RefCell::new(succession));
             let mut services = self.services.borrow_mut();
@@ -169,13 +169,13 @@
         self.tell_of_orders(&service);
         loop {
             let now = self.site.now();
-            if now >= last + PAUSED {
-                succession.borrow_mut().paused(now);
+            if now >= last + PAUSE_THRESHOLD {
+                succession.borrow_mut().resume_after_pause(now);
             }
             last = now;
             let before = std::mem::replace(&mut epoch, self.epoch_heard());
             if before < epoch {
-                succession.borrow_mut().restored(now);
+                succession.borrow_mut().invalidate_claim(now);
             }
             let view = self.view(&service, &succession);
             let pause = if view.trouble.is_some() { STEP } else { LOOK };
@@ -199,10 +199,10 @@
                 sought = now;
                 self.ask_servers(&service, &succession);
             }
-            let answered = succession.borrow().answered();
+            let answered = succession.borrow().answered_hosts();
             let next = succession.borrow_mut().step(&view, now);
             for next in next {
-                if let Next::Promote { server, .. } = next {
+                if let SuccessionAction::Promote { server, .. } = next {
                     self.tell_word(&service, server, &answered);
                 }
                 self.act(&service, &succession, next, &view);
@@ -227,13 +227,13 @@
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         succession: &Rc<RefCell<Succession>>,
-        next: Next,
+        next: SuccessionAction,
         view: &View,
     ) {
         match next {
-            Next::AskHosts => self.ask_hosts(service, view),
-            Next::AskServers => self.ask_servers(service, succession),
-            Next::Claim => {
+            SuccessionAction::AskHosts => self.ask_hosts(service, view),
+            SuccessionAction::AskServers => self.ask_servers(service, succession),
+            SuccessionAction::Claim => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 let attempt = view.term.number().unsigned_abs();
@@ -241,7 +241,10 @@
                     election.claim(service, succession, attempt).await;
                 });
             }
-            Next::Promote { server, grant } => {
+            SuccessionAction::Promote {
+                server,
+                token: grant,
+            } => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 tokio::task::spawn_local(async move {
@@ -309,7 +312,7 @@
                     term: status.term,
                     received: status.received,
                 };
-                succession.borrow_mut().report(target.server, report);
+                succession.borrow_mut().record_report(target.server, report);
                 service.alarm.notify_one();
             });
         }
@@ -353,7 +356,7 @@
         service: Rc<Service<C>>,
         succession: Rc<RefCell<Succession>>,
         server: ServerKey,
-        grant: Grant,
+        grant: FencingToken,
     ) {
         let id = service.name_of(Some(server));
         let serves = match self.trouble(&service) {
@@ -363,7 +366,7 @@
         let replaced = service.leader().and_then(|leader| target(&service, leader));
         let term = service.term();
         if let Some(named) = service.named(server) {
-            let successor = (named, succession.borrow().received());
+            let successor = (named, succession.borrow().successor_position());
             let ended = Ended::new(service.name.clone(), term, grant.0, successor, serves);
             service.end_term(&ended);
             for (_, peer) in self.fleet.peers() {
@@ -371,10 +374,10 @@
                 self.send(&service, Word::Acting { ended }, peer.address);
             }
         }
-        if succession.borrow().is_in_turn() && !self.is_first(&service, grant).await {
+        if succession.borrow().acts_without_claim() && !self.is_first(&service, grant).await {
             succession
                 .borrow_mut()
-                .ordered(Order::Refused, self.site.now());
+                .order_finished(Order::Refused, self.site.now());
             self.site.log(&Event::TurnGivenUp {
                 service: service.name.clone(),
                 server: id,
@@ -395,7 +398,7 @@
             Ok(Err(_)) | Err(_) => Order::Unknown,
         };
         let now = self.site.now();
-        succession.borrow_mut().ordered(order, now);
+        succession.borrow_mut().order_finished(order, now);
         if order == Order::Accepted {
             let next = Term::from_number(term.number() + 1);
             if let Some(replaced) = replaced {
@@ -420,13 +423,13 @@
     /// Guards against two hosts whose turns have both come while they waited for the leases of others:
     /// where the platform carries out whatever it is told, the order under the lower token comes second
     /// and undoes the change of the first.
-    async fn is_first(&self, service: &Rc<Service<C>>, grant: Grant) -> bool {
+    async fn is_first(&self, service: &Rc<Service<C>>, grant: FencingToken) -> bool {
         tokio::time::sleep(ANNOUNCED).await;
         service.newest_order().is_none_or(|newest| newest <= grant)
     }
 
     fn view(&self, service: &Rc<Service<C>>, succession: &Rc<RefCell<Succession>>) -> View {
-        let told = succession.borrow().answered();
+        let told = succession.borrow().answered_hosts();
         let trouble = self.trouble(service);
         let (gone, quiet_at) = self.fleet.with_quorum(|quorum, now| {
             // Nobody is asked about a primary that leaves: who is in touch hears of the order while
@@ -447,10 +450,10 @@
         View {
             leader: service.leader(),
             term: service.term(),
-            led: service.term_led(),
-            led_by: service.led_by(),
+            leader_term: service.term_led(),
+            terms_led: service.led_by(),
             trouble,
-            ordered: service.newest_order(),
+            newest_token: service.newest_order(),
             candidates: candidates.map(|(target, _)| target.server).collect(),
             peers: self
                 .fleet
@@ -459,13 +462,13 @@
                 .map(|(key, _)| key)
                 .filter(|key| !gone.contains(key))
                 .collect(),
-            quiet_at: quiet_at.max(orders_from),
+            leases_end: quiet_at.max(orders_from),
             rank: self.fleet.rank(&service.name),
             synchronous,
-            newest: service.newest(),
-            marks: service.marks(),
-            former: service.former(),
-            doubted: service.doubted(),
+            newest_position: service.newest(),
+            required_positions: service.marks(),
+            previous_starts: service.former(),
+            distrusted: service.doubted(),
         }
     }
 
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use flamingopost_core::epoch::Epoch;
-use flamingopost_core::succession::{EFFECT, Grant, HOLDER, Succession, Trouble};
+use flamingopost_core::succession::{
+    CLAIM_HOLDER_TIMEOUT, FencingToken, PROMOTION_TIMEOUT, Succession, Trouble,
+};
 use flamingopost_core::term::Term;
 
 use super::{Election, in_time};
@@ -59,7 +61,9 @@
             Ok(Claim::Won(token)) => {
                 self.reserve(token);
                 self.claimed(&service.name, attempt);
-                let next = succession.borrow_mut().won(Grant(token.0), now);
+                let next = succession
+                    .borrow_mut()
+                    .claim_won(FencingToken(token.0), now);
                 let view = self.view(&service, &succession);
                 for next in next {
                     self.act(&service, &succession, next, &view);
@@ -67,13 +71,13 @@
                 format!("won with token {}", token.0)
             }
             Ok(Claim::Held { by, .. }) => {
-                succession.borrow_mut().held(now);
+                succession.borrow_mut().claim_lost(now);
                 self.hold_unless_heard(&service, &by);
                 format!("held by {by}")
             }
             Err(why) => {
                 let rank = self.fleet.rank(&service.name);
-                succession.borrow_mut().unclaimed(rank, now);
+                succession.borrow_mut().claim_undecided(rank, now);
                 format!("{why}; turn {rank}")
             }
         };
@@ -100,7 +104,7 @@
         let key = (name.clone(), *revision);
         let seen = *self.held.borrow_mut().entry(key).or_insert(now);
         let is_outdated = revision.epoch() != self.epoch();
-        if is_outdated || by != host && now < seen + HOLDER {
+        if is_outdated || by != host && now < seen + CLAIM_HOLDER_TIMEOUT {
             return Ok(claim);
         }
         if self.trouble(service) == Some(Trouble::Leaving) {
@@ -145,7 +149,7 @@
     /// Another host has told which orders it knows of. It has been in touch with most others for
     /// `in_touch`; where that is long enough, any order that it has not heard of has taken effect.
     pub(super) fn told_of_orders(&self, in_touch: Duration) {
-        if in_touch >= EFFECT && !self.orders_heard.replace(true) {
+        if in_touch >= PROMOTION_TIMEOUT && !self.orders_heard.replace(true) {
             self.tell_all_of_orders();
         }
     }
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -6,7 +6,7 @@
 
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::Role;
-use flamingopost_core::succession::{EFFECT, Effect};
+use flamingopost_core::succession::{PROMOTION_TIMEOUT, PromotionTimer};
 use flamingopost_core::term::Term;
 use tokio::time::timeout;
 
@@ -52,12 +52,12 @@
     ) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
-            let mut effect = Effect::ordered(ordered);
-            let until = ordered + EFFECT;
+            let mut effect = PromotionTimer::start(ordered);
+            let until = ordered + PROMOTION_TIMEOUT;
             while election.site.now() < until {
                 let seen = election.watch_lead(&service, &successor, term, &mut effect);
                 if let Ok(led) = seen.await {
-                    let took = effect.took(election.site.now());
+                    let took = effect.min_duration(election.site.now());
                     election.tell_of_lead(&service, successor.server, led, took);
                     return;
                 }
@@ -73,7 +73,7 @@
         service: &Rc<Service<C>>,
         target: &Target,
         term: Term,
-        effect: &mut Effect,
+        effect: &mut PromotionTimer,
     ) -> Result<Term, back::Error> {
         let timed_out = |_| back::Error::Io(std::io::ErrorKind::TimedOut.into());
         let id = self.site.next_id();
@@ -87,7 +87,7 @@
             if status.role == Role::Primary && status.term > term {
                 return Ok(status.term);
             }
-            effect.follows(asked);
+            effect.record_replica(asked);
             tokio::time::sleep(STEP).await;
         }
     }
--- a/crates/proxy/src/election/talk.rs
+++ b/crates/proxy/src/election/talk.rs
@@ -143,7 +143,7 @@
             return Vec::new();
         };
         let succession = succession.borrow();
-        let led = succession.led().iter();
+        let led = succession.known_leaders().iter();
         led.filter_map(|(server, term)| Some(Led::new(service.named(*server)?, *term)))
             .collect()
     }
@@ -156,7 +156,7 @@
         };
         for it in led {
             if let Meant::Listed(server) = service.meant(&it.server) {
-                succession.borrow_mut().told_led(server, it.term());
+                succession.borrow_mut().record_leader(server, it.term());
             }
         }
     }
@@ -265,7 +265,7 @@
             host: host.to_owned(),
         });
         if let Some(succession) = self.services.borrow().get(&service.name) {
-            succession.borrow_mut().other_acts(self.site.now());
+            succession.borrow_mut().defer_to_peer(self.site.now());
         }
     }
 
@@ -379,7 +379,7 @@
                     && is_about_leader(&service, server.as_ref())
                 {
                     let opinion = Word::opinion(reaches);
-                    succession.borrow_mut().opinion(host, opinion);
+                    succession.borrow_mut().record_opinion(host, opinion);
                     service.alarm.notify_one();
                 }
             }
@@ -432,7 +432,7 @@
             Probe::Silent => {
                 let now = self.site.now();
                 let contact = service.contact(server).unwrap_or_default();
-                contact.age(now).is_some_and(|age| age < FRESH)
+                contact.answer_age(now).is_some_and(|age| age < FRESH)
             }
         }
     }
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -9,10 +9,10 @@
 use flamingopost_core::extent::Extent;
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
-use flamingopost_core::leader::{Leader, Role};
+use flamingopost_core::leader::{LeaderTracker, Role};
 use flamingopost_core::position::Position;
 use flamingopost_core::quorum::StoreLease;
-use flamingopost_core::succession::{Contact, Orders, Trouble};
+use flamingopost_core::succession::{Contact, PriorOrders, Trouble};
 use flamingopost_core::term::Term;
 use flamingopost_core::vouch::{SPACING, Vouch};
 use tokio::sync::{Notify, oneshot};
@@ -72,7 +72,7 @@
     dispatch: Dispatch,
     vouch: Vouch,
     extent: Extent,
-    leader: Leader,
+    leader: LeaderTracker,
     /// Since when the service has had a single server.
     alone: Option<Duration>,
     check: Check,
@@ -83,7 +83,7 @@
     /// How far the log of the server that is believed to lead was last seen to reach.
     weighed: Option<Position>,
     /// Whether an order may be on its way that this host has not heard of.
-    orders: Orders,
+    orders: PriorOrders,
     absent: Option<Duration>,
     servers: BTreeMap<ServerKey, Known>,
     idle: BTreeMap<u64, Back<C>>,
@@ -148,13 +148,13 @@
                 dispatch: Dispatch::default(),
                 vouch: Vouch::default(),
                 extent: Extent::default(),
-                leader: Leader::default(),
+                leader: LeaderTracker::default(),
                 alone: None,
                 check: Check::default(),
                 unchecked: None,
                 proved: None,
                 weighed: None,
-                orders: Orders::default(),
+                orders: PriorOrders::default(),
                 absent: Some(Duration::ZERO),
                 servers: BTreeMap::new(),
                 idle: BTreeMap::new(),
@@ -214,7 +214,7 @@
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         if let Some(known) = state.servers.get_mut(&server) {
-            known.contact.answered(now);
+            known.contact.record_answer(now);
             known.shown |= position.is_some();
         }
         let Some(position) = position else {
@@ -229,14 +229,14 @@
             server.saw(holds, passed, now);
         }
         state.vouch.saw_term(position.term);
-        state.leader.saw_term(server, position.term);
+        state.leader.record_log_term(server, position.term);
         if led && !state.extent.lacks(position, sent) {
             state.vouch.led(position, sent);
-            state.leader.led(server, position.term);
+            state.leader.record_term_led(server, position.term);
             self.has_sample();
         }
         // What is written to an empty log would look like the proof of a whole one.
-        if !state.leader.is_doubted(server) {
+        if !state.leader.is_distrusted(server) {
             state.showed(server, position, now);
         }
     }
@@ -257,7 +257,7 @@
 
     /// A server refused a request because it does not lead.
     pub fn does_not_lead(self: &Rc<Self>, server: ServerKey) {
-        self.state.borrow_mut().leader.refused(server);
+        self.state.borrow_mut().leader.record_not_primary(server);
         self.refresh();
     }
 
@@ -327,9 +327,9 @@
         {
             let mut state = self.state.borrow_mut();
             if let Some(known) = state.servers.get_mut(&server) {
-                known.contact.answered(now);
+                known.contact.record_answer(now);
             }
-            state.leader.said(server, status.role, status.term);
+            state.leader.record_role(server, status.role, status.term);
             if status.role == Role::Primary {
                 state.vouch.saw_term(status.term);
             }
@@ -346,7 +346,7 @@
         {
             let mut state = self.state.borrow_mut();
             state.vouch.saw_term(term);
-            state.leader.said(server, Role::Primary, term);
+            state.leader.record_role(server, Role::Primary, term);
         }
         self.refresh();
     }
@@ -359,9 +359,9 @@
             return;
         };
         match miss(error) {
-            Miss::Refused => known.contact.refused(now),
-            Miss::Silent => known.contact.silent(sent),
-            Miss::None => known.contact.answered(now),
+            Miss::Refused => known.contact.record_refusal(now),
+            Miss::Silent => known.contact.record_timeout(sent),
+            Miss::None => known.contact.record_answer(now),
         }
         if matches!(miss(error), Miss::Refused) {
             state.broke(server);
@@ -376,7 +376,7 @@
     /// A server has answered nothing that was sent since `since`, and not on another connection.
     pub fn silent(&self, server: ServerKey, since: Duration) {
         if let Some(known) = self.state.borrow_mut().servers.get_mut(&server) {
-            known.contact.silent(since);
+            known.contact.record_timeout(since);
         }
         self.alarm.notify_one();
     }
@@ -408,7 +408,7 @@
         let state = self.state.borrow();
         let known = state.servers.get(&state.dispatch.leader()?)?;
         let oldest = known.outstanding.values().min().copied()?;
-        let doubtful = known.contact.waits(oldest, now);
+        let doubtful = known.contact.is_overdue(oldest, now);
         doubtful.then(|| (known.target.clone(), oldest))
     }
 
@@ -470,7 +470,7 @@
     /// Servers that have themselves shown that they lead, believed or not, and the newest term in which they
     /// did.
     pub fn led_by(&self) -> BTreeMap<ServerKey, Term> {
-        self.state.borrow().leader.led_by()
+        self.state.borrow().leader.terms_led()
     }
 
     /// The newest position of a primary's log that this host has heard of.
@@ -489,7 +489,7 @@
             let mut state = self.state.borrow_mut();
             state.trust_the_last(now);
             let newest = state.vouch.term();
-            state.leader.began(newest);
+            state.leader.record_term_start(newest);
             let Some(change) = state.leader.refresh(now) else {
                 return;
             };
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -6,7 +6,7 @@
 use flamingopost_core::dispatch;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
-use flamingopost_core::succession::Grant;
+use flamingopost_core::succession::FencingToken;
 use flamingopost_core::term::Term;
 
 use super::{Meant, Service, State};
@@ -75,7 +75,7 @@
     /// Whether another server is believed to lead a term that is not over.
     fn is_succeeded(&self, server: ServerKey) -> bool {
         let leader = self.dispatch.leader().filter(|leader| *leader != server);
-        leader.is_some_and(|leader| !self.leader.is_over(leader))
+        leader.is_some_and(|leader| !self.leader.is_term_ended(leader))
     }
 
     /// What needs the primary waits for its successor from `from` on, and no longer than `until`.
@@ -134,7 +134,7 @@
         if state.held.is_some() {
             return;
         }
-        state.orders.heard();
+        state.orders.record_complete();
         state.hold_for_successor(from, from + HOLD, from);
     }
 
@@ -167,7 +167,7 @@
         });
         let id = ended.successor.id.clone();
         state.term_began(&peer::TermStart::new(id, ended.term(), ended.had()));
-        state.leader.end(ended.term(), successor);
+        state.leader.record_order(ended.term(), successor);
         let leads = state.dispatch.leader();
         let is_done = state.vouch.term() > ended.term() || leads.is_some() && leads == successor;
         if is_done {
@@ -208,9 +208,12 @@
     }
 
     /// The newest token under which an order for the service was given, as far as is known.
-    pub fn newest_order(&self) -> Option<Grant> {
+    pub fn newest_order(&self) -> Option<FencingToken> {
         let state = self.state.borrow();
-        state.replacement.as_ref().map(|known| Grant(known.token))
+        state
+            .replacement
+            .as_ref()
+            .map(|known| FencingToken(known.token))
     }
 
     /// Whether what `server` answers as a primary does not count: its term is over.
@@ -227,7 +230,7 @@
         let relieved = known.is_some_and(|known| now >= known.over);
         let succeeded = state.is_succeeded(server);
         let led = state.leader.term_led(server);
-        state.leader.is_over(server) && (relieved || succeeded || led < state.vouch.term())
+        state.leader.is_term_ended(server) && (relieved || succeeded || led < state.vouch.term())
     }
 
     /// A write was acknowledged; it is logged if the primary is being replaced meanwhile.
@@ -257,7 +260,7 @@
     /// still be carried out. With nobody left that leads, hosts look for the successor and order
     /// one again.
     fn disown(self: &Rc<Self>) {
-        self.state.borrow_mut().leader.disown();
+        self.state.borrow_mut().leader.give_up_ended_terms();
         self.refresh();
     }
 
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -42,7 +42,9 @@
             state.dispatch.insert(key, server);
             // The role in a copy is one that the server may have had before it was replaced.
             if source == Source::Server || !state.servers.contains_key(&key) {
-                state.leader.listed(key, backend.role, backend.changed.0);
+                state
+                    .leader
+                    .record_listing(key, backend.role, backend.changed.0);
             }
             let target = Target {
                 server: key,
@@ -71,7 +73,7 @@
             });
             known.target = target;
             if start != Start::Known && backend.role == Role::Primary {
-                state.leader.doubt(key);
+                state.leader.distrust(key);
             }
         }
         self.refresh();
@@ -90,7 +92,7 @@
     pub fn unlisted(self: &Rc<Self>, key: ServerKey) {
         let next = {
             let mut state = self.state.borrow_mut();
-            state.leader.unlisted(key);
+            state.leader.remove_server(key);
             state.servers.remove(&key);
             state.dispatch.remove(key)
         };
--- a/crates/proxy/src/service/loss.rs
+++ b/crates/proxy/src/service/loss.rs
@@ -63,7 +63,7 @@
         };
         let start = {
             let state = self.state.borrow();
-            let leads = state.leader.get() == Some(server);
+            let leads = state.leader.primary() == Some(server);
             let term = state.leader.term_led(server);
             leads.then_some(Position { term, log: 0 })
         };
@@ -78,7 +78,7 @@
         let now = self.site.now();
         let furthest = {
             let mut state = self.state.borrow_mut();
-            if state.leader.is_doubted(server) {
+            if state.leader.is_distrusted(server) {
                 return;
             }
             state.distrust(server, now);
@@ -96,7 +96,7 @@
 impl<C: Codec> State<C> {
     /// Nothing counts any more that `server` has shown.
     pub(super) fn distrust(&mut self, server: ServerKey, now: Duration) {
-        self.leader.doubt(server);
+        self.leader.distrust(server);
         // The start of its term, which it has shown as the primary, is in no log that is empty.
         if let Some(server) = self.dispatch.server_mut(server) {
             server.saw(Position::default(), None, now);
--- a/crates/proxy/src/service/proof.rs
+++ b/crates/proxy/src/service/proof.rs
@@ -11,7 +11,7 @@
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::Role;
 use flamingopost_core::position::Position;
-use flamingopost_core::succession::Orders;
+use flamingopost_core::succession::PriorOrders;
 use flamingopost_core::term::Term;
 
 use super::{Known, Service, State};
@@ -40,7 +40,7 @@
     /// What has to be found out before `server` is believed to lead, which says `status`.
     pub fn missing(&self, server: ServerKey, status: &Status) -> Missing {
         let state = self.state.borrow();
-        match state.leader.get() == Some(server) && status.role == Role::Primary {
+        match state.leader.primary() == Some(server) && status.role == Role::Primary {
             true => state.missing(status.received),
             false => Missing::Nothing,
         }
@@ -49,10 +49,10 @@
     /// A host that would know of an order has told this one what it knows.
     pub fn told_of_orders(&self) {
         let mut state = self.state.borrow_mut();
-        if state.orders == Orders::Heard {
+        if state.orders == PriorOrders::AllKnown {
             return;
         }
-        state.orders.heard();
+        state.orders.record_complete();
         state.weigh_again(self.site.now());
         self.alarm.notify_one();
     }
@@ -60,10 +60,10 @@
     /// The newest term for the change of whose primary the store has a claim, if any.
     pub fn told_of_claims(&self, newest: Option<Term>) {
         let mut state = self.state.borrow_mut();
-        if state.orders != Orders::Unknown {
+        if state.orders != PriorOrders::Unknown {
             return;
         }
-        state.orders.claimed(newest);
+        state.orders.record_claim(newest);
         state.weigh_again(self.site.now());
         self.alarm.notify_one();
     }
@@ -94,7 +94,7 @@
             if let Some(known) = state.servers.get_mut(&server) {
                 known.blank = !has_entries;
             }
-            state.leader.get() == Some(server)
+            state.leader.primary() == Some(server)
         };
         if leads {
             self.proved(server, position, has_entries);
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -8,7 +8,7 @@
 use flamingopost_core::dispatch::Hold;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
-use flamingopost_core::succession::RETURN;
+use flamingopost_core::succession::RETURN_TIMEOUT;
 use flamingopost_core::term::Term;
 
 use super::{Known, Missing, Service, State};
@@ -86,8 +86,8 @@
         {
             state.checked(position, self.site.now());
         }
-        let doubted = state.leader.is_doubted(server);
-        let leads = state.leader.get() == Some(server);
+        let doubted = state.leader.is_distrusted(server);
+        let leads = state.leader.primary() == Some(server);
         let short = state.is_short(server, position);
         if doubted && state.extent.proves(position) && !short {
             state.leader.trust(server);
@@ -147,7 +147,8 @@
     pub fn doubted(&self) -> BTreeSet<ServerKey> {
         let state = self.state.borrow();
         let keys = state.servers.keys().copied();
-        keys.filter(|key| state.leader.is_doubted(*key)).collect()
+        keys.filter(|key| state.leader.is_distrusted(*key))
+            .collect()
     }
 
     /// How far the log has been seen to reach, at whichever server.
@@ -195,7 +196,7 @@
 
     /// Whether a server may lack what the service's log holds.
     pub fn is_doubted(&self, server: ServerKey) -> bool {
-        self.state.borrow().leader.is_doubted(server)
+        self.state.borrow().leader.is_distrusted(server)
     }
 }
 
@@ -216,7 +217,7 @@
     pub(super) fn holds(&self, server: ServerKey, position: Position) -> Position {
         let leads = self.dispatch.leader() == Some(server) && self.unchecked.is_none();
         let whole = position.log > 0 || leads || !self.extent.is_written();
-        match whole && !self.leader.is_doubted(server) {
+        match whole && !self.leader.is_distrusted(server) {
             true => position,
             false => Position::default(),
         }
@@ -369,7 +370,7 @@
     /// seems to lead for a moment: this host refuses to rely on it, so statements went to and fro, with
     /// 25 changes of the primary that hosts believed in within 100 ms.
     pub(super) fn succeeds(&self, leader: Option<ServerKey>) -> bool {
-        let Some(leader) = leader.filter(|leader| !self.leader.is_over(*leader)) else {
+        let Some(leader) = leader.filter(|leader| !self.leader.is_term_ended(*leader)) else {
             return false;
         };
         let known = self.servers.get(&leader);
@@ -388,7 +389,7 @@
             return;
         }
         let since = *self.alone.get_or_insert(now);
-        if now < since + RETURN {
+        if now < since + RETURN_TIMEOUT {
             return;
         }
         for server in self.servers.keys() {
