--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -11,7 +11,7 @@
 use flamingopost_core::key::{HostKey, ServerKey};
 use flamingopost_core::leader::Role;
 use flamingopost_core::succession::{
-    Grant, Next, Order, PAUSED, Report, Succession, Trouble, View,
+    FencingToken, Order, PAUSE_THRESHOLD, Report, Succession, SuccessionAction, Trouble, View,
 };
 use flamingopost_core::term::Term;
 use tokio::sync::Mutex;
@@ -69,7 +69,7 @@
     platform: Rc<P>,
     socket: Rc<Socket>,
     services: RefCell<BTreeMap<String, Rc<RefCell<Succession>>>>,
-    reserve_grant: RefCell<Option<Grant>>,
+    reserve_grant: RefCell<Option<FencingToken>>,
     /// Claims held by other hosts, and when this host first saw each of them.
     known_claims: RefCell<BTreeMap<(String, Revision), Duration>>,
     /// Changes of primaries that were claimed or ordered, by service and change number.
@@ -128,10 +128,10 @@
 
     /// Stores a fencing token that may be used for one promotion while the store is unavailable.
     pub fn reserve_token(&self, token: Token) {
-        let grant = Grant(token.0);
+        let grant = FencingToken(token.0);
         *self.reserve_grant.borrow_mut() = Some(grant);
         for succession in self.services.borrow().values() {
-            succession.borrow_mut().reserve(grant);
+            succession.borrow_mut().reserve_token(grant);
         }
     }
 
@@ -151,7 +151,7 @@
             }
             let mut succession = Succession::default();
             if let Some(grant) = *self.reserve_grant.borrow() {
-                succession.reserve(grant);
+                succession.reserve_token(grant);
             }
             let succession = Rc::new(RefCell::new(succession));
             let mut services = self.services.borrow_mut();
@@ -177,13 +177,13 @@
         self.update_known_orders(&service);
         loop {
             let now = self.site.now();
-            if now >= last_step + PAUSED {
-                succession.borrow_mut().paused(now);
+            if now >= last_step + PAUSE_THRESHOLD {
+                succession.borrow_mut().resume_after_pause(now);
             }
             last_step = now;
             let before = std::mem::replace(&mut epoch, self.newest_known_epoch());
             if before < epoch {
-                succession.borrow_mut().restored(now);
+                succession.borrow_mut().invalidate_claim(now);
             }
             let view = self.view(&service, &succession);
             let pause = if view.trouble.is_some() {
@@ -211,10 +211,10 @@
                 last_search = now;
                 self.ask_servers(&service, &succession);
             }
-            let answered = succession.borrow().answered();
+            let answered = succession.borrow().answered_hosts();
             let next = succession.borrow_mut().step(&view, now);
             for next in next {
-                if let Next::Promote { server, .. } = next {
+                if let SuccessionAction::Promote { server, .. } = next {
                     self.log_order_basis(&service, server, &answered);
                 }
                 self.perform(&service, &succession, next, &view);
@@ -239,13 +239,13 @@
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         succession: &Rc<RefCell<Succession>>,
-        next: Next,
+        next: SuccessionAction,
         view: &View,
     ) {
         match next {
-            Next::AskHosts => self.ask_hosts(service, view),
-            Next::AskServers => self.ask_servers(service, succession),
-            Next::Claim => {
+            SuccessionAction::AskHosts => self.ask_hosts(service, view),
+            SuccessionAction::AskServers => self.ask_servers(service, succession),
+            SuccessionAction::Claim => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 let attempt = view.term.number().unsigned_abs();
@@ -253,7 +253,10 @@
                     election.claim(service, succession, attempt).await;
                 });
             }
-            Next::Promote { server, grant } => {
+            SuccessionAction::Promote {
+                server,
+                token: grant,
+            } => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 tokio::task::spawn_local(async move {
@@ -333,7 +336,7 @@
                     term: status.term,
                     received: status.received,
                 };
-                succession.borrow_mut().report(target.server, report);
+                succession.borrow_mut().record_report(target.server, report);
                 service.failover_notify.notify_one();
             });
         }
@@ -382,7 +385,7 @@
         service: Rc<Service<C>>,
         succession: Rc<RefCell<Succession>>,
         server: ServerKey,
-        grant: Grant,
+        grant: FencingToken,
     ) {
         let id = service.name_of(Some(server));
         let serves = match self.trouble(&service) {
@@ -392,7 +395,7 @@
         let replaced = service.leader().and_then(|leader| target(&service, leader));
         let term = service.newest_term();
         if let Some(named) = service.to_peer_server(server) {
-            let successor = (named, succession.borrow().received());
+            let successor = (named, succession.borrow().successor_position());
             let ended_term = EndedTerm::new(service.name.clone(), term, grant.0, successor, serves);
             service.end_term(&ended_term);
             for (_, peer) in self.fleet.peers() {
@@ -404,10 +407,12 @@
                 );
             }
         }
-        if succession.borrow().is_in_turn() && !self.has_highest_token(&service, grant).await {
+        if succession.borrow().acts_without_claim()
+            && !self.has_highest_token(&service, grant).await
+        {
             succession
                 .borrow_mut()
-                .ordered(Order::Refused, self.site.now());
+                .order_finished(Order::Refused, self.site.now());
             self.site.log(&Event::TurnGivenUp {
                 service: service.name.clone(),
                 server: id,
@@ -428,7 +433,7 @@
             Ok(Err(_)) | Err(_) => Order::Unknown,
         };
         let now = self.site.now();
-        succession.borrow_mut().ordered(order, now);
+        succession.borrow_mut().order_finished(order, now);
         if order == Order::Accepted {
             let next = Term::from_number(term.number() + 1);
             if let Some(replaced) = replaced {
@@ -458,13 +463,13 @@
     /// Guards against two hosts that both reach their turn while waiting for the leases of others
     /// to expire. On a platform that carries out every order, the one with the lower token would
     /// arrive second and undo the change made by the first.
-    async fn has_highest_token(&self, service: &Rc<Service<C>>, grant: Grant) -> bool {
+    async fn has_highest_token(&self, service: &Rc<Service<C>>, grant: FencingToken) -> bool {
         tokio::time::sleep(ORDER_ANNOUNCEMENT_LEAD).await;
         service.newest_order().is_none_or(|newest| newest <= grant)
     }
 
     fn view(&self, service: &Rc<Service<C>>, succession: &Rc<RefCell<Succession>>) -> View {
-        let answered = succession.borrow().answered();
+        let answered = succession.borrow().answered_hosts();
         let trouble = self.trouble(service);
         let (gone, quiet_at) = self.fleet.with_quorum(|quorum, now| {
             // No host is queried about a primary that is leaving: connected hosts learn of the
@@ -485,10 +490,10 @@
         View {
             leader: service.leader(),
             term: service.newest_term(),
-            led: service.term_led(),
-            led_by: service.led_by(),
+            leader_term: service.term_led(),
+            terms_led: service.led_by(),
             trouble,
-            ordered: service.newest_order(),
+            newest_token: service.newest_order(),
             candidates: candidates.map(|(target, _)| target.server).collect(),
             peers: self
                 .fleet
@@ -497,13 +502,13 @@
                 .map(|(key, _)| key)
                 .filter(|key| !gone.contains(key))
                 .collect(),
-            quiet_at: quiet_at.max(orders_from),
+            leases_end: quiet_at.max(orders_from),
             rank: self.fleet.rank(&service.name),
             synchronous,
-            newest: service.newest_position(),
-            marks: service.required_positions(),
-            former: service.former_starts(),
-            doubted: service.doubted(),
+            newest_position: service.newest_position(),
+            required_positions: service.required_positions(),
+            previous_starts: service.former_starts(),
+            distrusted: service.doubted(),
         }
     }
 
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use flamingopost_core::epoch::Epoch;
-use flamingopost_core::succession::{EFFECT, Grant, HOLDER, Succession, Trouble};
+use flamingopost_core::succession::{
+    CLAIM_HOLDER_TIMEOUT, FencingToken, PROMOTION_TIMEOUT, Succession, Trouble,
+};
 use flamingopost_core::term::Term;
 
 use super::{Election, in_time};
@@ -60,7 +62,9 @@
             Ok(Claim::Won(token)) => {
                 self.reserve_token(token);
                 self.record_own_claim(&service.name, attempt);
-                let next = succession.borrow_mut().won(Grant(token.0), now);
+                let next = succession
+                    .borrow_mut()
+                    .claim_won(FencingToken(token.0), now);
                 let view = self.view(&service, &succession);
                 for next in next {
                     self.perform(&service, &succession, next, &view);
@@ -68,13 +72,13 @@
                 format!("won with token {}", token.0)
             }
             Ok(Claim::Held { by, .. }) => {
-                succession.borrow_mut().held(now);
+                succession.borrow_mut().claim_lost(now);
                 self.hold_unless_holder_answers(&service, &by);
                 format!("held by {by}")
             }
             Err(why) => {
                 let rank = self.fleet.rank(&service.name);
-                succession.borrow_mut().unclaimed(rank, now);
+                succession.borrow_mut().claim_undecided(rank, now);
                 format!("{why}; turn {rank}")
             }
         };
@@ -101,7 +105,7 @@
         let key = (name.clone(), *revision);
         let seen = *self.known_claims.borrow_mut().entry(key).or_insert(now);
         let is_outdated = revision.epoch() != self.epoch();
-        if is_outdated || by != host && now < seen + HOLDER {
+        if is_outdated || by != host && now < seen + CLAIM_HOLDER_TIMEOUT {
             return Ok(claim);
         }
         if self.trouble(service) == Some(Trouble::Leaving) {
@@ -146,7 +150,7 @@
     /// Records that another host, connected to a majority for `in_touch`, has reported the orders
     /// it knows of. If that time is long enough, any order unknown to it has already taken effect.
     pub(super) fn peer_knows_orders(&self, in_touch: Duration) {
-        if in_touch >= EFFECT && !self.orders_known.replace(true) {
+        if in_touch >= PROMOTION_TIMEOUT && !self.orders_known.replace(true) {
             self.update_all_known_orders();
         }
     }
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -6,7 +6,7 @@
 
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::Role;
-use flamingopost_core::succession::{EFFECT, Effect};
+use flamingopost_core::succession::{PROMOTION_TIMEOUT, PromotionTimer};
 use flamingopost_core::term::Term;
 use tokio::time::timeout;
 
@@ -53,12 +53,12 @@
     ) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
-            let mut effect = Effect::ordered(ordered);
-            let until = ordered + EFFECT;
+            let mut effect = PromotionTimer::start(ordered);
+            let until = ordered + PROMOTION_TIMEOUT;
             while election.site.now() < until {
                 let seen = election.poll_until_leading(&service, &successor, term, &mut effect);
                 if let Ok(led) = seen.await {
-                    let took = effect.took(election.site.now());
+                    let took = effect.min_duration(election.site.now());
                     election.announce_lead(&service, successor.server, led, took);
                     return;
                 }
@@ -74,7 +74,7 @@
         service: &Rc<Service<C>>,
         target: &Target,
         term: Term,
-        effect: &mut Effect,
+        effect: &mut PromotionTimer,
     ) -> Result<Term, server_connection::Error> {
         let timed_out = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
         let id = self.site.next_id();
@@ -92,7 +92,7 @@
             if status.role == Role::Primary && status.term > term {
                 return Ok(status.term);
             }
-            effect.follows(asked);
+            effect.record_replica(asked);
             tokio::time::sleep(ACTIVE_STEP_INTERVAL).await;
         }
     }
--- a/crates/proxy/src/election/messaging.rs
+++ b/crates/proxy/src/election/messaging.rs
@@ -148,7 +148,7 @@
             return Vec::new();
         };
         let succession = succession.borrow();
-        let led = succession.led().iter();
+        let led = succession.known_leaders().iter();
         led.filter_map(|(server, term)| Some(LedTerm::new(service.to_peer_server(*server)?, *term)))
             .collect()
     }
@@ -161,7 +161,7 @@
         };
         for it in led {
             if let ResolvedServer::Listed(server) = service.resolve_server(&it.server) {
-                succession.borrow_mut().told_led(server, it.term());
+                succession.borrow_mut().record_leader(server, it.term());
             }
         }
     }
@@ -276,7 +276,7 @@
             host: host.to_owned(),
         });
         if let Some(succession) = self.services.borrow().get(&service.name) {
-            succession.borrow_mut().other_acts(self.site.now());
+            succession.borrow_mut().defer_to_peer(self.site.now());
         }
     }
 
@@ -391,7 +391,7 @@
                     && is_about_leader(&service, server.as_ref())
                 {
                     let opinion = Payload::opinion(reaches);
-                    succession.borrow_mut().opinion(host, opinion);
+                    succession.borrow_mut().record_opinion(host, opinion);
                     service.failover_notify.notify_one();
                 }
             }
@@ -454,7 +454,9 @@
             Probe::Silent => {
                 let now = self.site.now();
                 let contact = service.contact(server).unwrap_or_default();
-                contact.age(now).is_some_and(|age| age < RECENT_CONTACT)
+                contact
+                    .answer_age(now)
+                    .is_some_and(|age| age < RECENT_CONTACT)
             }
         }
     }
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -10,10 +10,10 @@
 use flamingopost_core::extent::Extent;
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
-use flamingopost_core::leader::{Leader, Role};
+use flamingopost_core::leader::{LeaderTracker, Role};
 use flamingopost_core::position::Position;
 use flamingopost_core::quorum::StoreLease;
-use flamingopost_core::succession::{Contact, Orders, Trouble};
+use flamingopost_core::succession::{Contact, PriorOrders, Trouble};
 use flamingopost_core::term::Term;
 use flamingopost_core::vouch::{SPACING, Vouch};
 use tokio::sync::{Notify, oneshot};
@@ -74,7 +74,7 @@
     dispatch: Dispatch,
     vouch: Vouch,
     extent: Extent,
-    leader: Leader,
+    leader: LeaderTracker,
     /// Since when the service has had only one server.
     single_server_since: Option<Duration>,
     check: PrimaryCheck,
@@ -85,7 +85,7 @@
     /// Last observed log position of the believed primary, while its check is incomplete.
     primary_position: Option<Position>,
     /// Whether a promotion may have been ordered without this host's knowledge.
-    orders: Orders,
+    orders: PriorOrders,
     no_primary_since: Option<Duration>,
     servers: BTreeMap<ServerKey, ServerEntry>,
     idle: BTreeMap<u64, ServerConnection<C>>,
@@ -151,13 +151,13 @@
                 dispatch: Dispatch::default(),
                 vouch: Vouch::default(),
                 extent: Extent::default(),
-                leader: Leader::default(),
+                leader: LeaderTracker::default(),
                 single_server_since: None,
                 check: PrimaryCheck::default(),
                 check_hold: None,
                 proven_primary: None,
                 primary_position: None,
-                orders: Orders::default(),
+                orders: PriorOrders::default(),
                 no_primary_since: Some(Duration::ZERO),
                 servers: BTreeMap::new(),
                 idle: BTreeMap::new(),
@@ -219,7 +219,7 @@
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         if let Some(entry) = state.servers.get_mut(&server) {
-            entry.contact.answered(now);
+            entry.contact.record_answer(now);
             entry.has_shown_position |= position.is_some();
         }
         let Some(position) = position else {
@@ -234,14 +234,14 @@
             server.record_position(proven, passed, now);
         }
         state.vouch.saw_term(position.term);
-        state.leader.saw_term(server, position.term);
+        state.leader.record_log_term(server, position.term);
         if led && !state.extent.lacks(position, sent) {
             state.vouch.led(position, sent);
-            state.leader.led(server, position.term);
+            state.leader.record_term_led(server, position.term);
             self.sample_arrived();
         }
         // New writes to an empty log would be mistaken for proof of the complete log.
-        if !state.leader.is_doubted(server) {
+        if !state.leader.is_distrusted(server) {
             state.record_position(server, position, now);
         }
     }
@@ -262,7 +262,7 @@
 
     /// Records that a server refused a request because it is not the primary.
     pub fn record_not_primary(self: &Rc<Self>, server: ServerKey) {
-        self.state.borrow_mut().leader.refused(server);
+        self.state.borrow_mut().leader.record_not_primary(server);
         self.refresh_leader();
     }
 
@@ -341,9 +341,9 @@
         {
             let mut state = self.state.borrow_mut();
             if let Some(entry) = state.servers.get_mut(&server) {
-                entry.contact.answered(now);
+                entry.contact.record_answer(now);
             }
-            state.leader.said(server, status.role, status.term);
+            state.leader.record_role(server, status.role, status.term);
             if status.role == Role::Primary {
                 state.vouch.saw_term(status.term);
             }
@@ -360,7 +360,7 @@
         {
             let mut state = self.state.borrow_mut();
             state.vouch.saw_term(term);
-            state.leader.said(server, Role::Primary, term);
+            state.leader.record_role(server, Role::Primary, term);
         }
         self.refresh_leader();
     }
@@ -378,9 +378,9 @@
             return;
         };
         match failure_kind(error) {
-            FailureKind::Refused => entry.contact.refused(now),
-            FailureKind::Silent => entry.contact.silent(sent),
-            FailureKind::None => entry.contact.answered(now),
+            FailureKind::Refused => entry.contact.record_refusal(now),
+            FailureKind::Silent => entry.contact.record_timeout(sent),
+            FailureKind::None => entry.contact.record_answer(now),
         }
         if matches!(failure_kind(error), FailureKind::Refused) {
             state.record_broken_connection(server);
@@ -396,7 +396,7 @@
     /// connection either.
     pub fn record_silence(&self, server: ServerKey, since: Duration) {
         if let Some(entry) = self.state.borrow_mut().servers.get_mut(&server) {
-            entry.contact.silent(since);
+            entry.contact.record_timeout(since);
         }
         self.failover_notify.notify_one();
     }
@@ -429,7 +429,7 @@
         let state = self.state.borrow();
         let entry = state.servers.get(&state.dispatch.leader()?)?;
         let oldest = entry.outstanding.values().min().copied()?;
-        let doubtful = entry.contact.waits(oldest, now);
+        let doubtful = entry.contact.is_overdue(oldest, now);
         doubtful.then(|| (entry.target.clone(), oldest))
     }
 
@@ -492,7 +492,7 @@
     /// Returns all servers that have shown that they lead, whether believed or not, each with the
     /// newest term in which it did.
     pub fn led_by(&self) -> BTreeMap<ServerKey, Term> {
-        self.state.borrow().leader.led_by()
+        self.state.borrow().leader.terms_led()
     }
 
     /// Returns the newest position of a primary's log that this host knows of.
@@ -511,7 +511,7 @@
             let mut state = self.state.borrow_mut();
             state.trust_only_server(now);
             let newest = state.vouch.term();
-            state.leader.began(newest);
+            state.leader.record_term_start(newest);
             let Some(change) = state.leader.refresh(now) else {
                 return;
             };
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -7,7 +7,7 @@
 use flamingopost_core::dispatch;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
-use flamingopost_core::succession::Grant;
+use flamingopost_core::succession::FencingToken;
 use flamingopost_core::term::Term;
 
 use super::{ResolvedServer, Service, State};
@@ -78,7 +78,7 @@
     /// Reports whether another server is the believed primary of a term that has not ended.
     fn has_successor(&self, server: ServerKey) -> bool {
         let leader = self.dispatch.leader().filter(|leader| *leader != server);
-        leader.is_some_and(|leader| !self.leader.is_over(leader))
+        leader.is_some_and(|leader| !self.leader.is_term_ended(leader))
     }
 
     /// Holds statements for the primary until its successor leads, from `from` until `until` at the
@@ -145,7 +145,7 @@
         if state.successor_hold.is_some() {
             return;
         }
-        state.orders.heard();
+        state.orders.record_complete();
         state.hold_for_successor(from, from + SUCCESSOR_HOLD, from);
     }
 
@@ -179,7 +179,7 @@
         });
         let id = ended.successor.id.clone();
         state.record_term_start(&peer::TermStart::new(id, ended.term(), ended.received()));
-        state.leader.end(ended.term(), successor);
+        state.leader.record_order(ended.term(), successor);
         let leads = state.dispatch.leader();
         let is_done = state.vouch.term() > ended.term() || leads.is_some() && leads == successor;
         if is_done {
@@ -224,12 +224,12 @@
     }
 
     /// Returns the newest known token of a promotion order for the service.
-    pub fn newest_order(&self) -> Option<Grant> {
+    pub fn newest_order(&self) -> Option<FencingToken> {
         let state = self.state.borrow();
         state
             .replacement
             .as_ref()
-            .map(|replacement| Grant(replacement.token))
+            .map(|replacement| FencingToken(replacement.token))
     }
 
     /// Reports whether the answers of `server` as a primary must be ignored because its term has
@@ -247,7 +247,7 @@
         let replaced = replacement.is_some_and(|replacement| now >= replacement.ignore_from);
         let succeeded = state.has_successor(server);
         let led = state.leader.term_led(server);
-        state.leader.is_over(server) && (replaced || succeeded || led < state.vouch.term())
+        state.leader.is_term_ended(server) && (replaced || succeeded || led < state.vouch.term())
     }
 
     /// Logs the acknowledgement of a write if the primary is being replaced.
@@ -277,7 +277,7 @@
     /// again, since the order may yet be carried out. Without a primary, the hosts look for the
     /// successor and order a promotion again.
     fn disown_primary(self: &Rc<Self>) {
-        self.state.borrow_mut().leader.disown();
+        self.state.borrow_mut().leader.give_up_ended_terms();
         self.refresh_leader();
     }
 
--- a/crates/proxy/src/service/log_loss.rs
+++ b/crates/proxy/src/service/log_loss.rs
@@ -69,7 +69,7 @@
         };
         let start = {
             let state = self.state.borrow();
-            let leads = state.leader.get() == Some(server);
+            let leads = state.leader.primary() == Some(server);
             let term = state.leader.term_led(server);
             leads.then_some(Position { term, log: 0 })
         };
@@ -84,7 +84,7 @@
         let now = self.site.now();
         let furthest = {
             let mut state = self.state.borrow_mut();
-            if state.leader.is_doubted(server) {
+            if state.leader.is_distrusted(server) {
                 return;
             }
             state.distrust(server, now);
@@ -102,7 +102,7 @@
 impl<C: Codec> State<C> {
     /// Discards everything that `server` has shown.
     pub(super) fn distrust(&mut self, server: ServerKey, now: Duration) {
-        self.leader.doubt(server);
+        self.leader.distrust(server);
         // An empty log does not contain the start of the term, which the server has shown as the
         // primary.
         if let Some(server) = self.dispatch.server_mut(server) {
--- a/crates/proxy/src/service/log_proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -12,7 +12,7 @@
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::Role;
 use flamingopost_core::position::Position;
-use flamingopost_core::succession::Orders;
+use flamingopost_core::succession::PriorOrders;
 use flamingopost_core::term::Term;
 
 use super::{ServerEntry, Service, State};
@@ -41,7 +41,7 @@
     /// Returns the evidence needed before `server`, which reports `status`, is believed to lead.
     pub fn missing_evidence(&self, server: ServerKey, status: &Status) -> MissingEvidence {
         let state = self.state.borrow();
-        match state.leader.get() == Some(server) && status.role == Role::Primary {
+        match state.leader.primary() == Some(server) && status.role == Role::Primary {
             true => state.missing_evidence(status.received),
             false => MissingEvidence::Nothing,
         }
@@ -51,10 +51,10 @@
     /// one.
     pub fn record_orders_known(&self) {
         let mut state = self.state.borrow_mut();
-        if state.orders == Orders::Heard {
+        if state.orders == PriorOrders::AllKnown {
             return;
         }
-        state.orders.heard();
+        state.orders.record_complete();
         state.recheck_leader(self.site.now());
         self.failover_notify.notify_one();
     }
@@ -62,10 +62,10 @@
     /// Records the newest term for which the store has a claim to replace the primary, if any.
     pub fn record_claims(&self, newest: Option<Term>) {
         let mut state = self.state.borrow_mut();
-        if state.orders != Orders::Unknown {
+        if state.orders != PriorOrders::Unknown {
             return;
         }
-        state.orders.claimed(newest);
+        state.orders.record_claim(newest);
         state.recheck_leader(self.site.now());
         self.failover_notify.notify_one();
     }
@@ -97,7 +97,7 @@
             if let Some(entry) = state.servers.get_mut(&server) {
                 entry.found_empty = !has_entries;
             }
-            state.leader.get() == Some(server)
+            state.leader.primary() == Some(server)
         };
         if leads {
             self.record_log_check(server, position, has_entries);
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -8,7 +8,7 @@
 use flamingopost_core::dispatch::Hold;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
-use flamingopost_core::succession::RETURN;
+use flamingopost_core::succession::RETURN_TIMEOUT;
 use flamingopost_core::term::Term;
 
 use super::{MissingEvidence, ServerEntry, Service, State};
@@ -91,8 +91,8 @@
         {
             state.record_leader_position(position, self.site.now());
         }
-        let doubted = state.leader.is_doubted(server);
-        let leads = state.leader.get() == Some(server);
+        let doubted = state.leader.is_distrusted(server);
+        let leads = state.leader.primary() == Some(server);
         let short = state.lacks_received_entries(server, position);
         if doubted && state.extent.proves(position) && !short {
             state.leader.trust(server);
@@ -155,7 +155,8 @@
     pub fn doubted(&self) -> BTreeSet<ServerKey> {
         let state = self.state.borrow();
         let keys = state.servers.keys().copied();
-        keys.filter(|key| state.leader.is_doubted(*key)).collect()
+        keys.filter(|key| state.leader.is_distrusted(*key))
+            .collect()
     }
 
     /// Returns the furthest log position seen at any server.
@@ -203,7 +204,7 @@
 
     /// Reports whether a server may lack entries of the service's log.
     pub fn is_doubted(&self, server: ServerKey) -> bool {
-        self.state.borrow().leader.is_doubted(server)
+        self.state.borrow().leader.is_distrusted(server)
     }
 }
 
@@ -227,7 +228,7 @@
     pub(super) fn proven_position(&self, server: ServerKey, position: Position) -> Position {
         let leads = self.dispatch.leader() == Some(server) && self.check_hold.is_none();
         let whole = position.log > 0 || leads || !self.extent.is_written();
-        match whole && !self.leader.is_doubted(server) {
+        match whole && !self.leader.is_distrusted(server) {
             true => position,
             false => Position::default(),
         }
@@ -389,7 +390,7 @@
     /// while no other server seems to lead for a moment. This host refuses to rely on it, so
     /// statements moved back and forth, with 25 changes of the believed primary within 100 ms.
     pub(super) fn is_successor(&self, leader: Option<ServerKey>) -> bool {
-        let Some(leader) = leader.filter(|leader| !self.leader.is_over(*leader)) else {
+        let Some(leader) = leader.filter(|leader| !self.leader.is_term_ended(*leader)) else {
             return false;
         };
         let entry = self.servers.get(&leader);
@@ -408,7 +409,7 @@
             return;
         }
         let since = *self.single_server_since.get_or_insert(now);
-        if now < since + RETURN {
+        if now < since + RETURN_TIMEOUT {
             return;
         }
         for server in self.servers.keys() {
