--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -7,7 +7,7 @@
 
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
-use flamingopost_core::promotion::Order;
+use flamingopost_core::promotion::OrderOutcome;
 use flamingopost_core::term::Term;
 use flamingopost_platform::group::{Client, Error, Status};
 
@@ -94,20 +94,20 @@
     }
 
     /// Promotes a server.
-    pub async fn promote(&self, server: ServerKey, term: Term, at_least: Position) -> Order {
+    pub async fn promote(&self, server: ServerKey, term: Term, at_least: Position) -> OrderOutcome {
         let Some(link) = self.link(server) else {
-            return Order::Refused;
+            return OrderOutcome::Refused;
         };
         let mut client = link.client.lock().await;
         let Ok(connected) = link.connected(&mut client).await else {
-            return Order::Unknown;
+            return OrderOutcome::Unknown;
         };
         let ordered = connected.promote(term, Some(at_least)).await;
         forget_broken(&mut client, &ordered);
         match ordered {
-            Ok(()) => Order::Done,
-            Err(Error::Refused(_)) => Order::Refused,
-            Err(_) => Order::Unknown,
+            Ok(()) => OrderOutcome::Done,
+            Err(Error::Refused(_)) => OrderOutcome::Refused,
+            Err(_) => OrderOutcome::Unknown,
         }
     }
 
--- a/crates/control/src/shard.rs
+++ b/crates/control/src/shard.rs
@@ -11,7 +11,7 @@
 use flamingopost_core::key::{HostKey, ServerKey, ServiceKey};
 use flamingopost_core::leadership::{self, Controller, Group};
 use flamingopost_core::lease::Instance;
-use flamingopost_core::membership::{Leaving, Member, Membership, Process, Reason};
+use flamingopost_core::membership::{LeavingServers, Member, Membership, Process, Reason};
 use flamingopost_core::row;
 use flamingopost_platform::group::Status;
 use flamingopost_platform::table::Tag;
@@ -67,7 +67,7 @@
     /// Connections granted to each, for operators.
     pub(crate) granted: BTreeMap<Instance, u32>,
     pub(crate) membership: Membership,
-    pub(crate) leaving: Leaving,
+    pub(crate) leaving: LeavingServers,
     /// Entry hosts that operators want to end.
     pub(crate) drained: BTreeSet<HostKey>,
     /// What each server last said, and when it was asked.
@@ -101,7 +101,7 @@
             keeper: Keeper::default(),
             granted: BTreeMap::new(),
             membership: Membership::default(),
-            leaving: Leaving::default(),
+            leaving: LeavingServers::default(),
             drained: BTreeSet::new(),
             statuses: BTreeMap::new(),
             config: None,
@@ -121,7 +121,7 @@
     }
 
     fn note_lead(&mut self, now: Duration) {
-        let leads = self.controller.leads(now).is_some();
+        let leads = self.controller.leading_epoch(now).is_some();
         if leads && !self.led {
             self.budgets.restart();
         }
@@ -235,9 +235,9 @@
         self.drained.clone_from(&hints.ended);
         let hosts = hints.hosts.iter();
         self.membership
-            .listed(hosts.map(|(host, hint)| (*host, *hint)).collect());
+            .set_listed_hosts(hosts.map(|(host, hint)| (*host, *hint)).collect());
         if !hints.zones.is_empty() {
-            self.controller.list(hints.zones.clone());
+            self.controller.set_listed_zones(hints.zones.clone());
         }
         if changed {
             self.set_groups();
@@ -254,7 +254,7 @@
             let names = order.iter();
             names.map(|host| directory.hosts.intern(host)).collect()
         });
-        self.controller.candidates(hosts);
+        self.controller.set_standby_candidates(hosts);
         self.membership.forget(now);
         self.leases.retain(|_, until| *until > now);
         let known: Vec<Instance> = self.membership.members().map(instance).collect();
@@ -281,13 +281,13 @@
                 Some(decoded.ok()?)
             }
         };
-        let ask = flamingopost_core::authority::Ask {
+        let ask = flamingopost_core::authority::Heartbeat {
             epoch: ask.epoch,
-            promise: ask.promise,
+            wants_promise: ask.promise,
             revision: ask.revision,
             row,
         };
-        Some(self.controller.asked(&ask, self.shared.now()).into())
+        Some(self.controller.on_heartbeat(&ask, self.shared.now()).into())
     }
 
     pub(crate) fn give_up(&mut self, release: &Release) -> Released {
@@ -297,7 +297,7 @@
         Released {
             incarnation: released.incarnation,
             leases_ms: millis(released.leases),
-            witness: released.witness,
+            witness: released.witnessed_epoch,
             row: row.and_then(|row| flamingopost_wire::row::Row::encode(row, &directory).ok()),
         }
     }
@@ -308,7 +308,7 @@
         let Some(key) = key.filter(|key| self.serves(*key)) else {
             return Ordered::NoSuchService;
         };
-        if self.controller.leads(now).is_none() {
+        if self.controller.leading_epoch(now).is_none() {
             return Ordered::NoSuchService;
         }
         let state = self
--- a/crates/control/src/shard_effect.rs
+++ b/crates/control/src/shard_effect.rs
@@ -9,8 +9,8 @@
 use flamingopost_core::leadership::Action;
 use flamingopost_core::lease::Instance;
 use flamingopost_core::position::Position;
-use flamingopost_core::promotion::{Order, Status};
-use flamingopost_core::row::{Row, Written};
+use flamingopost_core::promotion::{OrderOutcome, Status};
+use flamingopost_core::row::{Row, WriteOutcome};
 use flamingopost_core::term::Term;
 use flamingopost_core::view::Version;
 use flamingopost_daemon::event::Event as _;
@@ -35,11 +35,11 @@
     pub(crate) fn perform(&mut self, action: Action, ctx: &mut Ctx) {
         match action {
             Action::Read => self.read(ctx),
-            Action::Write { row, over } => self.write(&row, over, ctx),
+            Action::Write { row, replaces } => self.write(&row, replaces, ctx),
             // A standby that no longer hears of this controller claims the shard and asks for
             // its release. Until then leases are granted as ever, so writes hardly notice.
-            Action::Ask { .. } if self.retiring => {}
-            Action::Ask { host, ask } => self.ask(host, ask, ctx),
+            Action::Heartbeat { .. } if self.retiring => {}
+            Action::Heartbeat { host, heartbeat } => self.ask(host, heartbeat, ctx),
             Action::Release { host, epoch } => self.release(host, epoch, ctx),
             Action::Close { to, view } => {
                 let message = self.message(&view);
@@ -53,7 +53,7 @@
                     self.publish(holder, message.clone(), ctx);
                 }
             }
-            Action::Status(server) => self.status(server, ctx),
+            Action::QueryStatus(server) => self.status(server, ctx),
             Action::Promote {
                 server,
                 term,
@@ -102,12 +102,12 @@
             if self.leaves_to_another() {
                 return;
             }
-            return self.controller.read(read.sent, None, now);
+            return self.controller.on_row_read(read.sent, None, now);
         };
         match row::decode(self.number, &stored.body, &self.shared) {
             Ok(row) => {
                 self.tag = Some((row.revision, stored.tag.clone()));
-                self.controller.read(read.sent, Some(&row), now);
+                self.controller.on_row_read(read.sent, Some(&row), now);
             }
             // Whoever wrote it is newer than this program: it neither leads nor claims.
             Err(error) => {
@@ -123,7 +123,9 @@
             // Nothing is sent: the table's row is not the one to replace, as far as known. The
             // machine reads at once and tries again.
             let now = self.shared.now();
-            return self.controller.written(revision, Written::NotDone, now);
+            return self
+                .controller
+                .on_write_outcome(revision, WriteOutcome::NotDone, now);
         };
         let shared = self.shared.clone();
         let writing = async move { shared.platform().write(vec![change]).await };
@@ -158,19 +160,19 @@
             Ok(Outcome::Done(tags)) => {
                 let tag: Option<Tag> = tags.into_iter().next();
                 self.tag = tag.map(|tag| (revision, tag));
-                Written::Done
+                WriteOutcome::Done
             }
-            Ok(Outcome::Lost) => Written::NotDone,
+            Ok(Outcome::Lost) => WriteOutcome::NotDone,
             Err(error) => match error.effect() {
-                Effect::None => Written::NotDone,
-                Effect::Unknown => Written::Unknown,
+                Effect::None => WriteOutcome::NotDone,
+                Effect::Unknown => WriteOutcome::Unknown,
             },
         };
         let now = self.shared.now();
-        self.controller.written(revision, written, now);
+        self.controller.on_write_outcome(revision, written, now);
     }
 
-    fn ask(&mut self, host: HostKey, ask: authority::Ask, ctx: &mut Ctx) {
+    fn ask(&mut self, host: HostKey, ask: authority::Heartbeat, ctx: &mut Ctx) {
         let Some(address) = self.address(host) else {
             return;
         };
@@ -182,7 +184,7 @@
             epoch: ask.epoch,
             controller: self.shared.process().host.clone(),
             rpc: self.shared.process().rpc.clone(),
-            promise: ask.promise,
+            promise: ask.wants_promise,
             revision: ask.revision,
             row,
         };
@@ -197,7 +199,7 @@
                 let now = shard.shared.now();
                 shard
                     .controller
-                    .promised(host, sent, (&promise).into(), now);
+                    .on_promise(host, sent, (&promise).into(), now);
                 shard.step(ctx);
             }
         }));
@@ -219,14 +221,14 @@
             Some(authority::Released {
                 incarnation: released.incarnation,
                 leases: Duration::from_millis(released.leases_ms),
-                witness: released.witness,
+                witnessed_epoch: released.witness,
                 row,
             })
         };
         ctx.spawn(releasing.into_actor(self).map(move |released, shard, ctx| {
             if let Some(released) = released {
                 let now = shard.shared.now();
-                shard.controller.released(host, &released, now);
+                shard.controller.on_released(host, &released, now);
                 shard.step(ctx);
             }
         }));
@@ -277,7 +279,7 @@
             acknowledged.insert(service, position);
         }
         let version: Version = closed.version.into();
-        self.controller.closed(holder, version, &acknowledged);
+        self.controller.on_closed(holder, version, &acknowledged);
     }
 
     fn publish(&mut self, holder: Instance, message: Close, ctx: &mut Ctx) {
@@ -311,7 +313,7 @@
             Some(status) => {
                 self.statuses.insert(server, (sent, status));
                 let reason = flamingopost_core::membership::Reason::Server;
-                self.leaving.say(reason, server, status.leaving);
+                self.leaving.set_leaving(reason, server, status.leaving);
             }
             None => {
                 self.statuses.remove(&server);
@@ -324,7 +326,7 @@
             age: status.age,
             leaving: status.leaving,
         });
-        self.controller.status(server, sent, status);
+        self.controller.on_status(server, sent, status);
     }
 
     fn promote(&mut self, server: ServerKey, term: Term, at_least: Position, ctx: &mut Ctx) {
@@ -333,9 +335,9 @@
         ctx.spawn(
             ordering
                 .into_actor(self)
-                .map(move |order: Order, shard, ctx| {
+                .map(move |order: OrderOutcome, shard, ctx| {
                     let now = shard.shared.now();
-                    shard.controller.promoted(server, term, order, now);
+                    shard.controller.on_promoted(server, term, order, now);
                     shard.step(ctx);
                 }),
         );
--- a/crates/control/src/shard_lease.rs
+++ b/crates/control/src/shard_lease.rs
@@ -22,12 +22,12 @@
         let holder = decoded.holder;
         let member = Member {
             zone: decoded.zone,
-            heard: now,
+            last_heartbeat: now,
             config: renewal.config,
             stopping: renewal.stopping,
         };
         self.membership.heartbeat(process(holder), member);
-        match self.controller.renewal(&decoded, now) {
+        match self.controller.on_renewal(&decoded, now) {
             Reply::Refused { controller } => lease::Reply::Refused(self.refusal(controller)),
             Reply::Granted {
                 version,
--- a/crates/control/src/shard_status.rs
+++ b/crates/control/src/shard_status.rs
@@ -15,7 +15,7 @@
 /// The state of `shard`, where this process leads it.
 pub(crate) fn report(shard: &Shard) -> Option<Status> {
     let now = shard.shared.now();
-    let epoch = shard.controller.leads(now)?;
+    let epoch = shard.controller.leading_epoch(now)?;
     let members = shard.membership.members();
     let row = shard.controller.row()?;
     let config = shard.config.as_ref()?;
--- a/crates/control/tests/common/holder.rs
+++ b/crates/control/tests/common/holder.rs
@@ -25,7 +25,7 @@
 use super::{SERVICE, TOKEN};
 
 struct State {
-    holder: lease::Holder,
+    holder: lease::LeaseHolder,
     directory: Directory,
     unreachable: BTreeSet<String>,
     allotment: BTreeMap<String, u16>,
@@ -52,7 +52,7 @@
     pub async fn start(name: &str, zone: &str, controls: Vec<SocketAddr>) -> Host {
         let incarnation = flamingopost_daemon::incarnation::draw();
         let state = Arc::new(Mutex::new(State {
-            holder: lease::Holder::new(incarnation),
+            holder: lease::LeaseHolder::new(incarnation),
             directory: Directory::default(),
             unreachable: BTreeSet::new(),
             allotment: BTreeMap::new(),
@@ -211,7 +211,7 @@
         let version = grant.version.into();
         let granted = state
             .holder
-            .granted(ticket, version, valid, view, Boot.now());
+            .on_granted(ticket, version, valid, view, Boot.now());
         state.drained = grant.drain;
         state.allotment = grant.allotment;
         let floors = grant.floors.into_iter();
--- a/crates/core/src/authority.rs
+++ b/crates/core/src/authority.rs
@@ -24,25 +24,25 @@
 
 use std::time::Duration;
 
-pub use holder::{Holder, Write};
-pub use standby::{Claim, Seat, Standby};
+pub use holder::{RowWrite, ShardAuthority};
+pub use standby::{Claim, ClaimOutcome, Standby};
 
 use crate::row::Row;
 
 /// A controller tells a host that it is there, and may ask it not to claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct Heartbeat {
     /// Epoch of the asking authority.
     pub epoch: u32,
     /// Whether a promise is wanted.
-    pub promise: bool,
+    pub wants_promise: bool,
     /// Revision of the controller's row.
     pub revision: u64,
     /// The row, where the host is not known to have it.
     pub row: Option<Row>,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`Heartbeat`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Promise {
     /// The process that answers.
@@ -65,7 +65,7 @@
     /// How long leases that it granted, or had to wait out itself, may still run.
     pub leases: Duration,
     /// The epoch of which it knows all that was decided; 0 when there is none.
-    pub witness: u32,
+    pub witnessed_epoch: u32,
     /// What it knows of the shard.
     pub row: Option<Row>,
 }
--- a/crates/core/src/authority_holder.rs
+++ b/crates/core/src/authority_holder.rs
@@ -1,14 +1,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::{Ask, Promise, Released};
+use super::{Heartbeat, Promise, Released};
 use crate::key::HostKey;
-use crate::row::{Row, Service, Written};
+use crate::row::{Row, Service, WriteOutcome};
 use crate::{key::ServiceKey, timing};
 
 /// The authority of a controller over its shard, and the row that it keeps.
 #[derive(Debug)]
-pub struct Holder {
+pub struct ShardAuthority {
     me: HostKey,
     incarnation: u64,
     epoch: u32,
@@ -59,14 +59,14 @@
 
 /// A compare-and-set that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Write {
+pub struct RowWrite {
     /// The row to write.
     pub row: Row,
     /// Revision of the row that it replaces.
-    pub over: u64,
+    pub replaces: u64,
 }
 
-impl Holder {
+impl ShardAuthority {
     /// The authority of a process whose claim put `row` into the table. The claim was sent at
     /// `sent`; `predecessor` is the process that the replaced row named.
     pub fn new(
@@ -74,14 +74,14 @@
         predecessor: Option<(HostKey, u64)>,
         sent: Duration,
         now: Duration,
-    ) -> Holder {
+    ) -> ShardAuthority {
         // The old controller may have sent its last read just before the claim took effect,
         // which was no later than now. Without a predecessor there is nobody to wait for.
         let settled = match predecessor {
             Some(_) => now + timing::AUTHORITY,
             None => now,
         };
-        Holder {
+        ShardAuthority {
             me: row.controller,
             incarnation: row.incarnation,
             epoch: row.epoch,
@@ -112,12 +112,12 @@
     }
 
     /// Whether another process is known to have replaced this one.
-    pub fn is_over(&self) -> bool {
+    pub fn is_replaced(&self) -> bool {
         self.over
     }
 
     /// Until when the row is known to name this process.
-    pub fn until(&self) -> Duration {
+    pub fn valid_until(&self) -> Duration {
         if self.over {
             return Duration::ZERO;
         }
@@ -126,25 +126,25 @@
     }
 
     /// From when the authority that this one replaced is over.
-    pub fn settled(&self) -> Duration {
+    pub fn settled_at(&self) -> Duration {
         self.settled
     }
 
     /// Whether this process may act for the shard at `now`.
     pub fn may_act(&self, now: Duration) -> bool {
-        now >= self.settled && now < self.until()
+        now >= self.settled && now < self.valid_until()
     }
 
     /// The longest lease that may be granted at `now`: none outlives the authority behind it.
-    pub fn lease(&self, now: Duration) -> Duration {
+    pub fn max_lease(&self, now: Duration) -> Duration {
         if !self.may_act(now) {
             return Duration::ZERO;
         }
-        self.until().saturating_sub(now).min(timing::LEASE)
+        self.valid_until().saturating_sub(now).min(timing::LEASE)
     }
 
     /// Takes what a read of the table, sent at `sent`, found.
-    pub fn read(&mut self, sent: Duration, row: Option<&Row>) {
+    pub fn on_row_read(&mut self, sent: Duration, row: Option<&Row>) {
         let Some(row) = row else {
             self.over = true;
             return;
@@ -164,26 +164,26 @@
     }
 
     /// Takes the answer to the write of `revision`.
-    pub fn written(&mut self, revision: u64, written: Written) {
+    pub fn on_write_outcome(&mut self, revision: u64, written: WriteOutcome) {
         let ours = |writing: &Sent| writing.revision == revision;
         let Some(writing) = self.writing.take_if(|writing| ours(writing)) else {
             return;
         };
         match written {
-            Written::Done => {
+            WriteOutcome::Done => {
                 self.read_sent = self.read_sent.max(writing.sent);
                 self.unsettled.push(writing);
                 self.confirm(revision);
             }
             // Somebody else's row, or an earlier write of this process that was thought lost:
             // the next read tells.
-            Written::NotDone => {}
-            Written::Unknown => self.unsettle(writing),
+            WriteOutcome::NotDone => {}
+            WriteOutcome::Unknown => self.unsettle(writing),
         }
     }
 
     /// Takes a standby's answer, at `now`, to an ask that was sent at `sent`.
-    pub fn promised(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
+    pub fn on_promise(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
         if promise.epoch > self.epoch {
             // Its epoch comes from a row that it has read, so this process has been replaced; or
             // it is claiming, and the table will tell. Either way its promise is not given.
@@ -208,7 +208,7 @@
 
     /// Takes the answer of the replaced controller at `host`: its leases are waited for instead
     /// of its authority.
-    pub fn released(&mut self, host: HostKey, released: &Released, now: Duration) {
+    pub fn on_released(&mut self, host: HostKey, released: &Released, now: Duration) {
         if let Some(row) = &released.row {
             self.learn(row);
         }
@@ -227,7 +227,7 @@
     }
 
     /// Sets the state of a service and returns the revision that has to be committed for it.
-    pub fn set(&mut self, key: ServiceKey, service: Service) -> u64 {
+    pub fn set_service(&mut self, key: ServiceKey, service: Service) -> u64 {
         self.row.services.insert(key, service);
         self.row.revision += 1;
         self.row.revision
@@ -235,12 +235,12 @@
 
     /// The revision that a successor is sure to know of: it is in the table, or every standby
     /// that could claim has it.
-    pub fn committed(&self) -> u64 {
+    pub fn committed_revision(&self) -> u64 {
         self.confirmed.revision.max(self.kept_by_standbys())
     }
 
     /// The write to send at `now`, if one is due and none is under way.
-    pub fn write(&mut self, now: Duration) -> Option<Write> {
+    pub fn next_write(&mut self, now: Duration) -> Option<RowWrite> {
         if self.over || self.writing.is_some() {
             return None;
         }
@@ -257,19 +257,23 @@
             sent: now,
         };
         self.writing = Some(writing);
-        Some(Write {
+        Some(RowWrite {
             row: self.row.clone(),
-            over: self.confirmed.revision,
+            replaces: self.confirmed.revision,
         })
     }
 
     /// Whether no write has failed since the table last answered, so the next need not wait.
-    pub fn is_urgent(&self) -> bool {
+    pub fn may_write_at_once(&self) -> bool {
         self.unsettled.is_empty()
     }
 
     /// The asks to send at `now`: heartbeats, and promises where the table is silent.
-    pub fn asks(&mut self, candidates: &[HostKey], now: Duration) -> Vec<(HostKey, Ask)> {
+    pub fn heartbeats(
+        &mut self,
+        candidates: &[HostKey],
+        now: Duration,
+    ) -> Vec<(HostKey, Heartbeat)> {
         if self.over {
             return Vec::new();
         }
@@ -291,9 +295,9 @@
                 continue;
             }
             peer.asked = Some(now);
-            let ask = Ask {
+            let ask = Heartbeat {
                 epoch: self.epoch,
-                promise,
+                wants_promise: promise,
                 revision: self.row.revision,
                 row: behind.then(|| self.row.clone()),
             };
@@ -304,7 +308,7 @@
 
     /// Names standbys among `candidates`, best first, where some are missing or silent. Only
     /// hosts that answer are named: one that cannot hear this process would claim at once.
-    pub fn name(&mut self, candidates: &[HostKey], now: Duration) {
+    pub fn choose_standbys(&mut self, candidates: &[HostKey], now: Duration) {
         // While the table is silent, each new name would only add to those who must promise.
         if self.over || !self.unsettled.is_empty() || self.needs_promises(now) {
             return;
@@ -340,13 +344,13 @@
         Released {
             incarnation: self.incarnation,
             leases: leases.max(self.settled.saturating_sub(now)),
-            witness: self.epoch,
+            witnessed_epoch: self.epoch,
             row: Some(self.row.clone()),
         }
     }
 
     /// Hosts from which a successor may want to hear: the predecessor and all who were named.
-    pub fn witnesses(&self) -> BTreeSet<HostKey> {
+    pub fn possible_witnesses(&self) -> BTreeSet<HostKey> {
         let mut hosts = self.named();
         hosts.extend(self.predecessor.map(|(host, _)| host));
         hosts.remove(&self.me);
--- a/crates/core/src/authority_standby.rs
+++ b/crates/core/src/authority_standby.rs
@@ -1,9 +1,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::{Ask, Promise};
+use super::{Heartbeat, Promise};
 use crate::key::HostKey;
-use crate::row::{Row, Written};
+use crate::row::{Row, WriteOutcome};
 use crate::timing;
 
 /// What a process that does not control a shard keeps: its promise, what it knows of the row, and
@@ -53,16 +53,16 @@
     /// The new row.
     pub row: Row,
     /// Revision that it replaces; `None` where there is no row.
-    pub over: Option<u64>,
+    pub replaces: Option<u64>,
 }
 
 /// What the table or a claim's answer showed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seat {
+pub enum ClaimOutcome {
     /// Nothing changed for this process.
-    Aside,
+    Unchanged,
     /// This process has set the row; it controls the shard once the old authority is over.
-    Taken {
+    Won {
         /// The row.
         row: Row,
         /// The process that the replaced row named.
@@ -70,7 +70,7 @@
         /// When the claim was first sent.
         sent: Duration,
         /// The epoch that is replaced; 0 where there was no row.
-        replaced: u32,
+        replaced_epoch: u32,
         /// Whether this process knows all that was decided under that epoch.
         witnessed: bool,
     },
@@ -95,17 +95,17 @@
     }
 
     /// Notes that an authority of `epoch` exists: nothing is promised below it from now on.
-    pub fn meet(&mut self, epoch: u32) {
+    pub fn observe_epoch(&mut self, epoch: u32) {
         self.epoch = self.epoch.max(epoch);
     }
 
     /// Counts silence from `now`: this process has just been replaced, so somebody is there.
-    pub fn rest(&mut self, now: Duration) {
+    pub fn restart_silence(&mut self, now: Duration) {
         self.heard = now;
     }
 
     /// Answers a controller. A promise forbids this process to claim until it has lapsed.
-    pub fn asked(&mut self, ask: &Ask, now: Duration) -> Promise {
+    pub fn on_heartbeat(&mut self, ask: &Heartbeat, now: Duration) -> Promise {
         // A claim that may yet take effect: a promise now would let the old controller go on
         // after this process has replaced it.
         if ask.epoch < self.epoch || self.attempt.is_some() {
@@ -119,12 +119,12 @@
         if self.revision(ask.epoch) >= ask.revision {
             self.witness = ask.epoch;
         }
-        if ask.promise {
+        if ask.wants_promise {
             self.promised = self.promised.max(now + timing::PROMISE);
         }
         Promise {
             incarnation: self.incarnation,
-            given: ask.promise,
+            given: ask.wants_promise,
             valid: timing::PROMISE,
             epoch: self.epoch,
             revision: self.revision(ask.epoch),
@@ -132,10 +132,10 @@
     }
 
     /// Takes what a read of the table, sent by this process, found.
-    pub fn read(&mut self, row: Option<&Row>, now: Duration) -> Seat {
+    pub fn on_row_read(&mut self, row: Option<&Row>, now: Duration) -> ClaimOutcome {
         self.see(row, now);
         let Some(attempt) = &self.attempt else {
-            return Seat::Aside;
+            return ClaimOutcome::Unchanged;
         };
         if row == Some(&attempt.row) {
             return self.taken();
@@ -144,23 +144,23 @@
         if row.map(|row| row.revision) != attempt.over {
             self.attempt = None;
         }
-        Seat::Aside
+        ClaimOutcome::Unchanged
     }
 
     /// Takes the answer to a claim.
-    pub fn written(&mut self, written: Written) -> Seat {
+    pub fn on_claim_outcome(&mut self, written: WriteOutcome) -> ClaimOutcome {
         match (written, &mut self.attempt) {
-            (Written::Done, Some(_)) => self.taken(),
-            (Written::NotDone, Some(attempt)) if !attempt.lost => {
+            (WriteOutcome::Done, Some(_)) => self.taken(),
+            (WriteOutcome::NotDone, Some(attempt)) if !attempt.lost => {
                 self.attempt = None;
                 self.table = None;
-                Seat::Aside
+                ClaimOutcome::Unchanged
             }
             (_, Some(attempt)) => {
                 attempt.lost = true;
-                Seat::Aside
+                ClaimOutcome::Unchanged
             }
-            (_, None) => Seat::Aside,
+            (_, None) => ClaimOutcome::Unchanged,
         }
     }
 
@@ -179,12 +179,12 @@
         let attempt = self.attempt.as_ref()?;
         Some(Claim {
             row: attempt.row.clone(),
-            over: attempt.over,
+            replaces: attempt.over,
         })
     }
 
     /// What this process knows of the shard; a claimer asks for it.
-    pub fn known(&self) -> Option<&Row> {
+    pub fn known_row(&self) -> Option<&Row> {
         self.known.as_ref()
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// How often this process reads the row.
-    pub fn read_every(&self) -> Duration {
+    pub fn read_interval(&self) -> Duration {
         let table = self.table.as_ref().and_then(|seen| seen.row.as_ref());
         match table {
             Some(row) if !row.standbys.contains(&self.me) => timing::READ_ASIDE,
@@ -212,7 +212,7 @@
     }
 
     /// The epoch whose controller has told this process all that it decided; 0 for none.
-    pub fn witness(&self) -> u32 {
+    pub fn witnessed_epoch(&self) -> u32 {
         self.witness
     }
 
@@ -249,7 +249,7 @@
         // would not answer, and the controller would stop for want of this promise. A promise is
         // kept although the wait after the claim covers it as well, as long as PROMISE is not
         // longer than AUTHORITY: safety does not hang on how the two are set.
-        if now > seen.last + self.read_every() * 2 || now < self.promised {
+        if now > seen.last + self.read_interval() * 2 || now < self.promised {
             return false;
         }
         match &seen.row {
@@ -307,16 +307,16 @@
         }
     }
 
-    fn taken(&mut self) -> Seat {
+    fn taken(&mut self) -> ClaimOutcome {
         match self.attempt.take() {
-            Some(attempt) => Seat::Taken {
+            Some(attempt) => ClaimOutcome::Won {
                 row: attempt.row,
                 predecessor: attempt.predecessor,
                 sent: attempt.sent,
-                replaced: attempt.replaced,
+                replaced_epoch: attempt.replaced,
                 witnessed: attempt.witnessed,
             },
-            None => Seat::Aside,
+            None => ClaimOutcome::Unchanged,
         }
     }
 
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -4,13 +4,13 @@
 //!
 //! 1. every few tens of milliseconds, and after each event, call [`Controller::step`] and carry
 //!    out the actions, none of which waits for another;
-//! 2. hand each outcome back: [`Controller::read`], [`Controller::written`],
-//!    [`Controller::promised`], [`Controller::released`], [`Controller::closed`],
-//!    [`Controller::status`], [`Controller::promoted`]; an action without an answer in time is
+//! 2. hand each outcome back: [`Controller::on_row_read`], [`Controller::on_write_outcome`],
+//!    [`Controller::on_promise`], [`Controller::on_released`], [`Controller::on_closed`],
+//!    [`Controller::on_status`], [`Controller::on_promoted`]; an action without an answer in time is
 //!    handed back as unknown, or not at all where there is no such outcome;
-//! 3. answer other processes: [`Controller::asked`], [`Controller::release`],
-//!    [`Controller::renewal`];
-//! 4. tell it of changes: [`Controller::configure`], [`Controller::candidates`].
+//! 3. answer other processes: [`Controller::on_heartbeat`], [`Controller::release`],
+//!    [`Controller::on_renewal`];
+//! 4. tell it of changes: [`Controller::configure`], [`Controller::set_standby_candidates`].
 //!
 //! A new view is sent to each holder in [`Action::Publish`] and comes with the next grant
 //! otherwise. After a restart everything starts from [`Controller::new`], with a new incarnation.
@@ -23,12 +23,12 @@
 
 use lead::Lead;
 
-use crate::authority::{Ask, Holder, Promise, Released, Seat, Standby};
+use crate::authority::{ClaimOutcome, Heartbeat, Promise, Released, ShardAuthority, Standby};
 use crate::key::{HostKey, ServerKey, ServiceKey, ZoneKey};
 use crate::lease::{Instance, Ledger};
 use crate::position::Position;
-use crate::promotion::{Order, Reason, Status};
-use crate::row::{Loss, Row, Written};
+use crate::promotion::{OrderOutcome, Reason, Status};
+use crate::row::{Loss, Row, WriteOutcome};
 use crate::suspicion::Report;
 use crate::term::Term;
 use crate::timing;
@@ -114,24 +114,24 @@
 /// What a daemon has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Read the shard's row; hand the result to [`Controller::read`].
+    /// Read the shard's row; hand the result to [`Controller::on_row_read`].
     Read,
     /// Replace the row of revision `over` by `row`, by compare-and-set; `None`: there must be no
-    /// row. Hand the outcome to [`Controller::written`].
+    /// row. Hand the outcome to [`Controller::on_write_outcome`].
     Write {
         /// The new row.
         row: Row,
         /// Revision of the row that it replaces.
-        over: Option<u64>,
+        replaces: Option<u64>,
     },
-    /// Send `ask` to a host; hand the answer to [`Controller::promised`].
-    Ask {
+    /// Send `heartbeat` to a host; hand the answer to [`Controller::on_promise`].
+    Heartbeat {
         /// The host.
         host: HostKey,
         /// What it is asked.
-        ask: Ask,
+        heartbeat: Heartbeat,
     },
-    /// Ask a host to give up below `epoch`; hand the answer to [`Controller::released`].
+    /// Ask a host to give up below `epoch`; hand the answer to [`Controller::on_released`].
     Release {
         /// The host.
         host: HostKey,
@@ -139,7 +139,7 @@
         epoch: u32,
     },
     /// Send `view` to lease holders and have them close what it shows as closed; hand the
-    /// answers to [`Controller::closed`].
+    /// answers to [`Controller::on_closed`].
     Close {
         /// The holders.
         to: Vec<Instance>,
@@ -153,9 +153,9 @@
         /// The view.
         view: view::Shard,
     },
-    /// Ask a server about itself; hand the answer to [`Controller::status`].
-    Status(ServerKey),
-    /// Promote a server; hand the outcome to [`Controller::promoted`].
+    /// Ask a server about itself; hand the answer to [`Controller::on_status`].
+    QueryStatus(ServerKey),
+    /// Promote a server; hand the outcome to [`Controller::on_promoted`].
     Promote {
         /// The server.
         server: ServerKey,
@@ -247,12 +247,12 @@
 
     /// Sets the hosts that may be named standbys, best first: some in other zones than this
     /// one's and each other's come first.
-    pub fn candidates(&mut self, hosts: Vec<HostKey>) {
+    pub fn set_standby_candidates(&mut self, hosts: Vec<HostKey>) {
         self.candidates = hosts;
     }
 
     /// Sets the zones in which the platform's list has hosts.
-    pub fn list(&mut self, zones: BTreeSet<ZoneKey>) {
+    pub fn set_listed_zones(&mut self, zones: BTreeSet<ZoneKey>) {
         if let Role::Lead(lead) = &mut self.role {
             lead.judge.list(zones);
         }
@@ -284,8 +284,11 @@
                 {
                     self.claim_sent = Some(now);
                     self.claiming = true;
-                    let (row, over) = (claim.row, claim.over);
-                    actions.push(Action::Write { row, over });
+                    let (row, over) = (claim.row, claim.replaces);
+                    actions.push(Action::Write {
+                        row,
+                        replaces: over,
+                    });
                 }
             }
             Role::Lead(lead) => {
@@ -304,35 +307,35 @@
 
     /// Takes the row that a read sent at `sent` found; `None` where there is none. A read that
     /// failed is not handed in.
-    pub fn read(&mut self, sent: Duration, row: Option<&Row>, now: Duration) {
+    pub fn on_row_read(&mut self, sent: Duration, row: Option<&Row>, now: Duration) {
         match &mut self.role {
             Role::Standby(standby) => {
-                let seat = standby.read(row, now);
+                let seat = standby.on_row_read(row, now);
                 self.sit(seat, now);
             }
-            Role::Lead(lead) => lead.holder.read(sent, row),
+            Role::Lead(lead) => lead.holder.on_row_read(sent, row),
         }
     }
 
     /// Takes the outcome of the write of `revision`.
-    pub fn written(&mut self, revision: u64, written: Written, now: Duration) {
-        if written != Written::Done {
+    pub fn on_write_outcome(&mut self, revision: u64, written: WriteOutcome, now: Duration) {
+        if written != WriteOutcome::Done {
             self.read_sent = None;
         }
         match &mut self.role {
             Role::Standby(standby) => {
                 self.claiming = false;
-                let seat = standby.written(written);
+                let seat = standby.on_claim_outcome(written);
                 self.sit(seat, now);
             }
-            Role::Lead(lead) => lead.holder.written(revision, written),
+            Role::Lead(lead) => lead.holder.on_write_outcome(revision, written),
         }
     }
 
     /// Answers a controller's ask.
-    pub fn asked(&mut self, ask: &Ask, now: Duration) -> Promise {
+    pub fn on_heartbeat(&mut self, ask: &Heartbeat, now: Duration) -> Promise {
         match &mut self.role {
-            Role::Standby(standby) => standby.asked(ask, now),
+            Role::Standby(standby) => standby.on_heartbeat(ask, now),
             Role::Lead(lead) => Promise {
                 incarnation: self.incarnation,
                 given: false,
@@ -344,26 +347,26 @@
     }
 
     /// Takes the answer, at `now`, to an ask that was sent at `sent`.
-    pub fn promised(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
+    pub fn on_promise(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.holder.promised(host, sent, promise, now);
+            lead.holder.on_promise(host, sent, promise, now);
         }
     }
 
     /// Gives up below the successor's `epoch`, and tells it what to wait for and what is known.
     pub fn release(&mut self, epoch: u32, now: Duration) -> Released {
-        let leases = self.ledger.longest(now);
+        let leases = self.ledger.longest_remaining(now);
         let leases = leases.max(self.inherited.saturating_sub(now));
         match &mut self.role {
             Role::Lead(lead) if lead.holder.epoch() < epoch => lead.holder.release(leases, now),
             Role::Lead(lead) => Released {
                 incarnation: self.incarnation,
                 leases: timing::AUTHORITY,
-                witness: 0,
+                witnessed_epoch: 0,
                 row: Some(lead.holder.row().clone()),
             },
             Role::Standby(standby) => {
-                standby.meet(epoch);
+                standby.observe_epoch(epoch);
                 Released {
                     incarnation: self.incarnation,
                     // A claim of this process may have taken effect without its knowledge, and what
@@ -372,54 +375,60 @@
                         Some(sent) => leases.max((sent + timing::AUTHORITY).saturating_sub(now)),
                         None => leases,
                     },
-                    witness: standby.witness(),
-                    row: standby.known().cloned(),
+                    witnessed_epoch: standby.witnessed_epoch(),
+                    row: standby.known_row().cloned(),
                 }
             }
         }
     }
 
     /// Takes a host's answer to [`Action::Release`].
-    pub fn released(&mut self, host: HostKey, released: &Released, now: Duration) {
+    pub fn on_released(&mut self, host: HostKey, released: &Released, now: Duration) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.released(host, released, now);
+            lead.on_released(host, released, now);
         }
     }
 
     /// Answers a lease renewal.
-    pub fn renewal(&mut self, renewal: &Renewal, now: Duration) -> Reply {
+    pub fn on_renewal(&mut self, renewal: &Renewal, now: Duration) -> Reply {
         match &mut self.role {
             Role::Standby(standby) => Reply::Refused {
-                controller: standby.known().map(|row| row.controller),
+                controller: standby.known_row().map(|row| row.controller),
             },
-            Role::Lead(lead) => lead.renewal(renewal, &mut self.ledger, now),
+            Role::Lead(lead) => lead.on_renewal(renewal, &mut self.ledger, now),
         }
     }
 
     /// Takes a holder's answer to [`Action::Close`]: the version it acts by now, and the highest
     /// positions that it has acknowledged.
-    pub fn closed(
+    pub fn on_closed(
         &mut self,
         holder: Instance,
         version: Version,
         acknowledged: &BTreeMap<ServiceKey, Position>,
     ) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.closed(holder, version, acknowledged);
+            lead.on_closed(holder, version, acknowledged);
         }
     }
 
     /// Takes a server's status, asked for at `sent`, or that it could not be asked.
-    pub fn status(&mut self, server: ServerKey, sent: Duration, status: Option<Status>) {
+    pub fn on_status(&mut self, server: ServerKey, sent: Duration, status: Option<Status>) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.status(&self.groups, server, sent, status);
+            lead.on_status(&self.groups, server, sent, status);
         }
     }
 
     /// Takes the outcome of [`Action::Promote`].
-    pub fn promoted(&mut self, server: ServerKey, term: Term, order: Order, now: Duration) {
+    pub fn on_promoted(
+        &mut self,
+        server: ServerKey,
+        term: Term,
+        order: OrderOutcome,
+        now: Duration,
+    ) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.promoted(server, term, order, now);
+            lead.on_promoted(server, term, order, now);
         }
     }
 
@@ -432,9 +441,9 @@
     }
 
     /// The epoch under which this process may grant leases and order promotions at `now`.
-    pub fn leads(&self, now: Duration) -> Option<u32> {
+    pub fn leading_epoch(&self, now: Duration) -> Option<u32> {
         match &self.role {
-            Role::Lead(lead) if lead.leads(now) => Some(lead.holder.epoch()),
+            Role::Lead(lead) if lead.is_leading(now) => Some(lead.holder.epoch()),
             _ => None,
         }
     }
@@ -442,7 +451,7 @@
     /// The row as this process knows it.
     pub fn row(&self) -> Option<&Row> {
         match &self.role {
-            Role::Standby(standby) => standby.known(),
+            Role::Standby(standby) => standby.known_row(),
             Role::Lead(lead) => Some(lead.holder.row()),
         }
     }
@@ -457,18 +466,18 @@
 
     fn is_read_due(&self, now: Duration) -> bool {
         let every = match &self.role {
-            Role::Standby(standby) => standby.read_every(),
+            Role::Standby(standby) => standby.read_interval(),
             Role::Lead(_) => timing::READ,
         };
         self.read_sent.is_none_or(|sent| now >= sent + every)
     }
 
-    fn sit(&mut self, seat: Seat, now: Duration) {
-        let Seat::Taken {
+    fn sit(&mut self, seat: ClaimOutcome, now: Duration) {
+        let ClaimOutcome::Won {
             row,
             predecessor,
             sent,
-            replaced,
+            replaced_epoch: replaced,
             witnessed,
         } = seat
         else {
@@ -476,8 +485,8 @@
         };
         self.claiming = false;
         self.claim_sent = None;
-        let holder = Holder::new(row, predecessor, sent, now);
-        self.inherited = holder.settled();
+        let holder = ShardAuthority::new(row, predecessor, sent, now);
+        self.inherited = holder.settled_at();
         self.role = Role::Lead(Box::new(Lead::new(holder, replaced, witnessed, now)));
     }
 
@@ -485,14 +494,14 @@
         let Role::Lead(lead) = &self.role else {
             return;
         };
-        if !lead.holder.is_over() {
+        if !lead.holder.is_replaced() {
             return;
         }
         let epoch = lead.holder.epoch();
         let known = lead.holder.row().clone();
         let mut standby = Standby::new(self.me, self.incarnation, self.started);
         standby.learn(&known);
-        standby.rest(now);
+        standby.restart_silence(now);
         self.role = Role::Standby(Box::new(standby));
         self.read_sent = None;
         actions.push(Action::Note(Note::Replaced { epoch }));
--- a/crates/core/src/leadership_lead.rs
+++ b/crates/core/src/leadership_lead.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use super::{Action, Group, Note, Renewal, Reply};
-use crate::authority::{Holder, Released};
+use crate::authority::{Released, ShardAuthority};
 use crate::key::{HostKey, ServerKey, ServiceKey};
 use crate::lease::{Instance, Ledger};
 use crate::position::Position;
-use crate::promotion::{Order, Promotion, Reason, Status};
+use crate::promotion::{OrderOutcome, Promotion, Reason, Status};
 use crate::row::Service;
 use crate::suspicion::Judge;
 use crate::term::Term;
@@ -21,7 +21,7 @@
 /// What a controller keeps while it has a shard.
 #[derive(Debug)]
 pub(super) struct Lead {
-    pub(super) holder: Holder,
+    pub(super) holder: ShardAuthority,
     pub(super) judge: Judge,
     phase: Phase,
     view: view::Shard,
@@ -76,7 +76,12 @@
 }
 
 impl Lead {
-    pub(super) fn new(holder: Holder, replaced: u32, witnessed: bool, now: Duration) -> Lead {
+    pub(super) fn new(
+        holder: ShardAuthority,
+        replaced: u32,
+        witnessed: bool,
+        now: Duration,
+    ) -> Lead {
         let version = Version {
             epoch: holder.epoch(),
             change: 0,
@@ -85,7 +90,7 @@
             phase: Phase::Survey {
                 since: now,
                 asked: None,
-                missing: holder.witnesses(),
+                missing: holder.possible_witnesses(),
                 heard: BTreeSet::new(),
                 replaced,
                 witnessed,
@@ -109,7 +114,7 @@
         }
     }
 
-    pub(super) fn leads(&self, now: Duration) -> bool {
+    pub(super) fn is_leading(&self, now: Duration) -> bool {
         matches!(self.phase, Phase::Settled) && self.holder.may_act(now)
     }
 
@@ -127,7 +132,7 @@
     ) {
         self.announce(actions);
         self.survey(groups, now, actions);
-        if self.leads(now) {
+        if self.is_leading(now) {
             self.reconcile(groups, now, actions);
             self.promote(ledger, now, actions);
             self.refresh(groups);
@@ -137,7 +142,7 @@
         actions.extend(self.notes.drain(..).map(Action::Note));
     }
 
-    pub(super) fn released(&mut self, host: HostKey, released: &Released, now: Duration) {
+    pub(super) fn on_released(&mut self, host: HostKey, released: &Released, now: Duration) {
         if let Phase::Survey {
             missing,
             replaced,
@@ -146,12 +151,12 @@
         } = &mut self.phase
         {
             missing.remove(&host);
-            *witnessed |= released.witness == *replaced;
-            self.holder.released(host, released, now);
+            *witnessed |= released.witnessed_epoch == *replaced;
+            self.holder.on_released(host, released, now);
         }
     }
 
-    pub(super) fn renewal(
+    pub(super) fn on_renewal(
         &mut self,
         renewal: &Renewal,
         ledger: &mut Ledger,
@@ -166,14 +171,14 @@
             ledger.end(renewal.holder, now);
         }
         let ahead = renewal.version > Some(self.view.version);
-        if !self.leads(now) || ahead {
+        if !self.is_leading(now) || ahead {
             return Reply::Refused {
                 controller: Some(self.holder.row().controller),
             };
         }
         let valid = match renewal.stopping {
             true => Duration::ZERO,
-            false => self.holder.lease(now),
+            false => self.holder.max_lease(now),
         };
         if !valid.is_zero() {
             ledger.grant(renewal.holder, valid, now);
@@ -186,7 +191,7 @@
         }
     }
 
-    pub(super) fn closed(
+    pub(super) fn on_closed(
         &mut self,
         holder: Instance,
         version: Version,
@@ -196,12 +201,12 @@
             // An answer to an earlier revocation says nothing of this one.
             if running.closing.is_some_and(|closing| version >= closing) {
                 let position = acknowledged.get(key).copied();
-                running.promotion.closed(holder, position);
+                running.promotion.on_closed(holder, position);
             }
         }
     }
 
-    pub(super) fn status(
+    pub(super) fn on_status(
         &mut self,
         groups: &BTreeMap<ServiceKey, Group>,
         server: ServerKey,
@@ -223,13 +228,19 @@
             }
         }
         if let Some(running) = self.promotions.get_mut(&key) {
-            running.promotion.status(server, status);
+            running.promotion.on_status(server, status);
         }
     }
 
-    pub(super) fn promoted(&mut self, server: ServerKey, term: Term, order: Order, now: Duration) {
+    pub(super) fn on_promoted(
+        &mut self,
+        server: ServerKey,
+        term: Term,
+        order: OrderOutcome,
+        now: Duration,
+    ) {
         for running in self.promotions.values_mut() {
-            running.promotion.promoted(server, term, order, now);
+            running.promotion.on_promoted(server, term, order, now);
         }
     }
 
@@ -240,7 +251,7 @@
         now: Duration,
     ) {
         if let Some(group) = groups.get(&key)
-            && self.leads(now)
+            && self.is_leading(now)
             && matches!(self.state(key), Some(State::Open { .. }))
             && !self.promotions.contains_key(&key)
         {
@@ -305,7 +316,7 @@
             actions.extend(missing.iter().map(release));
             let servers = groups.values().flat_map(|group| group.servers.keys());
             let unheard = servers.filter(|server| !heard.contains(server));
-            actions.extend(unheard.map(|server| Action::Status(*server)));
+            actions.extend(unheard.map(|server| Action::QueryStatus(*server)));
         }
         let servers = groups.values().flat_map(|group| group.servers.keys());
         let all_servers = servers.into_iter().all(|server| heard.contains(server));
@@ -315,7 +326,7 @@
         let forgotten = now >= *since + timing::FORGOTTEN;
         let told = *witnessed && now >= *since + timing::GATHER;
         let surveyed = (all_servers && gathered) || told || forgotten;
-        let committed = self.holder.committed() >= self.holder.row().revision;
+        let committed = self.holder.committed_revision() >= self.holder.row().revision;
         if surveyed && committed && self.holder.may_act(now) {
             self.phase = Phase::Settled;
             self.notes.push(Note::Settled { epoch });
@@ -343,7 +354,7 @@
                 State::Closed { .. } => Some(Reason::Resumed),
             },
         };
-        let service = service.unwrap_or_else(Service::fresh);
+        let service = service.unwrap_or_else(Service::without_primary);
         let shown = view::Service {
             state: service.state,
             history: service.history.clone(),
@@ -351,7 +362,7 @@
         };
         self.view.services.insert(key, shown);
         if let Some(reason) = reason {
-            self.holder.set(key, service);
+            self.holder.set_service(key, service);
             self.begin(key, group, reason, now);
         }
     }
@@ -376,19 +387,25 @@
         actions: &mut Vec<Action>,
     ) {
         if !groups.is_empty() {
-            self.holder.name(candidates, now);
+            self.holder.choose_standbys(candidates, now);
         }
         let pause = timing::RETRY;
         let paced = self.write_sent.is_none_or(|sent| now >= sent + pause);
-        if (self.holder.is_urgent() || paced)
-            && let Some(write) = self.holder.write(now)
+        if (self.holder.may_write_at_once() || paced)
+            && let Some(write) = self.holder.next_write(now)
         {
             self.write_sent = Some(now);
-            let (row, over) = (write.row, Some(write.over));
-            actions.push(Action::Write { row, over });
+            let (row, over) = (write.row, Some(write.replaces));
+            actions.push(Action::Write {
+                row,
+                replaces: over,
+            });
         }
-        for (host, ask) in self.holder.asks(candidates, now) {
-            actions.push(Action::Ask { host, ask });
+        for (host, ask) in self.holder.heartbeats(candidates, now) {
+            actions.push(Action::Heartbeat {
+                host,
+                heartbeat: ask,
+            });
         }
     }
 
--- a/crates/core/src/leadership_promote.rs
+++ b/crates/core/src/leadership_promote.rs
@@ -7,7 +7,7 @@
 use crate::leadership::{Action, Group, Note};
 use crate::lease::Ledger;
 use crate::position::Position;
-use crate::promotion::{Next, Promotion, Reason};
+use crate::promotion::{Promotion, PromotionAction, Reason};
 use crate::row::Service;
 use crate::view::State;
 
@@ -35,10 +35,10 @@
             let Some(mut running) = self.promotions.remove(&key) else {
                 continue;
             };
-            let (epoch, committed) = (self.holder.epoch(), self.holder.committed());
+            let (epoch, committed) = (self.holder.epoch(), self.holder.committed_revision());
             let mut done = false;
-            for next in running.promotion.next(epoch, committed, now) {
-                done |= next == Next::Done;
+            for next in running.promotion.step(epoch, committed, now) {
+                done |= next == PromotionAction::Done;
                 self.carry_out(key, &mut running, next, ledger, now, actions);
             }
             match done {
@@ -54,19 +54,21 @@
         &mut self,
         key: ServiceKey,
         running: &mut Running,
-        next: Next,
+        next: PromotionAction,
         ledger: &Ledger,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
         match next {
-            Next::Commit(service) => self.commit(key, running, service, ledger, now),
-            Next::Revoke(to) => actions.push(Action::Close {
+            PromotionAction::Commit(service) => self.commit(key, running, service, ledger, now),
+            PromotionAction::Revoke(to) => actions.push(Action::Close {
                 to,
                 view: self.view.clone(),
             }),
-            Next::Ask(servers) => actions.extend(servers.into_iter().map(Action::Status)),
-            Next::Promote {
+            PromotionAction::QueryStatus(servers) => {
+                actions.extend(servers.into_iter().map(Action::QueryStatus))
+            }
+            PromotionAction::Promote {
                 server,
                 term,
                 at_least,
@@ -75,7 +77,7 @@
                 term,
                 at_least,
             }),
-            Next::Done => {}
+            PromotionAction::Done => {}
         }
     }
 
@@ -87,7 +89,7 @@
         ledger: &Ledger,
         now: Duration,
     ) {
-        let revision = self.holder.set(key, service.clone());
+        let revision = self.holder.set_service(key, service.clone());
         match service.state {
             State::Closed { term } => {
                 if let Some(shown) = self.view.services.get_mut(&key) {
@@ -98,9 +100,11 @@
                 self.bump();
                 running.closing = Some(self.view.version);
                 self.tell_written(key, running, ledger, now);
-                running.promotion.closing(revision, ledger.running(now));
+                running
+                    .promotion
+                    .begin_closing(revision, ledger.running(now));
             }
-            State::Open { .. } => running.promotion.opening(revision),
+            State::Open { .. } => running.promotion.begin_opening(revision),
         }
     }
 
@@ -116,14 +120,18 @@
         let written = self
             .written
             .remove(&key)
-            .filter(|w| w.sent >= self.holder.settled());
+            .filter(|w| w.sent >= self.holder.settled_at());
         let Some(written) = written else {
-            running.promotion.written(Position::default(), false);
+            running
+                .promotion
+                .set_known_written(Position::default(), false);
             return;
         };
         let since = |lapse| lapse >= written.sent;
         let complete = !ledger.last_lapse(now).is_some_and(since);
-        running.promotion.written(written.position, complete);
+        running
+            .promotion
+            .set_known_written(written.position, complete);
     }
 
     fn opened(
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -27,7 +27,7 @@
             self.status_asked = Some(now);
             self.judge.tidy(now);
             let servers = groups.values().flat_map(|group| group.servers.keys());
-            actions.extend(servers.map(|server| Action::Status(*server)));
+            actions.extend(servers.map(|server| Action::QueryStatus(*server)));
         }
         for (key, group) in groups {
             if !self.view.services.contains_key(key) {
@@ -56,7 +56,7 @@
         let dead = unreachable && self.judge.is_cool(key, now);
         if let Some(running) = self.promotions.get_mut(&key) {
             if dead {
-                running.promotion.urge();
+                running.promotion.on_primary_unreachable();
             }
             return;
         }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -3,12 +3,12 @@
 //! The loop of an entry host, for each shard:
 //!
 //! 1. every [`timing::RENEWAL`](crate::timing::RENEWAL), take a [`Ticket`] with
-//!    [`Holder::renewal_sent`] *before* the renewal goes on the wire;
-//! 2. hand the controller's answer to [`Holder::granted`] with that ticket;
-//! 3. hand a revocation to [`Holder::close`] and send back what it returns;
-//! 4. hand a pushed view to [`Holder::adopt`];
-//! 5. for each write: ask [`Holder::leader`] where it goes and under which term, and when the
-//!    backend server has answered, ask [`Holder::acknowledge`] whether the caller may be told.
+//!    [`LeaseHolder::renewal_sent`] *before* the renewal goes on the wire;
+//! 2. hand the controller's answer to [`LeaseHolder::on_granted`] with that ticket;
+//! 3. hand a revocation to [`LeaseHolder::close`] and send back what it returns;
+//! 4. hand a pushed view to [`LeaseHolder::adopt`];
+//! 5. for each write: ask [`LeaseHolder::leader`] where it goes and under which term, and when the
+//!    backend server has answered, ask [`LeaseHolder::acknowledge`] whether the caller may be told.
 
 #[path = "lease_ledger.rs"]
 mod ledger;
@@ -31,7 +31,7 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::key::{ServerKey, ServiceKey};
-/// use flamingopost_core::lease::{Acknowledge, Holder};
+/// use flamingopost_core::lease::{Acknowledge, LeaseHolder};
 /// use flamingopost_core::position::Position;
 /// use flamingopost_core::term::Term;
 /// use flamingopost_core::view::{Service, Shard, State, Version};
@@ -41,7 +41,7 @@
 /// let mut view = Shard { version: Version { epoch: 1, change: 0 }, ..Shard::default() };
 /// view.services.insert(service, Service::new(State::Open { term, primary }));
 ///
-/// let mut holder = Holder::new(7);
+/// let mut holder = LeaseHolder::new(7);
 /// let sent = Duration::from_secs(10);
 /// let ticket = holder.renewal_sent(0, sent);
 /// let lease = Duration::from_secs(2);
@@ -54,7 +54,7 @@
 /// assert_eq!(holder.acknowledge(service, term, position, too_late), Acknowledge::Unknown);
 /// ```
 #[derive(Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     incarnation: u64,
     shards: BTreeMap<u16, Lease>,
     homes: BTreeMap<ServiceKey, u16>,
@@ -82,7 +82,7 @@
     Until(Duration),
     /// It is for an older view than the one acted by, or its view was missing: no lease came of
     /// it. The next renewal names the version acted by.
-    Nothing,
+    NoLease,
 }
 
 /// What became of a view that another process sent.
@@ -132,10 +132,10 @@
     Unknown,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// A holder without leases. `incarnation` tells this process from an earlier one on the host.
-    pub fn new(incarnation: u64) -> Holder {
-        Holder {
+    pub fn new(incarnation: u64) -> LeaseHolder {
+        LeaseHolder {
             incarnation,
             shards: BTreeMap::new(),
             homes: BTreeMap::new(),
@@ -157,7 +157,7 @@
 
     /// Takes the controller's answer to the renewal of `ticket`: a lease of `valid` on `version`,
     /// and the view where it is newer than the one that the renewal named.
-    pub fn granted(
+    pub fn on_granted(
         &mut self,
         ticket: Ticket,
         version: Version,
@@ -172,12 +172,12 @@
         // counts every lease that it granted until it ends, so this is a second guard: a lease
         // always covers the very view that its holder acts by.
         if self.version(ticket.shard) != Some(version) {
-            return Granted::Nothing;
+            return Granted::NoLease;
         }
         let until = ticket.sent + timing::less_drift(valid);
         let lease = self.shards.entry(ticket.shard).or_default();
         if valid.is_zero() || until <= now || lease.given_up {
-            return Granted::Nothing;
+            return Granted::NoLease;
         }
         let until = lease.until.map_or(until, |earlier| earlier.max(until));
         lease.until = Some(until);
@@ -213,7 +213,7 @@
     /// Acts by `view`, which closes terms, and returns the highest position acknowledged for each
     /// service of the shard since this process started.
     ///
-    /// [`Holder::acknowledge`] takes the same `&mut self`, so no write of a closed term can be
+    /// [`LeaseHolder::acknowledge`] takes the same `&mut self`, so no write of a closed term can be
     /// acknowledged once this has returned, and none that was is missing from the result.
     pub fn close(&mut self, shard: u16, view: view::Shard) -> BTreeMap<ServiceKey, Position> {
         self.adopt(shard, view);
@@ -276,7 +276,7 @@
     }
 
     /// How long the lease of `shard` still runs.
-    pub fn left(&self, shard: u16, now: Duration) -> Duration {
+    pub fn time_left(&self, shard: u16, now: Duration) -> Duration {
         let until = self.shards.get(&shard).and_then(|lease| lease.until);
         until.unwrap_or_default().saturating_sub(now)
     }
--- a/crates/core/src/lease_ledger.rs
+++ b/crates/core/src/lease_ledger.rs
@@ -70,7 +70,7 @@
     }
 
     /// How long the last of them may run.
-    pub fn longest(&self, now: Duration) -> Duration {
+    pub fn longest_remaining(&self, now: Duration) -> Duration {
         let last = self.until.values().max().copied().unwrap_or_default();
         last.saturating_sub(now)
     }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -33,7 +33,7 @@
     /// Its availability zone.
     pub zone: ZoneKey,
     /// When its last heartbeat came.
-    pub heard: Duration,
+    pub last_heartbeat: Duration,
     /// Configuration version in force there.
     pub config: u64,
     /// Whether it has said that it stops.
@@ -57,13 +57,13 @@
 
 /// What a heartbeat says of its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatEffect {
     /// It is new: a host that was never seen, or one that was restarted.
     New,
     /// It is known.
     Known,
     /// It was taken for gone and is back, with its memory.
-    Back,
+    Returned,
 }
 
 /// The processes that one controller knows.
@@ -71,7 +71,7 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::key::{HostKey, ZoneKey};
-/// use flamingopost_core::membership::{Heard, Member, Membership, Process, State};
+/// use flamingopost_core::membership::{HeartbeatEffect, Member, Membership, Process, State};
 ///
 /// let mut membership = Membership::default();
 /// let process = Process { host: HostKey::default(), incarnation: 7 };
@@ -81,7 +81,7 @@
 ///     config: 4,
 ///     stopping: false,
 /// };
-/// assert_eq!(membership.heartbeat(process, heartbeat), Heard::New);
+/// assert_eq!(membership.heartbeat(process, heartbeat), HeartbeatEffect::New);
 /// assert_eq!(membership.state(process, Duration::from_secs(2)), State::Live);
 /// assert_eq!(membership.state(process, Duration::from_secs(4)), State::Suspect);
 /// assert_eq!(membership.state(process, Duration::from_secs(30)), State::Gone);
@@ -103,17 +103,19 @@
 
 impl Membership {
     /// A heartbeat of `process` came.
-    pub fn heartbeat(&mut self, process: Process, member: Member) -> Heard {
+    pub fn heartbeat(&mut self, process: Process, member: Member) -> HeartbeatEffect {
         let before = self.members.insert(process, member);
         match before {
-            None => Heard::New,
-            Some(before) if silence(&before, member.heard) >= GONE_AFTER => Heard::Back,
-            Some(_) => Heard::Known,
+            None => HeartbeatEffect::New,
+            Some(before) if silence(&before, member.last_heartbeat) >= GONE_AFTER => {
+                HeartbeatEffect::Returned
+            }
+            Some(_) => HeartbeatEffect::Known,
         }
     }
 
     /// The platform's list was read.
-    pub fn listed(&mut self, hosts: BTreeMap<HostKey, Hint>) {
+    pub fn set_listed_hosts(&mut self, hosts: BTreeMap<HostKey, Hint>) {
         self.listed = hosts;
     }
 
@@ -167,7 +169,7 @@
 }
 
 fn silence(member: &Member, now: Duration) -> Duration {
-    now.saturating_sub(member.heard)
+    now.saturating_sub(member.last_heartbeat)
 }
 
 /// Who says that a server is leaving.
@@ -189,21 +191,21 @@
 /// ```
 /// use std::collections::BTreeSet;
 /// use flamingopost_core::key::ServerKey;
-/// use flamingopost_core::membership::{Leaving, Reason};
+/// use flamingopost_core::membership::{LeavingServers, Reason};
 ///
 /// let server = ServerKey::default();
-/// let mut leaving = Leaving::default();
+/// let mut leaving = LeavingServers::default();
 /// assert!(leaving.replace(Reason::Operator, BTreeSet::from([server])));
 /// assert!(leaving.replace(Reason::Platform, BTreeSet::from([server])));
 /// assert!(leaving.replace(Reason::Operator, BTreeSet::new()));
 /// assert_eq!(leaving.servers(), BTreeSet::from([server]));
 /// ```
 #[derive(Debug, Default)]
-pub struct Leaving {
+pub struct LeavingServers {
     sources: BTreeMap<Reason, BTreeSet<ServerKey>>,
 }
 
-impl Leaving {
+impl LeavingServers {
     /// `reason` calls exactly `servers` leaving; says whether that is news from it.
     pub fn replace(&mut self, reason: Reason, servers: BTreeSet<ServerKey>) -> bool {
         let known = self.sources.entry(reason).or_default();
@@ -213,7 +215,7 @@
     }
 
     /// One server's own word; the others' stand.
-    pub fn say(&mut self, reason: Reason, server: ServerKey, leaving: bool) -> bool {
+    pub fn set_leaving(&mut self, reason: Reason, server: ServerKey, leaving: bool) -> bool {
         let known = self.sources.entry(reason).or_default();
         match leaving {
             true => known.insert(server),
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-pub use next::{Next, Order, Reason, Status};
+pub use next::{OrderOutcome, PromotionAction, Reason, Status};
 
 use crate::key::{ServerKey, ServiceKey};
 use crate::lease::Instance;
@@ -131,13 +131,13 @@
 
     /// Tells up to where the old primary is known to have written, and whether anything past
     /// that can only have been acknowledged by the holders that are about to be asked.
-    pub fn written(&mut self, position: Position, complete: bool) {
+    pub fn set_known_written(&mut self, position: Position, complete: bool) {
         self.acknowledged = self.acknowledged.max(Some(position));
         self.complete &= complete;
     }
 
     /// Gives up waiting for a planned switchover's old primary, which has become unreachable.
-    pub fn urge(&mut self) {
+    pub fn on_primary_unreachable(&mut self) {
         if self.reason == Reason::Leaving {
             self.reason = Reason::Unreachable;
             if self.step == Step::Preparing {
@@ -148,24 +148,24 @@
 
     /// Tells that the closed state is in the row of `revision` and in the view, and which leases
     /// were running when it got there. Leases granted later are on that view.
-    pub fn closing(&mut self, revision: u64, running: BTreeMap<Instance, Duration>) {
+    pub fn begin_closing(&mut self, revision: u64, running: BTreeMap<Instance, Duration>) {
         self.waiting = running;
         self.step = Step::Closing { revision };
     }
 
     /// Tells that the open state is in the row of `revision`.
-    pub fn opening(&mut self, revision: u64) {
+    pub fn begin_opening(&mut self, revision: u64) {
         self.step = Step::Opening { revision };
     }
 
     /// Takes a holder's answer to the revocation.
-    pub fn closed(&mut self, holder: Instance, acknowledged: Option<Position>) {
+    pub fn on_closed(&mut self, holder: Instance, acknowledged: Option<Position>) {
         self.waiting.remove(&holder);
         self.acknowledged = self.acknowledged.max(acknowledged);
     }
 
     /// Takes a server's status, or that it could not be asked.
-    pub fn status(&mut self, server: ServerKey, status: Option<Status>) {
+    pub fn on_status(&mut self, server: ServerKey, status: Option<Status>) {
         let Some(status) = status else {
             self.statuses.remove(&server);
             return;
@@ -191,7 +191,13 @@
 
     /// Takes the answer to a promotion order. `Done` and `Unknown` alike are settled by the
     /// server's own status.
-    pub fn promoted(&mut self, server: ServerKey, term: Term, order: Order, now: Duration) {
+    pub fn on_promoted(
+        &mut self,
+        server: ServerKey,
+        term: Term,
+        order: OrderOutcome,
+        now: Duration,
+    ) {
         let Step::Promoting {
             server: chosen,
             term: ordered,
@@ -205,20 +211,20 @@
             return;
         }
         match order {
-            Order::Refused => {
+            OrderOutcome::Refused => {
                 self.statuses.remove(&server);
                 self.step = Step::Choosing {
                     since,
                     from: now + timing::RETRY,
                 };
             }
-            Order::Done | Order::Unknown => self.asked = None,
+            OrderOutcome::Done | OrderOutcome::Unknown => self.asked = None,
         }
     }
 
     /// What to do at `now`, under the authority of `epoch`, whose row is committed up to
     /// `committed`.
-    pub fn next(&mut self, epoch: u32, committed: u64, now: Duration) -> Vec<Next> {
+    pub fn step(&mut self, epoch: u32, committed: u64, now: Duration) -> Vec<PromotionAction> {
         let mut next = Vec::new();
         self.watch(now);
         if !matches!(self.step, Step::Start | Step::Opening { .. }) {
@@ -230,7 +236,7 @@
                     self.step = Step::Start;
                 }
             }
-            Step::Start => next.push(Next::Commit(self.over())),
+            Step::Start => next.push(PromotionAction::Commit(self.over())),
             Step::Closing { revision } => {
                 next.extend(self.revoke(now));
                 if self.waiting.is_empty() && committed >= revision {
@@ -247,22 +253,24 @@
                 server,
                 term,
                 start,
-            } => next.push(Next::Commit(self.open(server, term, start))),
+            } => next.push(PromotionAction::Commit(self.open(server, term, start))),
             Step::Opening { revision } => {
                 if committed >= revision {
-                    next.push(Next::Done);
+                    next.push(PromotionAction::Done);
                 }
             }
         }
         next
     }
 
-    fn ask(&mut self, now: Duration) -> Option<Next> {
+    fn ask(&mut self, now: Duration) -> Option<PromotionAction> {
         if self.asked.is_some_and(|asked| now < asked + timing::RETRY) {
             return None;
         }
         self.asked = Some(now);
-        Some(Next::Ask(self.servers.iter().copied().collect()))
+        Some(PromotionAction::QueryStatus(
+            self.servers.iter().copied().collect(),
+        ))
     }
 
     fn is_prepared(&self) -> bool {
@@ -282,7 +290,7 @@
         service
     }
 
-    fn revoke(&mut self, now: Duration) -> Option<Next> {
+    fn revoke(&mut self, now: Duration) -> Option<PromotionAction> {
         let running = self.waiting.len();
         self.waiting.retain(|_, until| *until > now);
         // A lease that lapsed without an answer: its holder may have acknowledged more than
@@ -292,10 +300,12 @@
             return None;
         }
         self.revoked = Some(now);
-        Some(Next::Revoke(self.waiting.keys().copied().collect()))
+        Some(PromotionAction::Revoke(
+            self.waiting.keys().copied().collect(),
+        ))
     }
 
-    fn choose(&mut self, epoch: u32, now: Duration) -> Option<Next> {
+    fn choose(&mut self, epoch: u32, now: Duration) -> Option<PromotionAction> {
         let Step::Choosing { since, from } = self.step else {
             return None;
         };
@@ -316,7 +326,7 @@
         self.promote(now)
     }
 
-    fn promote(&mut self, now: Duration) -> Option<Next> {
+    fn promote(&mut self, now: Duration) -> Option<PromotionAction> {
         let Step::Promoting {
             server,
             term,
@@ -342,7 +352,7 @@
         }
         *ordered = Some(now);
         self.asked = None;
-        Some(Next::Promote {
+        Some(PromotionAction::Promote {
             server,
             term,
             at_least,
--- a/crates/core/src/promotion_next.rs
+++ b/crates/core/src/promotion_next.rs
@@ -38,7 +38,7 @@
 
 /// How an order to a backend server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum OrderOutcome {
     /// The server did as told.
     Done,
     /// The server refuses: it knows a greater term, or lacks data.
@@ -49,13 +49,13 @@
 
 /// What a promotion wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
-    /// Put this state into the row, and tell [`Promotion::closing`] or [`Promotion::opening`].
+pub enum PromotionAction {
+    /// Put this state into the row, and tell [`Promotion::begin_closing`] or [`Promotion::begin_opening`].
     Commit(Service),
     /// Send the view, in which the term is closed, to these holders.
     Revoke(Vec<Instance>),
     /// Ask these servers for their status.
-    Ask(Vec<ServerKey>),
+    QueryStatus(Vec<ServerKey>),
     /// Promote `server` in `term` if its data reach `at_least`.
     Promote {
         /// The server.
--- a/crates/core/src/row.rs
+++ b/crates/core/src/row.rs
@@ -70,7 +70,7 @@
 
 /// How a compare-and-set of the row ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect.
     Done,
     /// It did not and will not: the table held another row, or the request never left.
@@ -98,7 +98,7 @@
 
 impl Service {
     /// A service that has no primary yet.
-    pub fn fresh() -> Service {
+    pub fn without_primary() -> Service {
         Service {
             state: State::Closed {
                 term: Term::default(),
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -3,10 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use flamingopost_core::authority::{Ask, Holder, Promise, Released, Seat, Standby};
+use flamingopost_core::authority::{
+    ClaimOutcome, Heartbeat, Promise, Released, ShardAuthority, Standby,
+};
 use flamingopost_core::key::HostKey;
 use flamingopost_core::names::Names;
-use flamingopost_core::row::{Row, Written};
+use flamingopost_core::row::{Row, WriteOutcome};
 use flamingopost_core::timing;
 
 const SOON: Duration = Duration::from_millis(10);
@@ -54,20 +56,20 @@
 }
 
 /// A controller with two standbys that it met before its last read, at 10 s.
-fn leading(hosts: &Hosts) -> (Holder, Row) {
+fn leading(hosts: &Hosts) -> (ShardAuthority, Row) {
     let row = row(hosts.controller, &[hosts.first, hosts.second]);
-    let mut holder = Holder::new(row.clone(), None, secs(9), secs(9));
+    let mut holder = ShardAuthority::new(row.clone(), None, secs(9), secs(9));
     for host in [hosts.first, hosts.second] {
-        holder.promised(host, secs(9), promise(1), secs(9) + SOON);
+        holder.on_promise(host, secs(9), promise(1), secs(9) + SOON);
     }
-    holder.read(secs(10), Some(&row));
+    holder.on_row_read(secs(10), Some(&row));
     (holder, row)
 }
 
-fn heard_ask(promise: bool) -> Ask {
-    Ask {
+fn heard_ask(promise: bool) -> Heartbeat {
+    Heartbeat {
         epoch: 1,
-        promise,
+        wants_promise: promise,
         revision: 1,
         row: None,
     }
@@ -75,9 +77,9 @@
 
 fn claimed(standby: &mut Standby, now: Duration) -> Option<Row> {
     let claim = standby.claim(now)?;
-    match standby.written(Written::Done) {
-        Seat::Taken { row, .. } => Some(row),
-        Seat::Aside => panic!("the table took {claim:?}"),
+    match standby.on_claim_outcome(WriteOutcome::Done) {
+        ClaimOutcome::Won { row, .. } => Some(row),
+        ClaimOutcome::Unchanged => panic!("the table took {claim:?}"),
     }
 }
 
@@ -88,7 +90,7 @@
 fn authority_is_dated_from_the_sending_of_a_read() {
     let hosts = hosts();
     let (mut holder, row) = leading(&hosts);
-    holder.read(secs(12), Some(&row));
+    holder.on_row_read(secs(12), Some(&row));
     assert!(holder.may_act(secs(14)));
     assert!(!holder.may_act(secs(12) + timing::AUTHORITY));
 }
@@ -101,7 +103,7 @@
     let (holder, _) = leading(&hosts);
     for millis in (0..5_000).step_by(50) {
         let now = secs(10) + Duration::from_millis(millis);
-        let lease = holder.lease(now);
+        let lease = holder.max_lease(now);
         assert!(lease.is_zero() || now + lease <= secs(10) + timing::AUTHORITY);
     }
 }
@@ -113,7 +115,7 @@
     let (mut holder, _) = leading(&hosts);
     for second in 11..100 {
         for host in [hosts.first, hosts.second] {
-            holder.promised(host, secs(second), promise(1), secs(second) + SOON);
+            holder.on_promise(host, secs(second), promise(1), secs(second) + SOON);
         }
         assert!(holder.may_act(secs(second + 1)), "at {second} s");
     }
@@ -125,7 +127,7 @@
 fn one_missing_promise_ends_the_authority() {
     let hosts = hosts();
     let (mut holder, _) = leading(&hosts);
-    holder.promised(hosts.first, secs(12), promise(1), secs(12) + SOON);
+    holder.on_promise(hosts.first, secs(12), promise(1), secs(12) + SOON);
     assert!(!holder.may_act(secs(13)));
 }
 
@@ -138,13 +140,13 @@
     let hosts = hosts();
     let (mut holder, row) = leading(&hosts);
     for host in [hosts.first, hosts.second] {
-        holder.promised(host, secs(40), promise(2), secs(40) + SOON);
+        holder.on_promise(host, secs(40), promise(2), secs(40) + SOON);
     }
     assert!(!holder.may_act(secs(41)));
 
-    holder.read(secs(42), Some(&row));
+    holder.on_row_read(secs(42), Some(&row));
     for host in [hosts.first, hosts.second] {
-        holder.promised(host, secs(44), promise(2), secs(44) + SOON);
+        holder.on_promise(host, secs(44), promise(2), secs(44) + SOON);
     }
     assert!(
         holder.may_act(secs(45)),
@@ -161,7 +163,7 @@
     let (mut holder, _) = leading(&hosts);
     for (second, incarnation) in [(12, 1), (13, 2), (14, 2)] {
         for host in [hosts.first, hosts.second] {
-            holder.promised(
+            holder.on_promise(
                 host,
                 secs(second),
                 promise(incarnation),
@@ -179,21 +181,23 @@
     let hosts = hosts();
     let (mut holder, _) = leading(&hosts);
     let now = secs(10) + timing::STANDBY_SILENCE;
-    holder.read(
+    holder.on_row_read(
         now,
         Some(&row(hosts.controller, &[hosts.first, hosts.second])),
     );
     for host in [hosts.first, hosts.other] {
-        holder.promised(host, now, promise(1), now + SOON);
+        holder.on_promise(host, now, promise(1), now + SOON);
     }
-    holder.name(&[hosts.other], now + SOON);
-    let write = holder.write(now + SOON).expect("a standby was replaced");
+    holder.choose_standbys(&[hosts.other], now + SOON);
+    let write = holder
+        .next_write(now + SOON)
+        .expect("a standby was replaced");
     assert!(write.row.standbys.contains(&hosts.other));
-    holder.written(write.row.revision, Written::Unknown);
+    holder.on_write_outcome(write.row.revision, WriteOutcome::Unknown);
 
     let later = now + secs(2);
     for host in [hosts.first, hosts.second] {
-        holder.promised(host, later, promise(1), later + SOON);
+        holder.on_promise(host, later, promise(1), later + SOON);
     }
     assert!(!holder.may_act(now + secs(3)));
 }
@@ -204,12 +208,12 @@
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first, hosts.second]);
     let mut standby = Standby::new(hosts.first, 3, secs(0));
-    standby.read(Some(&row), secs(10));
-    let given = standby.asked(&heard_ask(true), secs(10));
+    standby.on_row_read(Some(&row), secs(10));
+    let given = standby.on_heartbeat(&heard_ask(true), secs(10));
     assert!(given.given);
     for millis in (0..2_500).step_by(100) {
         let now = secs(10) + Duration::from_millis(millis);
-        standby.read(Some(&row), now);
+        standby.on_row_read(Some(&row), now);
         assert_eq!(standby.claim(now), None);
     }
     let row = claimed(&mut standby, secs(10) + timing::PROMISE).expect("the controller is silent");
@@ -224,11 +228,11 @@
     let row = row(hosts.controller, &[hosts.first]);
     let mut standby = Standby::new(hosts.first, 4, secs(20));
     let early = secs(20) + timing::SILENCE + SOON;
-    standby.read(Some(&row), secs(20));
-    standby.read(Some(&row), early);
+    standby.on_row_read(Some(&row), secs(20));
+    standby.on_row_read(Some(&row), early);
     assert_eq!(standby.claim(early), None);
     let late = secs(20) + timing::PROMISE;
-    standby.read(Some(&row), late);
+    standby.on_row_read(Some(&row), late);
     assert!(standby.claim(late).is_some());
 }
 
@@ -238,15 +242,18 @@
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first]);
     let mut standby = Standby::new(hosts.first, 3, secs(0));
-    standby.read(Some(&row), secs(10));
-    standby.read(Some(&row), secs(12));
+    standby.on_row_read(Some(&row), secs(10));
+    standby.on_row_read(Some(&row), secs(12));
     let claim = standby.claim(secs(12)).expect("the controller is silent");
-    assert_eq!(standby.written(Written::Unknown), Seat::Aside);
-    assert!(!standby.asked(&heard_ask(true), secs(13)).given);
+    assert_eq!(
+        standby.on_claim_outcome(WriteOutcome::Unknown),
+        ClaimOutcome::Unchanged
+    );
+    assert!(!standby.on_heartbeat(&heard_ask(true), secs(13)).given);
 
     // The answer was lost, and the claim had taken effect.
-    let seat = standby.read(Some(&claim.row), secs(14));
-    assert!(matches!(seat, Seat::Taken { .. }));
+    let seat = standby.on_row_read(Some(&claim.row), secs(14));
+    assert!(matches!(seat, ClaimOutcome::Won { .. }));
 }
 
 /// A host that nobody has heard of takes a shard over from a healthy controller.
@@ -255,11 +262,11 @@
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first]);
     let mut other = Standby::new(hosts.other, 3, secs(0));
-    other.read(Some(&row), secs(10));
+    other.on_row_read(Some(&row), secs(10));
     let last = secs(10) + timing::ORPHAN;
-    other.read(Some(&row), last - SOON);
+    other.on_row_read(Some(&row), last - SOON);
     assert_eq!(other.claim(last - SOON), None);
-    other.read(Some(&row), last);
+    other.on_row_read(Some(&row), last);
     assert!(other.claim(last).is_some());
 }
 
@@ -270,8 +277,8 @@
     let (mut holder, _) = leading(&hosts);
     let last = secs(9) + timing::ORPHAN;
     for host in [hosts.first, hosts.second] {
-        holder.promised(host, secs(11), promise(1), secs(11) + SOON);
-        holder.promised(host, last - secs(1), promise(1), last - secs(1) + SOON);
+        holder.on_promise(host, secs(11), promise(1), secs(11) + SOON);
+        holder.on_promise(host, last - secs(1), promise(1), last - secs(1) + SOON);
     }
     assert!(!holder.may_act(last - SOON));
 }
@@ -287,13 +294,13 @@
     let released = |incarnation| Released {
         incarnation,
         leases: Duration::from_millis(300),
-        witness: 1,
+        witnessed_epoch: 1,
         row: None,
     };
-    let mut holder = Holder::new(row, predecessor, secs(20), secs(20));
-    assert_eq!(holder.settled(), secs(20) + timing::AUTHORITY);
-    holder.released(hosts.controller, &released(8), secs(20));
-    assert_eq!(holder.settled(), secs(20) + timing::AUTHORITY);
-    holder.released(hosts.controller, &released(7), secs(20));
-    assert_eq!(holder.settled(), secs(20) + Duration::from_millis(300));
+    let mut holder = ShardAuthority::new(row, predecessor, secs(20), secs(20));
+    assert_eq!(holder.settled_at(), secs(20) + timing::AUTHORITY);
+    holder.on_released(hosts.controller, &released(8), secs(20));
+    assert_eq!(holder.settled_at(), secs(20) + timing::AUTHORITY);
+    holder.on_released(hosts.controller, &released(7), secs(20));
+    assert_eq!(holder.settled_at(), secs(20) + Duration::from_millis(300));
 }
--- a/crates/core/tests/leadership/world/control.rs
+++ b/crates/core/tests/leadership/world/control.rs
@@ -7,8 +7,8 @@
 use flamingopost_core::leadership::{Action, Note};
 use flamingopost_core::lease::Instance;
 use flamingopost_core::position::Position;
-use flamingopost_core::promotion::Order;
-use flamingopost_core::row::{Row, Written};
+use flamingopost_core::promotion::OrderOutcome;
+use flamingopost_core::row::{Row, WriteOutcome};
 use flamingopost_core::term::Term;
 use flamingopost_core::view::State;
 use rand::RngExt;
@@ -43,7 +43,7 @@
         let mut leading = Vec::new();
         for host in 0..HOSTS {
             let local = self.local(Place::Control(host));
-            if let Some(epoch) = self.controls[host].1.leads(local) {
+            if let Some(epoch) = self.controls[host].1.leading_epoch(local) {
                 leading.push((host, epoch));
             }
         }
@@ -68,17 +68,23 @@
     fn carry_out(&mut self, host: usize, life: u64, action: Action) {
         match action {
             Action::Read => self.read(host, life),
-            Action::Write { row, over } => self.write_row(host, life, row, over),
-            Action::Ask { host: to, ask } => {
+            Action::Write {
+                row,
+                replaces: over,
+            } => self.write_row(host, life, row, over),
+            Action::Heartbeat {
+                host: to,
+                heartbeat: ask,
+            } => {
                 let to = self.host(to);
                 let sent = self.local(Place::Control(host));
                 self.call(host, life, to, move |world| {
                     let local = world.local(Place::Control(to));
-                    let promise = world.controls[to].1.asked(&ask, local);
+                    let promise = world.controls[to].1.on_heartbeat(&ask, local);
                     move |world: &mut World| {
                         let from = world.hosts[to];
                         let now = world.local(Place::Control(host));
-                        world.controls[host].1.promised(from, sent, promise, now);
+                        world.controls[host].1.on_promise(from, sent, promise, now);
                     }
                 });
             }
@@ -90,7 +96,7 @@
                     move |world: &mut World| {
                         let local = world.local(Place::Control(host));
                         let from = world.hosts[to];
-                        world.controls[host].1.released(from, &released, local);
+                        world.controls[host].1.on_released(from, &released, local);
                     }
                 });
             }
@@ -104,12 +110,12 @@
                     self.send_view(host, holder, view.clone());
                 }
             }
-            Action::Status(server) => {
+            Action::QueryStatus(server) => {
                 let index = self.server(server);
                 let sent = self.local(Place::Control(host));
                 let read = |server: &mut Server| server.status();
                 self.order(host, life, index, read, move |world, status| {
-                    world.controls[host].1.status(server, sent, status);
+                    world.controls[host].1.on_status(server, sent, status);
                 });
             }
             Action::Promote {
@@ -150,21 +156,23 @@
         let hop = self.hop(host, self.servers[index].zone);
         let timeout = move |world: &mut World, order| {
             let local = world.local(Place::Control(host));
-            world.controls[host].1.promoted(server, term, order, local);
+            world.controls[host]
+                .1
+                .on_promoted(server, term, order, local);
             world.step(host);
         };
         let place = Place::Control(host);
         let Some(delay) = hop else {
             return self.at(place, life, RPC_TIMEOUT, move |w| {
-                timeout(w, Order::Unknown)
+                timeout(w, OrderOutcome::Unknown)
             });
         };
         self.after(delay, move |world| {
             let order = match world.servers[index].down {
-                true => Order::Unknown,
+                true => OrderOutcome::Unknown,
                 false => world.servers[index].promote(term, at_least),
             };
-            if order == Order::Done {
+            if order == OrderOutcome::Done {
                 world.tell(format!(
                     "b{index} leads {term} from {}",
                     world.servers[index].position()
@@ -175,7 +183,7 @@
             match world.hop(host, world.servers[index].zone) {
                 Some(delay) => world.at(place, life, delay, move |w| timeout(w, order)),
                 None => world.at(place, life, RPC_TIMEOUT, move |w| {
-                    timeout(w, Order::Unknown)
+                    timeout(w, OrderOutcome::Unknown)
                 }),
             }
         });
@@ -256,7 +264,9 @@
             };
             world.at(Place::Control(host), life, delay, move |world| {
                 let local = world.local(Place::Control(host));
-                world.controls[host].1.read(sent, row.as_ref(), local);
+                world.controls[host]
+                    .1
+                    .on_row_read(sent, row.as_ref(), local);
                 world.step(host);
             });
         });
@@ -267,12 +277,14 @@
         let place = Place::Control(host);
         let told = move |world: &mut World, written| {
             let local = world.local(place);
-            world.controls[host].1.written(revision, written, local);
+            world.controls[host]
+                .1
+                .on_write_outcome(revision, written, local);
             world.step(host);
         };
         let timeout = move |world: &mut World| {
             world.at(place, life, TABLE_TIMEOUT, move |w| {
-                told(w, Written::Unknown)
+                told(w, WriteOutcome::Unknown)
             });
         };
         let Some(delay) = self.table_hop(host) else {
@@ -284,8 +296,8 @@
                 world.table = Some(row);
             }
             let written = match holds {
-                true => Written::Done,
-                false => Written::NotDone,
+                true => WriteOutcome::Done,
+                false => WriteOutcome::NotDone,
             };
             let lost = world.answers_lost && world.rng.random_range(0..2) == 0;
             match world.table_hop(host) {
@@ -318,7 +330,7 @@
                     incarnation,
                 };
                 let controller = &mut world.controls[host].1;
-                controller.closed(holder, version, &acknowledged);
+                controller.on_closed(holder, version, &acknowledged);
                 world.step(host);
             });
         });
--- a/crates/core/tests/leadership/world/entry.rs
+++ b/crates/core/tests/leadership/world/entry.rs
@@ -5,7 +5,7 @@
 
 use flamingopost_core::key::{ServerKey, ServiceKey};
 use flamingopost_core::leadership::{Renewal, Reply};
-use flamingopost_core::lease::{Acknowledge, Holder, Instance, Leader};
+use flamingopost_core::lease::{Acknowledge, Instance, Leader, LeaseHolder};
 use flamingopost_core::position::Position;
 use flamingopost_core::suspicion::Report;
 use flamingopost_core::timing;
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 pub struct Entry {
-    holder: Holder,
+    holder: LeaseHolder,
     incarnation: u64,
     controller: usize,
     renewed: Option<Duration>,
@@ -41,7 +41,7 @@
     pub fn new(host: usize, life: u64, _now: Duration) -> Entry {
         let incarnation = life * 100 + host as u64;
         Entry {
-            holder: Holder::new(incarnation),
+            holder: LeaseHolder::new(incarnation),
             incarnation,
             controller: host,
             renewed: None,
@@ -147,7 +147,7 @@
         let their_life = self.place(Place::Control(to)).life;
         self.at(Place::Control(to), their_life, delay, move |world| {
             let local = world.local(Place::Control(to));
-            let reply = world.controls[to].1.renewal(&renewal, local);
+            let reply = world.controls[to].1.on_renewal(&renewal, local);
             world.step(to);
             if let Some(delay) = world.hop_host(to, host) {
                 world.at(Place::Entry(host), life, delay, move |world| {
@@ -164,7 +164,8 @@
                             view,
                         } => {
                             entry.answered = Some(now);
-                            let _granted = entry.holder.granted(ticket, version, valid, view, now);
+                            let _granted =
+                                entry.holder.on_granted(ticket, version, valid, view, now);
                         }
                         Reply::Refused { .. } => {
                             let next = known.filter(|known| *known != to);
--- a/crates/core/tests/leadership/world/fault.rs
+++ b/crates/core/tests/leadership/world/fault.rs
@@ -154,7 +154,7 @@
     pub fn controller_host(&self) -> Option<usize> {
         (0..HOSTS).find(|host| {
             let local = self.local(Place::Control(*host));
-            self.controls[*host].1.leads(local).is_some()
+            self.controls[*host].1.leading_epoch(local).is_some()
         })
     }
 
--- a/crates/core/tests/leadership/world/mod.rs
+++ b/crates/core/tests/leadership/world/mod.rs
@@ -157,7 +157,7 @@
         let mut controller = Controller::new(self.hosts[host], life, local);
         controller.configure(self.groups());
         let others = (1..HOSTS).map(|step| self.hosts[(host + step) % HOSTS]);
-        controller.candidates(others.collect());
+        controller.set_standby_candidates(others.collect());
         controller
     }
 
--- a/crates/core/tests/leadership/world/server.rs
+++ b/crates/core/tests/leadership/world/server.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use flamingopost_core::position::Position;
-use flamingopost_core::promotion::{Order, Status};
+use flamingopost_core::promotion::{OrderOutcome, Status};
 use flamingopost_core::term::Term;
 
 #[derive(Debug, Default)]
@@ -50,15 +50,15 @@
         Some(self.position())
     }
 
-    pub fn promote(&mut self, term: Term, at_least: Position) -> Order {
+    pub fn promote(&mut self, term: Term, at_least: Position) -> OrderOutcome {
         if self.leads && self.term == term {
-            return Order::Done;
+            return OrderOutcome::Done;
         }
         if self.term >= term || !self.contains(at_least) {
-            return Order::Refused;
+            return OrderOutcome::Refused;
         }
         (self.term, self.leads, self.follows) = (term, true, None);
-        Order::Done
+        OrderOutcome::Done
     }
 
     pub fn follow(&mut self, primary: usize, term: Term) {
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use flamingopost_core::key::{ServerKey, ServiceKey};
-use flamingopost_core::lease::{Acknowledge, Adopted, Granted, Holder, Leader};
+use flamingopost_core::lease::{Acknowledge, Adopted, Granted, Leader, LeaseHolder};
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::term::Term;
@@ -63,11 +63,11 @@
     view(3, names.service, state)
 }
 
-fn leased(names: &Fixture) -> Holder {
-    let mut holder = Holder::new(1);
+fn leased(names: &Fixture) -> LeaseHolder {
+    let mut holder = LeaseHolder::new(1);
     let ticket = holder.renewal_sent(SHARD, at(1_000));
     let view = opened(names);
-    holder.granted(ticket, view.version, LEASE, Some(view), at(1_010));
+    holder.on_granted(ticket, view.version, LEASE, Some(view), at(1_010));
     holder
 }
 
@@ -99,12 +99,12 @@
 #[test]
 fn a_lease_runs_from_the_sending_of_its_renewal() {
     let names = names();
-    let mut holder = Holder::new(1);
+    let mut holder = LeaseHolder::new(1);
     let ticket = holder.renewal_sent(SHARD, at(1_000));
     let view = opened(&names);
     let late = at(3_000);
-    holder.granted(ticket, view.version, LEASE, Some(view), late);
-    assert!(holder.left(SHARD, late) < at(500));
+    holder.on_granted(ticket, view.version, LEASE, Some(view), late);
+    assert!(holder.time_left(SHARD, late) < at(500));
     let answer = holder.acknowledge(names.service, FIRST, write(FIRST, 7), at(3_500));
     assert_eq!(answer, Acknowledge::Unknown);
 }
@@ -118,8 +118,8 @@
     let ticket = holder.renewal_sent(SHARD, at(1_500));
     holder.close(SHARD, closed(&names));
     let version = opened(&names).version;
-    let granted = holder.granted(ticket, version, LEASE, Some(opened(&names)), at(1_600));
-    assert_eq!(granted, Granted::Nothing);
+    let granted = holder.on_granted(ticket, version, LEASE, Some(opened(&names)), at(1_600));
+    assert_eq!(granted, Granted::NoLease);
     let over = Leader::Closed { term: FIRST };
     assert_eq!(holder.leader(names.service, at(1_600)), over);
 }
@@ -168,12 +168,12 @@
 #[test]
 fn a_grant_whose_view_never_came_is_no_lease() {
     let names = names();
-    let mut holder = Holder::new(1);
+    let mut holder = LeaseHolder::new(1);
     let ticket = holder.renewal_sent(SHARD, at(0));
     let version = opened(&names).version;
     assert_eq!(
-        holder.granted(ticket, version, LEASE, None, at(1)),
-        Granted::Nothing
+        holder.on_granted(ticket, version, LEASE, None, at(1)),
+        Granted::NoLease
     );
     assert_eq!(holder.leader(names.service, at(1)), Leader::Unknown);
 }
@@ -190,8 +190,8 @@
     let write = write(FIRST, 7);
     let answer = holder.acknowledge(fixture.service, FIRST, write, at(1_150));
     assert_eq!(answer, Acknowledge::Unknown);
-    let granted = holder.granted(earlier, opened(&fixture).version, LEASE, None, at(1_200));
-    assert_eq!(granted, Granted::Nothing);
+    let granted = holder.on_granted(earlier, opened(&fixture).version, LEASE, None, at(1_200));
+    assert_eq!(granted, Granted::NoLease);
     let answer = holder.acknowledge(fixture.service, FIRST, write, at(1_250));
     assert_eq!(answer, Acknowledge::Unknown);
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -6,14 +6,14 @@
 use flamingopost_core::directory::Directory;
 use flamingopost_core::key::{HostKey, ZoneKey};
 use flamingopost_core::membership::{
-    GONE_AFTER, Heard, Hint, Leaving, Member, Membership, Process, Reason, State,
+    GONE_AFTER, HeartbeatEffect, Hint, LeavingServers, Member, Membership, Process, Reason, State,
 };
 use flamingopost_core::timing;
 
 fn heartbeat(seconds: u64) -> Member {
     Member {
         zone: ZoneKey::default(),
-        heard: Duration::from_secs(seconds),
+        last_heartbeat: Duration::from_secs(seconds),
         config: 1,
         stopping: false,
     }
@@ -29,7 +29,7 @@
 fn the_list_does_not_keep_a_silent_host_alive() {
     let host = Directory::default().hosts.intern("bole-1");
     let mut membership = Membership::default();
-    membership.listed(BTreeMap::from([(host, Hint::Live)]));
+    membership.set_listed_hosts(BTreeMap::from([(host, Hint::Live)]));
     assert_eq!(membership.joining().collect::<Vec<_>>(), [host]);
     membership.heartbeat(process(host, 1), heartbeat(1));
     assert_eq!(membership.joining().count(), 0);
@@ -43,7 +43,7 @@
     let host = Directory::default().hosts.intern("bole-1");
     let mut membership = Membership::default();
     membership.heartbeat(process(host, 1), heartbeat(1));
-    membership.listed(BTreeMap::new());
+    membership.set_listed_hosts(BTreeMap::new());
     let now = Duration::from_millis(1_500);
     assert_eq!(membership.state(process(host, 1), now), State::Live);
 }
@@ -56,15 +56,15 @@
     let mut membership = Membership::default();
     assert_eq!(
         membership.heartbeat(process(host, 1), heartbeat(1)),
-        Heard::New
+        HeartbeatEffect::New
     );
     assert_eq!(
         membership.heartbeat(process(host, 2), heartbeat(2)),
-        Heard::New
+        HeartbeatEffect::New
     );
     assert_eq!(
         membership.heartbeat(process(host, 2), heartbeat(3)),
-        Heard::Known
+        HeartbeatEffect::Known
     );
     let now = Duration::from_secs(4);
     assert_eq!(membership.state(process(host, 1), now), State::Suspect);
@@ -80,8 +80,11 @@
     let mut membership = Membership::default();
     membership.heartbeat(process, heartbeat(1));
     let late = heartbeat(1 + GONE_AFTER.as_secs());
-    assert_eq!(membership.heartbeat(process, late), Heard::Back);
-    assert_eq!(membership.state(process, late.heard), State::Live);
+    assert_eq!(
+        membership.heartbeat(process, late),
+        HeartbeatEffect::Returned
+    );
+    assert_eq!(membership.state(process, late.last_heartbeat), State::Live);
 }
 
 #[test]
@@ -96,7 +99,7 @@
     let now = Duration::from_secs(1);
     assert_eq!(membership.state(process(host, 1), now), State::Leaving);
     membership.heartbeat(process(host, 2), heartbeat(1));
-    membership.listed(BTreeMap::from([(host, Hint::Leaving)]));
+    membership.set_listed_hosts(BTreeMap::from([(host, Hint::Leaving)]));
     assert_eq!(membership.state(process(host, 2), now), State::Leaving);
 }
 
@@ -114,15 +117,15 @@
         directory.servers.intern("bole-a"),
         directory.servers.intern("bole-b"),
     );
-    let mut leaving = Leaving::default();
+    let mut leaving = LeavingServers::default();
     assert!(leaving.replace(Reason::Operator, BTreeSet::from([first])));
     assert!(!leaving.replace(Reason::Operator, BTreeSet::from([first])));
-    assert!(leaving.say(Reason::Server, first, true));
-    assert!(leaving.say(Reason::Server, second, true));
+    assert!(leaving.set_leaving(Reason::Server, first, true));
+    assert!(leaving.set_leaving(Reason::Server, second, true));
     assert!(leaving.replace(Reason::Operator, BTreeSet::new()));
     assert_eq!(leaving.servers(), BTreeSet::from([first, second]));
     assert_eq!(leaving.reasons(first).collect::<Vec<_>>(), [Reason::Server]);
-    assert!(leaving.say(Reason::Server, first, false));
-    assert!(!leaving.say(Reason::Server, first, false));
+    assert!(leaving.set_leaving(Reason::Server, first, false));
+    assert!(!leaving.set_leaving(Reason::Server, first, false));
     assert_eq!(leaving.servers(), BTreeSet::from([second]));
 }
--- a/crates/core/tests/promotion.rs
+++ b/crates/core/tests/promotion.rs
@@ -7,7 +7,7 @@
 use flamingopost_core::lease::Instance;
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
-use flamingopost_core::promotion::{Next, Order, Promotion, Reason, Status};
+use flamingopost_core::promotion::{OrderOutcome, Promotion, PromotionAction, Reason, Status};
 use flamingopost_core::row::{Loss, Service};
 use flamingopost_core::term::Term;
 use flamingopost_core::timing;
@@ -30,7 +30,7 @@
 fn trial(reason: Reason) -> Trial {
     let mut names = Names::default();
     let [old, near, far] = ["old", "near", "far"].map(|name| names.intern(name));
-    let mut service = Service::fresh();
+    let mut service = Service::without_primary();
     service.state = State::Open {
         term: TERM,
         primary: old,
@@ -80,9 +80,9 @@
 
 impl Trial {
     /// What is wanted now, apart from questions.
-    fn next(&mut self) -> Vec<Next> {
-        let mut next = self.promotion.next(1, self.committed, self.now);
-        next.retain(|next| !matches!(next, Next::Ask(_)));
+    fn next(&mut self) -> Vec<PromotionAction> {
+        let mut next = self.promotion.step(1, self.committed, self.now);
+        next.retain(|next| !matches!(next, PromotionAction::QueryStatus(_)));
         next
     }
 
@@ -93,37 +93,37 @@
     /// Closes the term with one lease running until `until`.
     fn close(&mut self, until: Duration) {
         let next = self.next();
-        let [Next::Commit(closed)] = &next[..] else {
+        let [PromotionAction::Commit(closed)] = &next[..] else {
             panic!("{next:?}");
         };
         assert_eq!(closed.state, State::Closed { term: TERM });
         let running = BTreeMap::from([(holder(), until)]);
-        self.promotion.closing(CLOSE, running);
-        assert_eq!(self.next(), [Next::Revoke(vec![holder()])]);
+        self.promotion.begin_closing(CLOSE, running);
+        assert_eq!(self.next(), [PromotionAction::Revoke(vec![holder()])]);
     }
 
     fn closed(&mut self, acknowledged: u64) {
-        self.promotion.closed(holder(), Some(at(acknowledged)));
+        self.promotion.on_closed(holder(), Some(at(acknowledged)));
         self.committed = CLOSE;
     }
 
     fn order(&mut self) -> Option<(ServerKey, Term)> {
         self.next().into_iter().find_map(|next| match next {
-            Next::Promote { server, term, .. } => Some((server, term)),
+            PromotionAction::Promote { server, term, .. } => Some((server, term)),
             _ => None,
         })
     }
 
     fn open(&mut self) -> Service {
         let next = self.next();
-        let [Next::Commit(open)] = &next[..] else {
+        let [PromotionAction::Commit(open)] = &next[..] else {
             panic!("{next:?}");
         };
         let open = open.clone();
-        self.promotion.opening(OPEN);
+        self.promotion.begin_opening(OPEN);
         assert_eq!(self.next(), [], "the new term is not committed yet");
         self.committed = OPEN;
-        assert_eq!(self.next(), [Next::Done]);
+        assert_eq!(self.next(), [PromotionAction::Done]);
         open
     }
 }
@@ -135,8 +135,8 @@
     let mut trial = trial(Reason::Unreachable);
     let until = trial.now + Duration::from_secs(2);
     trial.close(until);
-    trial.promotion.status(trial.near, Some(replica(9)));
-    trial.promotion.status(trial.far, Some(replica(9)));
+    trial.promotion.on_status(trial.near, Some(replica(9)));
+    trial.promotion.on_status(trial.far, Some(replica(9)));
     trial.committed = CLOSE;
     while trial.now < until {
         assert_eq!(trial.order(), None);
@@ -154,13 +154,13 @@
     let mut trial = trial(Reason::Unreachable);
     trial.close(trial.now + timing::LEASE);
     trial.closed(9);
-    trial.promotion.status(trial.near, Some(replica(8)));
+    trial.promotion.on_status(trial.near, Some(replica(8)));
     assert_eq!(trial.order(), None, "another may have it");
     trial.pass(timing::RETRY);
-    trial.promotion.status(trial.far, Some(replica(9)));
+    trial.promotion.on_status(trial.far, Some(replica(9)));
     assert_eq!(trial.order(), Some((trial.far, NEXT)));
 
-    trial.promotion.status(trial.far, Some(leads(NEXT, 9)));
+    trial.promotion.on_status(trial.far, Some(leads(NEXT, 9)));
     let open = trial.open();
     assert_eq!(open.history.start(NEXT), Some(9));
     assert!(open.losses.is_empty());
@@ -174,8 +174,8 @@
     let mut trial = trial(Reason::Unreachable);
     trial.close(trial.now + timing::LEASE);
     trial.closed(9);
-    trial.promotion.status(trial.near, Some(replica(9)));
-    let order = Next::Promote {
+    trial.promotion.on_status(trial.near, Some(replica(9)));
+    let order = PromotionAction::Promote {
         server: trial.near,
         term: NEXT,
         at_least: at(9),
@@ -189,7 +189,7 @@
 fn a_longer_log_of_an_older_term_is_not_taken() {
     let mut trial = trial(Reason::Unreachable);
     trial.close(trial.now + timing::LEASE);
-    trial.promotion.closed(holder(), None);
+    trial.promotion.on_closed(holder(), None);
     trial.committed = CLOSE;
     let before = Position {
         term: Term::default(),
@@ -199,8 +199,8 @@
         position: before,
         ..replica(50)
     };
-    trial.promotion.status(trial.far, Some(stray));
-    trial.promotion.status(trial.near, Some(replica(7)));
+    trial.promotion.on_status(trial.far, Some(stray));
+    trial.promotion.on_status(trial.near, Some(replica(7)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
 }
 
@@ -210,12 +210,12 @@
     let mut trial = trial(Reason::Unreachable);
     trial.close(trial.now + timing::LEASE);
     trial.closed(9);
-    trial.promotion.status(trial.near, Some(replica(7)));
-    trial.promotion.status(trial.far, Some(replica(6)));
+    trial.promotion.on_status(trial.near, Some(replica(7)));
+    trial.promotion.on_status(trial.far, Some(replica(6)));
     assert_eq!(trial.order(), None);
     trial.pass(timing::STILL);
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial.promotion.status(trial.near, Some(leads(NEXT, 7)));
+    trial.promotion.on_status(trial.near, Some(leads(NEXT, 7)));
     let open = trial.open();
     let loss = open.losses.first().expect("a loss is recorded");
     assert_eq!(
@@ -232,10 +232,10 @@
     trial.close(until);
     trial.committed = CLOSE;
     trial.now = until;
-    trial.promotion.status(trial.near, Some(replica(7)));
-    trial.promotion.status(trial.far, Some(replica(6)));
+    trial.promotion.on_status(trial.near, Some(replica(7)));
+    trial.promotion.on_status(trial.far, Some(replica(6)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial.promotion.status(trial.near, Some(leads(NEXT, 7)));
+    trial.promotion.on_status(trial.near, Some(leads(NEXT, 7)));
     let open = trial.open();
     assert!(!open.losses.first().expect("it says so").complete);
 }
@@ -245,7 +245,7 @@
 #[test]
 fn an_open_question_stays_open() {
     let mut trial = trial(Reason::Unreachable);
-    let mut service = Service::fresh();
+    let mut service = Service::without_primary();
     service.open(TERM, trial.old, Position::default());
     service.open(NEXT, trial.near, at(5));
     service.losses.insert(Loss {
@@ -258,14 +258,14 @@
     let key = ServiceKey::default();
     trial.promotion = Promotion::new(key, servers, service, Reason::Unreachable, trial.now);
     trial.next();
-    trial.promotion.closing(CLOSE, BTreeMap::new());
+    trial.promotion.begin_closing(CLOSE, BTreeMap::new());
     trial.committed = CLOSE;
-    trial.promotion.status(trial.far, Some(replica(8)));
+    trial.promotion.on_status(trial.far, Some(replica(8)));
     trial.pass(timing::GATHER);
     trial.next();
     trial.pass(timing::GATHER);
     let (server, term) = trial.order().expect("one is there");
-    trial.promotion.status(server, Some(leads(term, 8)));
+    trial.promotion.on_status(server, Some(leads(term, 8)));
     let open = trial.open();
     assert!(
         open.losses
@@ -281,26 +281,26 @@
 fn a_rival_is_waited_for() {
     let mut trial = trial(Reason::Rival);
     trial.close(trial.now + timing::LEASE);
-    trial.promotion.written(at(9), true);
+    trial.promotion.set_known_written(at(9), true);
     trial.closed(9);
     let follows = Status {
         term: NEXT,
         ..replica(9)
     };
-    trial.promotion.status(trial.old, Some(leads(TERM, 9)));
-    trial.promotion.status(trial.far, Some(follows));
+    trial.promotion.on_status(trial.old, Some(leads(TERM, 9)));
+    trial.promotion.on_status(trial.far, Some(follows));
     assert_eq!(trial.order(), None, "the rival may answer yet");
     let rival = Status {
         position: Position { term: NEXT, log: 8 },
         ..leads(NEXT, 8)
     };
-    trial.promotion.status(trial.near, Some(rival));
+    trial.promotion.on_status(trial.near, Some(rival));
     // Nobody knows on which log the rival's term went on, so the last write may be missing there.
     assert_eq!(trial.order(), None);
     trial.pass(timing::STILL);
     let after = Term { epoch: 1, count: 2 };
     assert_eq!(trial.order(), Some((trial.near, after)));
-    trial.promotion.status(
+    trial.promotion.on_status(
         trial.near,
         Some(Status {
             term: after,
@@ -317,18 +317,18 @@
     let mut trial = trial(Reason::Unreachable);
     trial.close(trial.now + timing::LEASE);
     trial.closed(7);
-    trial.promotion.status(trial.near, Some(replica(7)));
+    trial.promotion.on_status(trial.near, Some(replica(7)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
     trial
         .promotion
-        .promoted(trial.near, NEXT, Order::Unknown, trial.now);
+        .on_promoted(trial.near, NEXT, OrderOutcome::Unknown, trial.now);
     trial.pass(timing::RETRY);
     assert_eq!(
         trial.order(),
         Some((trial.near, NEXT)),
         "the same order again"
     );
-    trial.promotion.status(trial.near, Some(leads(NEXT, 7)));
+    trial.promotion.on_status(trial.near, Some(leads(NEXT, 7)));
     assert_eq!(trial.open().history.start(NEXT), Some(7));
 }
 
@@ -339,8 +339,8 @@
     let mut trial = trial(Reason::Unreachable);
     trial.close(trial.now + timing::LEASE);
     trial.closed(7);
-    trial.promotion.status(trial.near, Some(replica(8)));
-    trial.promotion.status(trial.far, Some(replica(7)));
+    trial.promotion.on_status(trial.near, Some(replica(8)));
+    trial.promotion.on_status(trial.far, Some(replica(7)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
     trial.pass(timing::CONFIRM);
     assert_eq!(trial.order(), None);
@@ -355,17 +355,17 @@
     let mut trial = trial(Reason::Unreachable);
     trial.close(trial.now + timing::LEASE);
     trial.closed(7);
-    trial.promotion.status(trial.near, Some(replica(7)));
+    trial.promotion.on_status(trial.near, Some(replica(7)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
     trial
         .promotion
-        .promoted(trial.near, NEXT, Order::Refused, trial.now);
+        .on_promoted(trial.near, NEXT, OrderOutcome::Refused, trial.now);
     let known = Term { epoch: 1, count: 5 };
     let knows = Status {
         term: known,
         ..replica(7)
     };
-    trial.promotion.status(trial.near, Some(knows));
+    trial.promotion.on_status(trial.near, Some(knows));
     trial.pass(timing::RETRY);
     let greater = Term { epoch: 1, count: 6 };
     assert_eq!(trial.order(), Some((trial.near, greater)));
@@ -375,21 +375,21 @@
 #[test]
 fn a_switchover_waits_for_everything() {
     let mut trial = trial(Reason::Leaving);
-    trial.promotion.status(trial.old, Some(leads(TERM, 100)));
+    trial.promotion.on_status(trial.old, Some(leads(TERM, 100)));
     let behind = Status {
         age: Duration::from_secs(5),
         ..replica(40)
     };
-    trial.promotion.status(trial.near, Some(behind));
+    trial.promotion.on_status(trial.near, Some(behind));
     assert_eq!(trial.next(), [], "writes go on while no replica is near");
-    trial.promotion.status(trial.near, Some(replica(99)));
+    trial.promotion.on_status(trial.near, Some(replica(99)));
     assert_eq!(trial.next(), []);
     trial.close(trial.now + timing::LEASE);
     trial.closed(101);
-    trial.promotion.status(trial.old, Some(leads(TERM, 102)));
+    trial.promotion.on_status(trial.old, Some(leads(TERM, 102)));
     trial.pass(timing::CATCH_UP);
     assert_eq!(trial.order(), None, "not all is there yet");
-    trial.promotion.status(trial.near, Some(replica(102)));
+    trial.promotion.on_status(trial.near, Some(replica(102)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
 }
 
@@ -397,8 +397,8 @@
 #[test]
 fn a_switchover_that_cannot_be_whole_stays_with_the_old_primary() {
     let mut trial = trial(Reason::Leaving);
-    trial.promotion.status(trial.old, Some(leads(TERM, 100)));
-    trial.promotion.status(trial.near, Some(replica(99)));
+    trial.promotion.on_status(trial.old, Some(leads(TERM, 100)));
+    trial.promotion.on_status(trial.near, Some(replica(99)));
     assert_eq!(trial.next(), []);
     trial.close(trial.now + timing::LEASE);
     trial.closed(100);
--- a/crates/core/tests/row.rs
+++ b/crates/core/tests/row.rs
@@ -23,7 +23,7 @@
 }
 
 fn opened(bases: &[Position]) -> Service {
-    let mut service = Service::fresh();
+    let mut service = Service::without_primary();
     for (count, base) in (0..).zip(bases) {
         service.open(term(count), server(), *base);
     }
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -80,7 +80,7 @@
         let now = shared.now();
         let leases = shared.leases();
         let mut shards = adopted.fleet.shards_in_use().into_iter();
-        let leased = shards.any(|shard| !leases.left(shard, now).is_zero());
+        let leased = shards.any(|shard| !leases.time_left(shard, now).is_zero());
         drop(leases);
         // A zone that is cut off from every controller goes on reading over the connections
         // that outlast its leases: taking its hosts out would end that as well.
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -51,7 +51,7 @@
     let now = admin.shared.now();
     let leases = admin.shared.leases();
     let shard = |shard| {
-        let left = leases.left(shard, now).as_millis();
+        let left = leases.time_left(shard, now).as_millis();
         let view = leases.version(shard);
         Shard {
             shard,
--- a/crates/entry/src/link/renewal.rs
+++ b/crates/entry/src/link/renewal.rs
@@ -281,7 +281,7 @@
     // Read under the lock: a process that is paused here must not take a lease that has run out
     // for one that begins.
     let now = link.shared.now();
-    leases.granted(ticket, grant.version.into(), valid, view, now)
+    leases.on_granted(ticket, grant.version.into(), valid, view, now)
 }
 
 fn allotments(link: &Link, grant: &Grant) -> BTreeMap<ServerKey, budget::Grant> {
@@ -341,7 +341,7 @@
         .set(adopted.version as f64);
     let now = link.shared.now();
     for shard in adopted.fleet.shards_in_use() {
-        let left = link.shared.leases().left(shard, now);
+        let left = link.shared.leases().time_left(shard, now);
         let shard = shard.to_string();
         metrics::gauge!("flamingopost_lease_left_seconds", "host" => host.clone(), "shard" => shard)
             .set(left.as_secs_f64());
@@ -351,7 +351,7 @@
 fn note_lapses(link: &Link, turns: &Turns) {
     let now = link.shared.now();
     lock(&turns.held).retain(|shard| {
-        let runs = !link.shared.leases().left(*shard, now).is_zero();
+        let runs = !link.shared.leases().time_left(*shard, now).is_zero();
         if !runs {
             Log::Lapsed { shard: *shard }.log();
         }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -408,7 +408,7 @@
             return;
         };
         if let Leader::Open { term, .. } = leases.leader(self.key, now) {
-            let left = leases.left(service.shard, now);
+            let left = leases.time_left(service.shard, now);
             state.table.lease(term, now + left);
         }
     }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -12,7 +12,7 @@
 use flamingopost_core::directory::Directory;
 use flamingopost_core::history::History;
 use flamingopost_core::key::{ServerKey, ServiceKey};
-use flamingopost_core::lease::{Acknowledge, Holder, Leader};
+use flamingopost_core::lease::{Acknowledge, Leader, LeaseHolder};
 use flamingopost_core::position::Position;
 use flamingopost_core::term::Term;
 use flamingopost_core::view;
@@ -30,7 +30,7 @@
     incarnation: u64,
     directory: RwLock<Arc<Directory>>,
     adopted: watch::Sender<Option<Arc<Adopted>>>,
-    leases: Mutex<Holder>,
+    leases: Mutex<LeaseHolder>,
     changes: watch::Sender<u64>,
     purses: Mutex<BTreeMap<ServerKey, Purse>>,
     tallies: Mutex<Tallies>,
@@ -49,7 +49,7 @@
             incarnation,
             directory: RwLock::default(),
             adopted: watch::Sender::new(None),
-            leases: Mutex::new(Holder::new(incarnation)),
+            leases: Mutex::new(LeaseHolder::new(incarnation)),
             changes: watch::Sender::new(0),
             purses: Mutex::default(),
             tallies: Mutex::default(),
@@ -223,7 +223,7 @@
     }
 
     /// The leases, for the link to controllers.
-    pub fn leases(&self) -> MutexGuard<'_, Holder> {
+    pub fn leases(&self) -> MutexGuard<'_, LeaseHolder> {
         lock(&self.leases)
     }
 
--- a/crates/entry/tests/common/path.rs
+++ b/crates/entry/tests/common/path.rs
@@ -217,7 +217,7 @@
         let now = self.shared.now();
         let mut leases = self.shared.leases();
         let ticket = leases.renewal_sent(0, now);
-        let granted = leases.granted(ticket, version, valid, Some(view), now);
+        let granted = leases.on_granted(ticket, version, valid, Some(view), now);
         drop(leases);
         assert!(valid.is_zero() || matches!(granted, Granted::Until(_)));
         self.shared.changed();
--- a/crates/wire/tests/row.rs
+++ b/crates/wire/tests/row.rs
@@ -12,7 +12,7 @@
 fn full(directory: &mut Directory) -> Row {
     let term = |count| Term { epoch: 2, count };
     let primary = directory.servers.intern("ledger-b");
-    let mut open = Service::fresh();
+    let mut open = Service::without_primary();
     open.state = State::Open {
         term: term(2),
         primary,
@@ -35,7 +35,10 @@
     }]);
     let services = BTreeMap::from([
         (directory.services.intern("auction-ledger"), open),
-        (directory.services.intern("lots"), Service::fresh()),
+        (
+            directory.services.intern("lots"),
+            Service::without_primary(),
+        ),
     ]);
     Row {
         epoch: 3,
