--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use flamingopost_core::adoption::{Adoption, Next};
+use flamingopost_core::adoption::{Adoption, AdoptionStep};
 use flamingopost_core::config;
 use flamingopost_core::digest::Digest;
 use flamingopost_core::submission::Record;
@@ -58,7 +58,7 @@
     let (sender, receiver) = mpsc::channel(BACKLOG);
     let spread = Spread {
         shared,
-        adoption: Adoption::fresh(peers),
+        adoption: Adoption::starting(peers),
         head: None,
         sources: BTreeMap::new(),
     };
@@ -85,60 +85,60 @@
     async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             let next = self.take(event);
-            if let Next::Fetch { version } = next {
+            if let AdoptionStep::Fetch { version } = next {
                 self.fetch(version).await;
             }
             self.shared.hear(self.adoption.highest());
         }
     }
 
-    fn take(&mut self, event: Event) -> Next {
+    fn take(&mut self, event: Event) -> AdoptionStep {
         match event {
             Event::Head(Some(head)) => self.take_head(&head),
-            Event::Head(None) => self.adoption.told_none(),
-            Event::HeadFailed => self.adoption.platform_failed(),
+            Event::Head(None) => self.adoption.record_empty_head(),
+            Event::HeadFailed => self.adoption.record_platform_failure(),
             Event::Heard { version, from } => {
                 if let Some(from) = from {
                     self.sources.insert(from, version);
                 }
-                self.adoption.heard(version)
+                self.adoption.record_version(version)
             }
             Event::Asked(answer) => {
                 let version = answer.as_ref().map(|knowledge| knowledge.version);
-                let next = self.adoption.peer_asked(version);
+                let next = self.adoption.record_peer_answer(version);
                 answer.map_or(next, |knowledge| self.take_knowledge(*knowledge))
             }
             Event::Told(knowledge) => self.take_knowledge(*knowledge),
         }
     }
 
-    fn take_head(&mut self, head: &Head) -> Next {
+    fn take_head(&mut self, head: &Head) -> AdoptionStep {
         match Record::try_from(head) {
             Ok(record) => {
-                let next = self.adoption.told(record.version, record.digest);
+                let next = self.adoption.record_head(record.version, record.digest);
                 self.head = Some(record);
                 next
             }
             Err(error) => {
                 let error = error.to_string();
                 Log::BadRow { error }.log();
-                Next::Idle
+                AdoptionStep::Idle
             }
         }
     }
 
-    fn take_knowledge(&mut self, knowledge: Knowledge) -> Next {
+    fn take_knowledge(&mut self, knowledge: Knowledge) -> AdoptionStep {
         if let Some(process) = knowledge.process {
             self.sources.insert(process.rpc, knowledge.version);
         }
-        let next = self.adoption.heard(knowledge.version);
+        let next = self.adoption.record_version(knowledge.version);
         let (Some(body), Ok(digest)) = (knowledge.body, knowledge.digest.parse()) else {
             return next;
         };
         // A fresh process holds a body back until all it has to ask have answered, and then wants
         // the highest version named: this one may be older than what it had before its restart.
         match next {
-            Next::Fetch { version } if knowledge.version >= version => {}
+            AdoptionStep::Fetch { version } if knowledge.version >= version => {}
             _ => return next,
         }
         self.offer(Offer {
@@ -146,7 +146,7 @@
             digest,
             body,
         });
-        self.adoption.heard(knowledge.version)
+        self.adoption.record_version(knowledge.version)
     }
 
     async fn fetch(&mut self, version: u64) {
@@ -201,8 +201,8 @@
             digest,
             body,
         } = offer;
-        match self.adoption.offered(version, digest, body.as_bytes()) {
-            Ok(Next::Adopt) => self.adopt(version, digest, body),
+        match self.adoption.check_body(version, digest, body.as_bytes()) {
+            Ok(AdoptionStep::Adopt) => self.adopt(version, digest, body),
             Ok(_) => {}
             Err(error) => {
                 let error = error.to_string();
@@ -218,7 +218,7 @@
             .intern(|directory| config::parse(&file, &body, directory));
         match parsed {
             Ok(fleet) => {
-                self.adoption.adopted(version);
+                self.adoption.record_adopted(version);
                 self.shared.put(Config {
                     version,
                     digest,
@@ -229,7 +229,7 @@
                 Log::Adopted { version }.log();
             }
             Err(report) => {
-                self.adoption.refuse(version);
+                self.adoption.reject_version(version);
                 let error = report.to_string();
                 Log::BadBody { version, error }.log();
             }
--- a/crates/core/src/adoption.rs
+++ b/crates/core/src/adoption.rs
@@ -12,30 +12,30 @@
 /// The configuration version of one process.
 ///
 /// ```
-/// use flamingopost_core::adoption::{Adoption, Next};
+/// use flamingopost_core::adoption::{Adoption, AdoptionStep};
 /// use flamingopost_core::digest::Digest;
 ///
-/// let mut adoption = Adoption::fresh(0);
+/// let mut adoption = Adoption::starting(0);
 /// let body = b"[fleet]\nshards = 1\n";
-/// assert_eq!(adoption.heard(3), Next::Idle, "the platform has not answered yet");
-/// assert_eq!(adoption.told(3, Digest::of(body)), Next::Fetch { version: 3 });
-/// assert_eq!(adoption.offered(3, Digest::of(body), body), Ok(Next::Adopt));
-/// adoption.adopted(3);
+/// assert_eq!(adoption.record_version(3), AdoptionStep::Idle, "the platform has not answered yet");
+/// assert_eq!(adoption.record_head(3, Digest::of(body)), AdoptionStep::Fetch { version: 3 });
+/// assert_eq!(adoption.check_body(3, Digest::of(body), body), Ok(AdoptionStep::Adopt));
+/// adoption.record_adopted(3);
 /// assert_eq!(adoption.in_force(), 3);
-/// assert_eq!(adoption.heard(2), Next::Idle);
+/// assert_eq!(adoption.record_version(2), AdoptionStep::Idle);
 /// ```
 #[derive(Debug)]
 pub struct Adoption {
     in_force: u64,
     highest: u64,
     head: Option<(u64, Digest)>,
-    refused: BTreeSet<u64>,
-    fresh: Option<Fresh>,
+    rejected: BTreeSet<u64>,
+    startup: Option<Startup>,
 }
 
 /// Whom a process that has just started has not heard from yet.
 #[derive(Debug)]
-struct Fresh {
+struct Startup {
     platform: Source,
     peers_left: usize,
 }
@@ -48,7 +48,7 @@
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum AdoptionStep {
     /// Nothing.
     Idle,
     /// Fetch the body of `version`, or of a newer one, from the platform or from whoever named it.
@@ -56,8 +56,8 @@
         /// The version.
         version: u64,
     },
-    /// Decode the body and put it in force, then call [`Adoption::adopted`]; or call
-    /// [`Adoption::refuse`].
+    /// Decode the body and put it in force, then call [`Adoption::record_adopted`]; or call
+    /// [`Adoption::reject_version`].
     Adopt,
 }
 
@@ -74,13 +74,13 @@
 
 impl Adoption {
     /// A process that has just started and knows `peers` others to ask.
-    pub fn fresh(peers: usize) -> Adoption {
+    pub fn starting(peers: usize) -> Adoption {
         Adoption {
             in_force: 0,
             highest: 0,
             head: None,
-            refused: BTreeSet::new(),
-            fresh: Some(Fresh {
+            rejected: BTreeSet::new(),
+            startup: Some(Startup {
                 platform: Source::Awaited,
                 peers_left: peers,
             }),
@@ -98,48 +98,48 @@
     }
 
     /// A message carried `version`.
-    pub fn heard(&mut self, version: u64) -> Next {
+    pub fn record_version(&mut self, version: u64) -> AdoptionStep {
         self.highest = self.highest.max(version);
         self.next()
     }
 
     /// The platform's head row names `version`, whose body has `digest`. Version 0 says that
     /// the fleet has no configuration yet.
-    pub fn told(&mut self, version: u64, digest: Digest) -> Next {
+    pub fn record_head(&mut self, version: u64, digest: Digest) -> AdoptionStep {
         if self.head.is_none_or(|(known, _)| known < version) {
             self.head = Some((version, digest));
         }
         // The head is the newest there is: nobody else needs to be heard.
-        self.fresh = None;
-        self.heard(version)
+        self.startup = None;
+        self.record_version(version)
     }
 
     /// The platform has answered that there is no configuration.
-    pub fn told_none(&mut self) -> Next {
-        self.fresh = None;
+    pub fn record_empty_head(&mut self) -> AdoptionStep {
+        self.startup = None;
         self.next()
     }
 
     /// The platform did not answer.
-    pub fn platform_failed(&mut self) -> Next {
-        if let Some(fresh) = &mut self.fresh {
+    pub fn record_platform_failure(&mut self) -> AdoptionStep {
+        if let Some(fresh) = &mut self.startup {
             fresh.platform = Source::Failed;
         }
         self.next()
     }
 
     /// One of the peers asked at the start has answered with its version, or has not answered.
-    pub fn peer_asked(&mut self, version: Option<u64>) -> Next {
-        if let Some(fresh) = &mut self.fresh {
+    pub fn record_peer_answer(&mut self, version: Option<u64>) -> AdoptionStep {
+        if let Some(fresh) = &mut self.startup {
             fresh.peers_left = fresh.peers_left.saturating_sub(1);
         }
-        self.heard(version.unwrap_or_default())
+        self.record_version(version.unwrap_or_default())
     }
 
     /// Whether all that a fresh process has to ask have answered or failed. Before that, what it
     /// would put in force may be older than what it had in force before its restart.
-    pub fn is_settled(&self) -> bool {
-        match &self.fresh {
+    pub fn has_asked_all(&self) -> bool {
+        match &self.startup {
             None => true,
             Some(fresh) => fresh.platform == Source::Failed && fresh.peers_left == 0,
         }
@@ -149,7 +149,12 @@
     ///
     /// # Errors
     /// The body is not what it is said to be.
-    pub fn offered(&mut self, version: u64, digest: Digest, body: &[u8]) -> Result<Next, Error> {
+    pub fn check_body(
+        &mut self,
+        version: u64,
+        digest: Digest,
+        body: &[u8],
+    ) -> Result<AdoptionStep, Error> {
         if Digest::of(body) != digest {
             return Err(Error::Damaged(version));
         }
@@ -160,14 +165,14 @@
             return Err(Error::Forked(version));
         }
         self.highest = self.highest.max(version);
-        if version <= self.in_force || self.refused.contains(&version) {
-            return Ok(Next::Idle);
+        if version <= self.in_force || self.rejected.contains(&version) {
+            return Ok(AdoptionStep::Idle);
         }
-        Ok(Next::Adopt)
+        Ok(AdoptionStep::Adopt)
     }
 
     /// `version` is in force from now on.
-    pub fn adopted(&mut self, version: u64) {
+    pub fn record_adopted(&mut self, version: u64) {
         invariant::check(
             Invariant::UpwardConfiguration,
             version > self.in_force,
@@ -175,21 +180,21 @@
         );
         self.in_force = self.in_force.max(version);
         self.highest = self.highest.max(version);
-        self.refused.retain(|refused| *refused > version);
+        self.rejected.retain(|refused| *refused > version);
     }
 
     /// The body of `version` cannot be read by this program, which may be older than what the
     /// version needs: the version in force stays, and the body is not fetched again.
-    pub fn refuse(&mut self, version: u64) {
-        self.refused.insert(version);
+    pub fn reject_version(&mut self, version: u64) {
+        self.rejected.insert(version);
     }
 
-    fn next(&self) -> Next {
+    fn next(&self) -> AdoptionStep {
         let version = self.highest;
-        let wanted = version > self.in_force && !self.refused.contains(&version);
-        match wanted && self.is_settled() {
-            true => Next::Fetch { version },
-            false => Next::Idle,
+        let wanted = version > self.in_force && !self.rejected.contains(&version);
+        match wanted && self.has_asked_all() {
+            true => AdoptionStep::Fetch { version },
+            false => AdoptionStep::Idle,
         }
     }
 }
--- a/crates/core/src/epoch.rs
+++ b/crates/core/src/epoch.rs
@@ -1,4 +1,4 @@
-//! Epochs of the platform's store: what holds after it has come back from a copy.
+//! EpochTracker of the platform's store: what holds after it has come back from a copy.
 //!
 //! The store may lose the last seconds of what it has acknowledged. Its counts go back then and are
 //! given out again, so nothing that one epoch has counted is compared with what another has. What is
@@ -14,12 +14,12 @@
 /// How long after a host has heard of a new epoch the claims that the copy lacks are written anew:
 /// hosts hear of an epoch with the answer to the call that waits for the configuration, which takes
 /// up to 2 s, and write one row for each change of primary that they know of.
-pub const CLAIMS_REWRITTEN: Duration = Duration::from_secs(3);
+pub const CLAIM_REWRITE_TIME: Duration = Duration::from_secs(3);
 
 /// How long after a new epoch the list of servers tells no more than before: a living server has
 /// written its entry anew within two seconds, and that of a dead one has lapsed after three of the
 /// heartbeats that servers write 1.2 s apart.
-pub const SERVERS_REWRITTEN: Duration = Duration::from_secs(4);
+pub const SERVER_REWRITE_TIME: Duration = Duration::from_secs(4);
 
 /// What the store has counted between two times that it came back from a copy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,16 +33,16 @@
 
 /// What an answer of the store says of its epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sighting {
+pub enum EpochStatus {
     /// It is the newest that the store has told of, or the first.
-    Known,
+    Current,
     /// It is newer than `before`: the store has come back from a copy.
     Restored {
         /// The newest that the store had told of.
         before: Epoch,
     },
     /// It is over: the answer comes late, and holds no longer.
-    Former,
+    Outdated,
 }
 
 /// What one host knows of the store's epochs.
@@ -50,98 +50,98 @@
 /// ```
 /// use std::collections::BTreeSet;
 /// use std::time::Duration;
-/// use flamingopost_core::epoch::{CLAIMS_REWRITTEN, Epoch, Epochs, Sighting};
+/// use flamingopost_core::epoch::{CLAIM_REWRITE_TIME, Epoch, EpochTracker, EpochStatus};
 /// use flamingopost_core::key::HostKey;
 /// use flamingopost_core::succession::CLAIM_HOLDER_TIMEOUT;
 ///
 /// let at = Duration::from_secs;
 /// let others = BTreeSet::from([HostKey::default()]);
-/// let mut epochs = Epochs::default();
-/// assert_eq!(epochs.saw(Epoch(4), at(1)), Sighting::Known);
-/// assert_eq!(epochs.orders_from(&others), Duration::ZERO);
-/// assert_eq!(epochs.saw(Epoch(5), at(60)), Sighting::Restored { before: Epoch(4) });
-/// assert!(!epochs.knows_claims(at(60)));
-/// assert!(epochs.knows_claims(at(60) + CLAIMS_REWRITTEN));
-/// assert_eq!(epochs.orders_from(&others), at(60) + CLAIM_HOLDER_TIMEOUT);
-/// epochs.told(HostKey::default(), Epoch(5), at(61));
-/// assert_eq!(epochs.orders_from(&others), Duration::ZERO, "nobody acts on what the copy lacks");
+/// let mut epochs = EpochTracker::default();
+/// assert_eq!(epochs.record_store_epoch(Epoch(4), at(1)), EpochStatus::Current);
+/// assert_eq!(epochs.orders_allowed_from(&others), Duration::ZERO);
+/// assert_eq!(epochs.record_store_epoch(Epoch(5), at(60)), EpochStatus::Restored { before: Epoch(4) });
+/// assert!(!epochs.are_claims_complete(at(60)));
+/// assert!(epochs.are_claims_complete(at(60) + CLAIM_REWRITE_TIME));
+/// assert_eq!(epochs.orders_allowed_from(&others), at(60) + CLAIM_HOLDER_TIMEOUT);
+/// epochs.record_peer_epoch(HostKey::default(), Epoch(5), at(61));
+/// assert_eq!(epochs.orders_allowed_from(&others), Duration::ZERO, "nobody acts on what the copy lacks");
 /// ```
 #[derive(Debug, Default)]
-pub struct Epochs {
+pub struct EpochTracker {
     /// The newest by the store's own word.
-    seen: Option<Epoch>,
+    store_epoch: Option<Epoch>,
     /// The newest by anybody's word. What the store says is not judged by it: hosts are told all
     /// sorts of things, by strangers as well.
-    heard: Epoch,
+    newest_epoch: Epoch,
     /// When the store has first told of the newest.
-    since: Duration,
+    store_epoch_since: Duration,
     /// When the store came back with it, as far as is known.
-    restored: Option<Duration>,
+    restored_at: Option<Duration>,
     /// The newest that each of the other hosts has heard of.
-    told: BTreeMap<HostKey, Epoch>,
+    peer_epochs: BTreeMap<HostKey, Epoch>,
 }
 
-impl Epochs {
+impl EpochTracker {
     /// The newest epoch by the store's own word.
-    pub fn seen(&self) -> Epoch {
-        self.seen.unwrap_or_default()
+    pub fn store_epoch(&self) -> Epoch {
+        self.store_epoch.unwrap_or_default()
     }
 
     /// The newest epoch by anybody's word: what was won in an earlier one may be lost.
-    pub fn heard(&self) -> Epoch {
-        self.heard
+    pub fn newest_epoch(&self) -> Epoch {
+        self.newest_epoch
     }
 
     /// The store has answered in `epoch`.
-    pub fn saw(&mut self, epoch: Epoch, now: Duration) -> Sighting {
-        let before = self.seen;
+    pub fn record_store_epoch(&mut self, epoch: Epoch, now: Duration) -> EpochStatus {
+        let before = self.store_epoch;
         if before.is_some_and(|before| epoch < before) {
-            return Sighting::Former;
+            return EpochStatus::Outdated;
         }
         if before == Some(epoch) {
-            return Sighting::Known;
+            return EpochStatus::Current;
         }
-        self.seen = Some(epoch);
-        self.since = now;
-        self.heard = self.heard.max(epoch);
+        self.store_epoch = Some(epoch);
+        self.store_epoch_since = now;
+        self.newest_epoch = self.newest_epoch.max(epoch);
         let Some(before) = before else {
-            return Sighting::Known;
+            return EpochStatus::Current;
         };
-        self.restored = Some(now);
-        Sighting::Restored { before }
+        self.restored_at = Some(now);
+        EpochStatus::Restored { before }
     }
 
     /// `host` has heard of `epoch`. Returns whether that is news: what the store is asked now is
     /// answered in a newer epoch than what it was asked before.
-    pub fn told(&mut self, host: HostKey, epoch: Epoch, now: Duration) -> bool {
-        self.told.insert(host, epoch);
-        if epoch <= self.heard {
+    pub fn record_peer_epoch(&mut self, host: HostKey, epoch: Epoch, now: Duration) -> bool {
+        self.peer_epochs.insert(host, epoch);
+        if epoch <= self.newest_epoch {
             return false;
         }
-        self.heard = epoch;
+        self.newest_epoch = epoch;
         // One that the store has told nothing yet learns of the first epoch in this way.
-        if self.seen.is_some() {
-            self.restored = Some(now);
+        if self.store_epoch.is_some() {
+            self.restored_at = Some(now);
         }
-        self.seen.is_some()
+        self.store_epoch.is_some()
     }
 
     /// `epoch` was new at `at`, by the word of another host: one that has just started cannot tell
     /// whether the first epoch that it hears of is.
-    pub fn told_of_restore(&mut self, epoch: Epoch, at: Duration) {
-        if self.seen == Some(epoch) && self.restored.is_none() {
-            self.restored = Some(at);
+    pub fn record_restore(&mut self, epoch: Epoch, at: Duration) {
+        if self.store_epoch == Some(epoch) && self.restored_at.is_none() {
+            self.restored_at = Some(at);
         }
     }
 
     /// When the store came back with the newest epoch; nothing if it has not, as far as is known.
-    pub fn restored(&self) -> Option<Duration> {
-        self.restored
+    pub fn restored_at(&self) -> Option<Duration> {
+        self.restored_at
     }
 
-    /// Whether [`Epochs::orders_from`] can be later than `now`.
+    /// Whether [`EpochTracker::orders_allowed_from`] can be later than `now`.
     pub fn may_delay_orders(&self, now: Duration) -> bool {
-        self.restored
+        self.restored_at
             .is_some_and(|at| now < at + CLAIM_HOLDER_TIMEOUT)
     }
 
@@ -151,11 +151,15 @@
     /// lacks, and another wins it anew. A host that hears of the epoch drops such a claim, so once
     /// all of `others` have said that they have, nobody acts on one any more; one that says nothing
     /// is given the time in which the holder of a claim acts.
-    pub fn orders_from(&self, others: &BTreeSet<HostKey>) -> Duration {
-        let Some(restored) = self.restored else {
+    pub fn orders_allowed_from(&self, others: &BTreeSet<HostKey>) -> Duration {
+        let Some(restored) = self.restored_at else {
             return Duration::ZERO;
         };
-        let knows = |host: &HostKey| self.told.get(host).is_some_and(|told| *told >= self.heard);
+        let knows = |host: &HostKey| {
+            self.peer_epochs
+                .get(host)
+                .is_some_and(|told| *told >= self.newest_epoch)
+        };
         match others.iter().all(knows) {
             true => Duration::ZERO,
             false => restored + CLAIM_HOLDER_TIMEOUT,
@@ -168,12 +172,13 @@
     /// store, whose copy lacks the claim, and would go on relying on that primary. A host that has
     /// just started takes the first epoch that it hears of for a new one: it hears of no other host
     /// that could tell.
-    pub fn knows_claims(&self, now: Duration) -> bool {
-        self.seen.is_some() && now >= self.since + CLAIMS_REWRITTEN
+    pub fn are_claims_complete(&self, now: Duration) -> bool {
+        self.store_epoch.is_some() && now >= self.store_epoch_since + CLAIM_REWRITE_TIME
     }
 
     /// Whether what the store tells may be that of the copy: it takes back nothing that was known before.
-    pub fn may_be_copied(&self, now: Duration) -> bool {
-        self.restored.is_some_and(|at| now < at + SERVERS_REWRITTEN)
+    pub fn may_list_be_stale(&self, now: Duration) -> bool {
+        self.restored_at
+            .is_some_and(|at| now < at + SERVER_REWRITE_TIME)
     }
 }
--- a/crates/core/src/vouch.rs
+++ b/crates/core/src/freshness.rs
@@ -11,10 +11,10 @@
 use crate::term::Term;
 
 /// Samples closer together than this are merged: a bound is seconds, so finer steps gain nothing.
-pub const SPACING: Duration = Duration::from_millis(25);
+pub const SAMPLE_SPACING: Duration = Duration::from_millis(25);
 
 /// How long samples are kept; no configuration accepts older data without asking the primary.
-pub const HORIZON: Duration = Duration::from_secs(15);
+pub const SAMPLE_RETENTION: Duration = Duration::from_secs(15);
 
 /// Positions of one service's primaries, in the order in which they were asked for.
 ///
@@ -22,19 +22,19 @@
 /// use std::time::Duration;
 /// use flamingopost_core::position::Position;
 /// use flamingopost_core::term::Term;
-/// use flamingopost_core::vouch::Vouch;
+/// use flamingopost_core::freshness::FreshnessTracker;
 ///
 /// let at = Duration::from_millis;
 /// let position = |log| Position { term: Term::from_number(1), log };
-/// let mut vouch = Vouch::default();
-/// vouch.led(position(5), at(1_000));
-/// vouch.led(position(9), at(2_000));
-/// assert_eq!(vouch.floor(at(900)), Some(position(5)));
-/// assert_eq!(vouch.floor(at(1_500)), Some(position(9)));
-/// assert_eq!(vouch.floor(at(2_500)), None, "nobody vouches for anything that young");
+/// let mut tracker = FreshnessTracker::default();
+/// tracker.add_sample(position(5), at(1_000));
+/// tracker.add_sample(position(9), at(2_000));
+/// assert_eq!(tracker.required_position(at(900)), Some(position(5)));
+/// assert_eq!(tracker.required_position(at(1_500)), Some(position(9)));
+/// assert_eq!(tracker.required_position(at(2_500)), None, "nobody vouches for anything that young");
 /// ```
 #[derive(Debug, Default)]
-pub struct Vouch {
+pub struct FreshnessTracker {
     samples: VecDeque<Sample>,
     newest: Position,
     term: Term,
@@ -46,15 +46,15 @@
     position: Position,
 }
 
-impl Vouch {
+impl FreshnessTracker {
     /// A primary answered at `position` to what was sent at `at`, and led while it did.
-    pub fn led(&mut self, position: Position, at: Duration) {
-        self.saw_term(position.term);
+    pub fn add_sample(&mut self, position: Position, at: Duration) {
+        self.record_term(position.term);
         if position.term < self.term {
             return;
         }
         self.newest = self.newest.max(position);
-        let oldest = at.saturating_sub(HORIZON);
+        let oldest = at.saturating_sub(SAMPLE_RETENTION);
         while self.samples.front().is_some_and(|first| first.at < oldest) {
             self.samples.pop_front();
         }
@@ -63,7 +63,7 @@
             return;
         };
         // Answers overtake each other on different connections; an older one adds nothing.
-        if at < last.at + SPACING {
+        if at < last.at + SAMPLE_SPACING {
             return;
         }
         let position = position.max(last.position);
@@ -71,7 +71,7 @@
     }
 
     /// Some server's log has reached `term`, so that term has begun.
-    pub fn saw_term(&mut self, term: Term) {
+    pub fn record_term(&mut self, term: Term) {
         self.term = self.term.max(term);
     }
 
@@ -82,15 +82,15 @@
 
     /// What a server's log must contain to answer a read that has to see everything
     /// acknowledged before `since`; `None` when no sample is young enough to tell.
-    pub fn floor(&self, since: Duration) -> Option<Position> {
+    pub fn required_position(&self, since: Duration) -> Option<Position> {
         let sample = self.samples.iter().find(|sample| sample.at >= since)?;
-        Some(self.current(sample.position))
+        Some(self.in_current_term(sample.position))
     }
 
     /// The newest sample: the position, and the moment after which the primary still led.
-    pub fn last(&self) -> Option<(Position, Duration)> {
+    pub fn last_sample(&self) -> Option<(Position, Duration)> {
         let last = self.samples.back()?;
-        Some((self.current(last.position), last.at))
+        Some((self.in_current_term(last.position), last.at))
     }
 
     /// The newest position that a primary has shown while it led.
@@ -99,14 +99,14 @@
     }
 
     /// When a primary was first asked whose answer had reached `position`.
-    pub fn reached(&self, position: Position) -> Option<Duration> {
+    pub fn reached_at(&self, position: Position) -> Option<Duration> {
         let mut samples = self.samples.iter();
         let sample = samples.find(|sample| sample.position >= position)?;
         Some(sample.at)
     }
 
     /// When a primary was first asked whose answer had got further than `position`.
-    pub fn passed(&self, position: Position) -> Option<Duration> {
+    pub fn passed_at(&self, position: Position) -> Option<Duration> {
         let mut samples = self.samples.iter();
         let sample = samples.find(|sample| sample.position > position)?;
         Some(sample.at)
@@ -117,7 +117,7 @@
     /// A promotion may drop the end of the old term's log. A session whose write was dropped
     /// would ask for a position that no log has any more and get no read answered again. The
     /// start of the newer term is past everything of older terms that still counts.
-    pub fn current(&self, position: Position) -> Position {
+    pub fn in_current_term(&self, position: Position) -> Position {
         if position.term >= self.term {
             return position;
         }
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -254,7 +254,7 @@
     /// Sets the zones in which the platform's list has hosts.
     pub fn list(&mut self, zones: BTreeSet<ZoneKey>) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.judge.list(zones);
+            lead.judge.set_listed_zones(zones);
         }
     }
 
--- a/crates/core/src/leadership_lead.rs
+++ b/crates/core/src/leadership_lead.rs
@@ -13,7 +13,7 @@
 use crate::position::Position;
 use crate::promotion::{Order, Promotion, Reason, Status};
 use crate::row::Service;
-use crate::suspicion::Judge;
+use crate::suspicion::FailureDetector;
 use crate::term::Term;
 use crate::timing;
 use crate::view::{self, State, Version};
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(super) struct Lead {
     pub(super) holder: Holder,
-    pub(super) judge: Judge,
+    pub(super) judge: FailureDetector,
     phase: Phase,
     view: view::Shard,
     /// Whether `view` has changed since it was last sent to holders.
@@ -91,7 +91,7 @@
                 witnessed,
             },
             holder,
-            judge: Judge::default(),
+            judge: FailureDetector::default(),
             view: view::Shard {
                 version,
                 services: BTreeMap::new(),
@@ -158,9 +158,9 @@
         now: Duration,
     ) -> Reply {
         let host = renewal.holder.host;
-        self.judge.heard(host, renewal.zone, now);
+        self.judge.record_host(host, renewal.zone, now);
         for (server, report) in &renewal.reports {
-            self.judge.report(host, *server, *report, now);
+            self.judge.add_report(host, *server, *report, now);
         }
         if renewal.stopping {
             ledger.end(renewal.holder, now);
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -7,7 +7,7 @@
 use crate::key::{ServerKey, ServiceKey};
 use crate::leadership::{Action, Group, Leaving};
 use crate::promotion::{Reason, Status};
-use crate::suspicion::Verdict;
+use crate::suspicion::Reachability;
 use crate::term::Term;
 use crate::timing;
 use crate::view::State;
@@ -25,7 +25,7 @@
             .is_none_or(|asked| now >= asked + timing::STATUS)
         {
             self.status_asked = Some(now);
-            self.judge.tidy(now);
+            self.judge.expire(now);
             let servers = groups.values().flat_map(|group| group.servers.keys());
             actions.extend(servers.map(|server| Action::Status(*server)));
         }
@@ -52,8 +52,8 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let unreachable = self.judge.verdict(primary, now) == Verdict::Unreachable;
-        let dead = unreachable && self.judge.is_cool(key, now);
+        let unreachable = self.judge.reachability(primary, now) == Reachability::Unreachable;
+        let dead = unreachable && self.judge.has_cooled_down(key, now);
         if let Some(running) = self.promotions.get_mut(&key) {
             if dead {
                 running.promotion.urge();
@@ -61,7 +61,7 @@
             return;
         }
         if dead {
-            self.judge.promoted(key, now);
+            self.judge.record_promotion(key, now);
             self.begin(key, group, Reason::Unreachable, now);
         } else if self.has_rival(group, term, primary) {
             self.begin(key, group, Reason::Rival, now);
--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -21,18 +21,18 @@
 
 /// Time between two heartbeats: three of them fit into a lease with round trips to spare, so a
 /// lost datagram ends none.
-pub const HEARTBEAT: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long after it asked a host may rely on the answers. It adds to the time in which a cut-off
 /// primary is replaced, and has to outlast a host's pauses under load.
-pub const LEASE: Duration = Duration::from_millis(900);
+pub const LEASE_DURATION: Duration = Duration::from_millis(900);
 
 /// Added by whoever waits a lease out, for clocks that run at slightly different speed.
-pub const MARGIN: Duration = Duration::from_millis(50);
+pub const CLOCK_MARGIN: Duration = Duration::from_millis(50);
 
 /// A host that was not heard for so long, while most others were, is taken as gone for good: its
 /// entry stays in the list when it is removed without notice.
-pub const GONE: Duration = Duration::from_secs(15);
+pub const GONE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The contact of one host with the others.
 ///
@@ -40,23 +40,23 @@
 /// use std::time::Duration;
 /// use flamingopost_core::key::HostKey;
 /// use flamingopost_core::names::Names;
-/// use flamingopost_core::quorum::{LEASE, Quorum};
+/// use flamingopost_core::quorum::{LEASE_DURATION, Quorum};
 ///
 /// let mut names: Names<HostKey> = Names::default();
 /// let others = [names.intern("entry-2"), names.intern("entry-3")];
 /// let at = Duration::from_millis(100);
 /// let mut quorum = Quorum::default();
-/// quorum.list(others.into_iter().collect(), at);
+/// quorum.set_hosts(others.into_iter().collect(), at);
 /// assert!(!quorum.holds_lease(at));
-/// quorum.answered(others[0], at);
+/// quorum.record_reply(others[0], at);
 /// assert!(quorum.holds_lease(at), "two of three");
-/// assert!(!quorum.holds_lease(at + LEASE));
+/// assert!(!quorum.holds_lease(at + LEASE_DURATION));
 /// ```
 #[derive(Debug, Default)]
 pub struct Quorum {
     others: BTreeMap<HostKey, Contact>,
     /// This host only asks; it is not one of those whose majority counts.
-    outside: bool,
+    non_elector: bool,
     /// Whether it was told which others there are.
     listed: bool,
 }
@@ -64,20 +64,20 @@
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     /// When the latest question was sent that it has answered.
-    answered: Option<Duration>,
+    answered_at: Option<Duration>,
     /// When it was last heard, or first listed.
-    heard: Duration,
+    heard_at: Duration,
 }
 
 impl Quorum {
     /// The other hosts that are listed.
-    pub fn list(&mut self, others: BTreeSet<HostKey>, now: Duration) {
+    pub fn set_hosts(&mut self, others: BTreeSet<HostKey>, now: Duration) {
         self.listed = true;
         self.others.retain(|host, _| others.contains(host));
         for host in others {
             self.others.entry(host).or_insert(Contact {
-                answered: None,
-                heard: now,
+                answered_at: None,
+                heard_at: now,
             });
         }
     }
@@ -91,39 +91,39 @@
     }
 
     /// Whether this host is one of those whose majority counts; it is unless told otherwise.
-    pub fn take_part(&mut self, takes_part: bool) {
-        self.outside = !takes_part;
+    pub fn set_elector(&mut self, takes_part: bool) {
+        self.non_elector = !takes_part;
     }
 
     /// Whether this host is one of those whose majority counts.
-    pub fn takes_part(&self) -> bool {
-        !self.outside
+    pub fn is_elector(&self) -> bool {
+        !self.non_elector
     }
 
     /// Something came from `host`.
-    pub fn heard(&mut self, host: HostKey, now: Duration) {
+    pub fn record_message(&mut self, host: HostKey, now: Duration) {
         if let Some(contact) = self.others.get_mut(&host) {
-            contact.heard = contact.heard.max(now);
+            contact.heard_at = contact.heard_at.max(now);
         }
     }
 
     /// How long ago something last came from `host`, or it was first listed.
     pub fn age(&self, host: HostKey, now: Duration) -> Option<Duration> {
         let contact = self.others.get(&host)?;
-        Some(now.saturating_sub(contact.heard))
+        Some(now.saturating_sub(contact.heard_at))
     }
 
     /// Whether `host` has answered what was sent at `since` or later; nothing where its answers do not
     /// count here.
     pub fn has_answered(&self, host: HostKey, since: Duration) -> Option<bool> {
         let contact = self.others.get(&host)?;
-        Some(contact.answered >= Some(since))
+        Some(contact.answered_at >= Some(since))
     }
 
     /// `host` has answered what was sent at `sent`.
-    pub fn answered(&mut self, host: HostKey, sent: Duration) {
+    pub fn record_reply(&mut self, host: HostKey, sent: Duration) {
         if let Some(contact) = self.others.get_mut(&host) {
-            contact.answered = contact.answered.max(Some(sent));
+            contact.answered_at = contact.answered_at.max(Some(sent));
         }
     }
 
@@ -133,22 +133,26 @@
         if !self.knows_hosts() {
             return false;
         }
-        let fresh = |contact: &&Contact| contact.answered.is_some_and(|at| now < at + LEASE);
-        let own = usize::from(!self.outside);
+        let fresh = |contact: &&Contact| {
+            contact
+                .answered_at
+                .is_some_and(|at| now < at + LEASE_DURATION)
+        };
+        let own = usize::from(!self.non_elector);
         let fresh = self.others.values().filter(fresh).count() + own;
         let hosts = self.others.len() + own;
         // Entries of hosts that are gone for good make no majority impossible.
-        fresh * 2 > hosts || fresh * 2 > hosts - self.gone(now).len()
+        fresh * 2 > hosts || fresh * 2 > hosts - self.gone_hosts(now).len()
     }
 
     /// How many other hosts are listed.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.others.len()
     }
 
     /// Hosts that count as gone for good.
-    pub fn gone(&self, now: Duration) -> BTreeSet<HostKey> {
-        let silent = |contact: &Contact| now >= contact.heard + GONE;
+    pub fn gone_hosts(&self, now: Duration) -> BTreeSet<HostKey> {
+        let silent = |contact: &Contact| now >= contact.heard_at + GONE_TIMEOUT;
         let lost = self.others.values().filter(|it| silent(it)).count();
         // Where most are silent it is this host that is cut off.
         if lost * 2 > self.others.len() {
@@ -159,18 +163,18 @@
     }
 
     /// Other hosts that were heard within two heartbeats: what they have to know reaches them.
-    pub fn in_touch(&self, now: Duration) -> BTreeSet<HostKey> {
-        let heard = |contact: &Contact| now < contact.heard + HEARTBEAT * 2;
+    pub fn recently_heard_hosts(&self, now: Duration) -> BTreeSet<HostKey> {
+        let heard = |contact: &Contact| now < contact.heard_at + HEARTBEAT_INTERVAL * 2;
         let others = self.others.iter().filter(|(_, contact)| heard(contact));
         others.map(|(host, _)| *host).collect()
     }
 
     /// From when on no host but those in `told` has a lease by an earlier answer of this one.
-    pub fn quiet_at(&self, told: &BTreeSet<HostKey>, now: Duration) -> Duration {
-        let gone = self.gone(now);
+    pub fn leases_end(&self, told: &BTreeSet<HostKey>, now: Duration) -> Duration {
+        let gone = self.gone_hosts(now);
         let writing = self.others.iter();
         let writing = writing.filter(|(host, _)| !told.contains(host) && !gone.contains(host));
-        let until = writing.map(|(_, contact)| contact.heard + LEASE + MARGIN);
+        let until = writing.map(|(_, contact)| contact.heard_at + LEASE_DURATION + CLOCK_MARGIN);
         until.max().unwrap_or_default()
     }
 }
--- a/crates/core/src/quorum/store.rs
+++ b/crates/core/src/quorum/store.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::LEASE;
+use super::LEASE_DURATION;
 
 /// The lease that a host has by the platform's store, for one service, where it is out of touch
 /// with most others: whoever replaces a primary claims that in the store first.
@@ -13,28 +13,29 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use flamingopost_core::quorum::{LEASE, StoreLease};
+/// use flamingopost_core::quorum::{LEASE_DURATION, StoreLease};
 ///
 /// let at = Duration::from_millis(100);
 /// let mut lease = StoreLease::default();
 /// assert!(!lease.holds_lease(at));
-/// lease.asked(at);
+/// lease.renew(at);
 /// assert!(lease.holds_lease(at));
-/// assert!(!lease.holds_lease(at + LEASE));
+/// assert!(!lease.holds_lease(at + LEASE_DURATION));
 /// ```
 #[derive(Debug, Default)]
 pub struct StoreLease {
-    asked: Option<Duration>,
+    renewed_at: Option<Duration>,
 }
 
 impl StoreLease {
     /// The store has answered what was sent at `sent`: nobody has claimed to replace the primary.
-    pub fn asked(&mut self, sent: Duration) {
-        self.asked = self.asked.max(Some(sent));
+    pub fn renew(&mut self, sent: Duration) {
+        self.renewed_at = self.renewed_at.max(Some(sent));
     }
 
     /// Whether this host may rely on the primary at `now`.
     pub fn holds_lease(&self, now: Duration) -> bool {
-        self.asked.is_some_and(|sent| now < sent + LEASE)
+        self.renewed_at
+            .is_some_and(|sent| now < sent + LEASE_DURATION)
     }
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::health::Standing;
-use crate::history::{History, Verdict};
+use crate::history::{History, PositionStatus};
 use crate::invariant::{self, Invariant};
 use crate::key::{ServerKey, ZoneKey};
 use crate::position::Position;
@@ -310,7 +310,10 @@
     /// Whether data at `position` are part of the service's log. A primary that was replaced may
     /// hold writes that no later term has; nothing is read from it until it follows again.
     fn is_in_log(&self, position: Position) -> bool {
-        !matches!(self.service.history.judge(position), Verdict::Lost { .. })
+        !matches!(
+            self.service.history.position_status(position),
+            PositionStatus::Lost { .. }
+        )
     }
 
     /// The moment at which the data of `server` were last proven current. A server's own proof
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::history::{History, Verdict};
+use crate::history::{History, PositionStatus};
 use crate::position::Position;
 use crate::refusal::Refusal;
 use crate::rule::Target;
@@ -216,7 +216,7 @@
         let Writes::UpTo(position) = self.writes else {
             return;
         };
-        let Verdict::Lost { ended_by, start } = history.judge(position) else {
+        let PositionStatus::Lost { ended_by, start } = history.position_status(position) else {
             return;
         };
         self.lost.get_or_insert(Loss {
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -26,78 +26,78 @@
 
 /// Collects reports and judges by them.
 #[derive(Debug, Default)]
-pub struct Judge {
-    servers: BTreeMap<ServerKey, BTreeMap<HostKey, Entry>>,
-    hosts: BTreeMap<HostKey, Heard>,
-    listed: BTreeSet<ZoneKey>,
-    cooling: BTreeMap<ServiceKey, Cooling>,
+pub struct FailureDetector {
+    servers: BTreeMap<ServerKey, BTreeMap<HostKey, ReportEntry>>,
+    hosts: BTreeMap<HostKey, HostContact>,
+    listed_zones: BTreeSet<ZoneKey>,
+    cooldowns: BTreeMap<ServiceKey, Cooldown>,
     /// Servers that some host could not reach lately. All others are passed over quickly: a
     /// controller judges each primary of its shard at each step.
-    doubted: BTreeSet<ServerKey>,
+    suspects: BTreeSet<ServerKey>,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ReportEntry {
     at: Duration,
     seen: Report,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct HostContact {
     zone: ZoneKey,
     at: Duration,
 }
 
 #[derive(Debug)]
-struct Cooling {
+struct Cooldown {
     last: Duration,
     pause: Duration,
 }
 
 /// What the reports say of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Reachability {
     /// Enough hosts reach it, or too few speak against it.
     Reachable,
     /// Hosts of more than one zone, or all of the only zone that is left, cannot reach it.
     Unreachable,
 }
 
-impl Judge {
+impl FailureDetector {
     /// Notes the zones in which the platform's list has hosts. The list lags, so it only says
     /// whose silence means something.
-    pub fn list(&mut self, zones: BTreeSet<ZoneKey>) {
-        self.listed = zones;
+    pub fn set_listed_zones(&mut self, zones: BTreeSet<ZoneKey>) {
+        self.listed_zones = zones;
     }
 
-    /// Takes a report of a host that was just [heard](Judge::heard).
-    pub fn report(&mut self, host: HostKey, server: ServerKey, report: Report, now: Duration) {
+    /// Takes a report of a host that was just [heard](FailureDetector::heard).
+    pub fn add_report(&mut self, host: HostKey, server: ServerKey, report: Report, now: Duration) {
         let hosts = self.servers.entry(server).or_default();
         let earlier = hosts.get(&host).map(|entry| entry.seen);
-        let entry = Entry {
+        let entry = ReportEntry {
             at: now,
-            seen: report.after(earlier),
+            seen: report.merge_earlier(earlier),
         };
         if entry.seen.is_unreachable() {
-            self.doubted.insert(server);
+            self.suspects.insert(server);
         }
         hosts.insert(host, entry);
     }
 
     /// Notes that `host` was heard at `now`, whatever it reports.
-    pub fn heard(&mut self, host: HostKey, zone: ZoneKey, now: Duration) {
-        self.hosts.insert(host, Heard { zone, at: now });
+    pub fn record_host(&mut self, host: HostKey, zone: ZoneKey, now: Duration) {
+        self.hosts.insert(host, HostContact { zone, at: now });
     }
 
     /// Forgets hosts that have long been silent.
-    pub fn tidy(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         let gone = |at: Duration| now >= at + timing::COOL_DOWN_MAX;
         self.hosts.retain(|_, heard| !gone(heard.at));
         for hosts in self.servers.values_mut() {
             hosts.retain(|_, entry| !gone(entry.at));
         }
         let servers = &self.servers;
-        self.doubted.retain(|server| {
+        self.suspects.retain(|server| {
             let hosts = servers.get(server);
             hosts.is_some_and(|hosts| hosts.values().any(|entry| entry.seen.is_unreachable()))
         });
@@ -108,28 +108,28 @@
     /// ```
     /// use std::time::Duration;
     /// use flamingopost_core::key::ServerKey;
-    /// use flamingopost_core::suspicion::{Judge, Verdict};
+    /// use flamingopost_core::suspicion::{FailureDetector, Reachability};
     ///
-    /// let judge = Judge::default();
-    /// let verdict = judge.verdict(ServerKey::default(), Duration::from_secs(1));
-    /// assert_eq!(verdict, Verdict::Reachable);
+    /// let detector = FailureDetector::default();
+    /// let reachability = detector.reachability(ServerKey::default(), Duration::from_secs(1));
+    /// assert_eq!(reachability, Reachability::Reachable);
     /// ```
-    pub fn verdict(&self, server: ServerKey, now: Duration) -> Verdict {
-        if !self.doubted.contains(&server) {
-            return Verdict::Reachable;
+    pub fn reachability(&self, server: ServerKey, now: Duration) -> Reachability {
+        if !self.suspects.contains(&server) {
+            return Reachability::Reachable;
         }
         let Some(hosts) = self.servers.get(&server) else {
-            return Verdict::Reachable;
+            return Reachability::Reachable;
         };
         // A host that has ever spoken of the server and is still heard counts, also when it says
         // nothing of it this time: hosts report on those without trouble only in turn.
         let total = hosts
             .keys()
-            .filter(|host| self.is_fresh(**host, now))
+            .filter(|host| self.is_host_fresh(**host, now))
             .count();
         let against: Vec<HostKey> = hosts
             .iter()
-            .filter(|(host, _)| self.is_fresh(**host, now))
+            .filter(|(host, _)| self.is_host_fresh(**host, now))
             .filter(|(_, entry)| now < entry.at + timing::REPORT && entry.seen.is_unreachable())
             .map(|(host, _)| *host)
             .collect();
@@ -139,44 +139,44 @@
             0 => false,
             // A zone's own trouble looks the same, so all of it must agree and nobody else be
             // there to ask.
-            1 => against.len() == total && self.is_alone(&zones, now),
+            1 => against.len() == total && self.is_only_zone_left(&zones, now),
             _ => against.len() * 2 > total,
         };
         match unreachable {
-            true => Verdict::Unreachable,
-            false => Verdict::Reachable,
+            true => Reachability::Unreachable,
+            false => Reachability::Reachable,
         }
     }
 
     /// Whether suspicion may start a promotion of `service` at `now`.
-    pub fn is_cool(&self, service: ServiceKey, now: Duration) -> bool {
-        let cooling = self.cooling.get(&service);
+    pub fn has_cooled_down(&self, service: ServiceKey, now: Duration) -> bool {
+        let cooling = self.cooldowns.get(&service);
         cooling.is_none_or(|cooling| now >= cooling.last + cooling.pause)
     }
 
     /// Notes that suspicion has led to a promotion of `service` at `now`.
-    pub fn promoted(&mut self, service: ServiceKey, now: Duration) {
-        let earlier = self.cooling.get(&service);
+    pub fn record_promotion(&mut self, service: ServiceKey, now: Duration) {
+        let earlier = self.cooldowns.get(&service);
         let pause = match earlier {
             Some(earlier) if now < earlier.last + earlier.pause * 4 => earlier.pause * 2,
             _ => timing::COOL_DOWN,
         };
-        let cooling = Cooling {
+        let cooling = Cooldown {
             last: now,
             pause: pause.min(timing::COOL_DOWN_MAX),
         };
-        self.cooling.insert(service, cooling);
+        self.cooldowns.insert(service, cooling);
     }
 
-    fn is_fresh(&self, host: HostKey, now: Duration) -> bool {
+    fn is_host_fresh(&self, host: HostKey, now: Duration) -> bool {
         let heard = self.hosts.get(&host);
         heard.is_some_and(|heard| now < heard.at + timing::REPORT)
     }
 
     /// Whether hosts of no other zone have been heard for a while. Where the platform lists live
     /// hosts elsewhere, that has to last longer.
-    fn is_alone(&self, zones: &BTreeSet<ZoneKey>, now: Duration) -> bool {
-        let patience = match self.listed.difference(zones).next() {
+    fn is_only_zone_left(&self, zones: &BTreeSet<ZoneKey>, now: Duration) -> bool {
+        let patience = match self.listed_zones.difference(zones).next() {
             Some(_) => timing::ONE_ZONE,
             None => timing::REPORT,
         };
@@ -189,9 +189,9 @@
 impl Report {
     /// This report with the failures of an earlier one, unless an answer has come since: an
     /// attempt takes longer to fail than reports are apart.
-    fn after(self, earlier: Option<Report>) -> Report {
+    fn merge_earlier(self, earlier: Option<Report>) -> Report {
         match earlier {
-            Some(earlier) if !self.has_answer() => Report {
+            Some(earlier) if !self.has_recent_answer() => Report {
                 failures: self.failures.saturating_add(earlier.failures),
                 broken: self.broken.saturating_add(earlier.broken),
                 silent: self.silent,
@@ -200,7 +200,7 @@
         }
     }
 
-    fn has_answer(&self) -> bool {
+    fn has_recent_answer(&self) -> bool {
         self.silent.is_some_and(|silent| silent < timing::SUSPICION)
     }
 
--- a/crates/core/tests/adoption.rs
+++ b/crates/core/tests/adoption.rs
@@ -1,6 +1,6 @@
 //! Adoption of configuration versions by many hosts over lossy links.
 
-use flamingopost_core::adoption::{Adoption, Error, Next};
+use flamingopost_core::adoption::{Adoption, AdoptionStep, Error};
 use flamingopost_core::digest::Digest;
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,42 +17,57 @@
 /// hour and has an old version; adopting it would revert what the host did before its restart.
 #[test]
 fn a_fresh_host_waits_for_all_it_can_ask() {
-    let mut adoption = Adoption::fresh(2);
-    assert_eq!(adoption.platform_failed(), Next::Idle);
-    assert_eq!(adoption.peer_asked(Some(4)), Next::Idle);
-    assert_eq!(adoption.peer_asked(Some(9)), Next::Fetch { version: 9 });
+    let mut adoption = Adoption::starting(2);
+    assert_eq!(adoption.record_platform_failure(), AdoptionStep::Idle);
+    assert_eq!(adoption.record_peer_answer(Some(4)), AdoptionStep::Idle);
+    assert_eq!(
+        adoption.record_peer_answer(Some(9)),
+        AdoptionStep::Fetch { version: 9 }
+    );
 }
 
 #[test]
 fn the_platforms_answer_alone_is_enough() {
-    let mut adoption = Adoption::fresh(5);
-    assert_eq!(adoption.told(9, digest(9)), Next::Fetch { version: 9 });
+    let mut adoption = Adoption::starting(5);
+    assert_eq!(
+        adoption.record_head(9, digest(9)),
+        AdoptionStep::Fetch { version: 9 }
+    );
 }
 
 /// An answer is cut short on its way. Half a configuration must not come into force.
 #[test]
 fn a_damaged_body_is_not_taken() {
-    let mut adoption = Adoption::fresh(0);
-    adoption.told(1, digest(1));
+    let mut adoption = Adoption::starting(0);
+    adoption.record_head(1, digest(1));
     let whole = body(1);
     let cut = &whole[..whole.len() - 1];
-    assert_eq!(adoption.offered(1, digest(1), cut), Err(Error::Damaged(1)));
     assert_eq!(
-        adoption.offered(1, Digest::of(cut), cut),
+        adoption.check_body(1, digest(1), cut),
+        Err(Error::Damaged(1))
+    );
+    assert_eq!(
+        adoption.check_body(1, Digest::of(cut), cut),
         Err(Error::Forked(1))
     );
-    assert_eq!(adoption.offered(1, digest(1), &whole), Ok(Next::Adopt));
+    assert_eq!(
+        adoption.check_body(1, digest(1), &whole),
+        Ok(AdoptionStep::Adopt)
+    );
 }
 
 /// A newer program's configuration reaches an older program, which cannot read it. It keeps the
 /// version in force, does not fetch the same body every half second, and takes the next version.
 #[test]
 fn a_version_that_cannot_be_read_is_not_fetched_again() {
-    let mut adoption = Adoption::fresh(0);
-    adoption.told(2, digest(2));
-    adoption.refuse(2);
-    assert_eq!(adoption.heard(2), Next::Idle);
-    assert_eq!(adoption.heard(3), Next::Fetch { version: 3 });
+    let mut adoption = Adoption::starting(0);
+    adoption.record_head(2, digest(2));
+    adoption.reject_version(2);
+    assert_eq!(adoption.record_version(2), AdoptionStep::Idle);
+    assert_eq!(
+        adoption.record_version(3),
+        AdoptionStep::Fetch { version: 3 }
+    );
 }
 
 /// A version is older than the one in force: the guard that the daemon relies on is broken here
@@ -60,9 +75,9 @@
 #[test]
 #[should_panic(expected = "upward_configuration")]
 fn going_back_is_noticed() {
-    let mut adoption = Adoption::fresh(0);
-    adoption.adopted(2);
-    adoption.adopted(1);
+    let mut adoption = Adoption::starting(0);
+    adoption.record_adopted(2);
+    adoption.record_adopted(1);
 }
 
 struct Host {
@@ -74,7 +89,7 @@
 impl Host {
     fn fresh(peers: usize, before: u64) -> Host {
         Host {
-            adoption: Adoption::fresh(peers),
+            adoption: Adoption::starting(peers),
             before,
         }
     }
@@ -82,9 +97,9 @@
     fn take(&mut self, version: u64) {
         let offered = self
             .adoption
-            .offered(version, digest(version), &body(version));
-        if offered == Ok(Next::Adopt) {
-            self.adoption.adopted(version);
+            .check_body(version, digest(version), &body(version));
+        if offered == Ok(AdoptionStep::Adopt) {
+            self.adoption.record_adopted(version);
         }
     }
 }
@@ -117,18 +132,18 @@
 
 fn poll(host: &mut Host, down: bool, newest: u64) {
     let next = match (down, newest) {
-        (true, _) => host.adoption.platform_failed(),
-        (false, 0) => host.adoption.told_none(),
-        (false, newest) => host.adoption.told(newest, digest(newest)),
+        (true, _) => host.adoption.record_platform_failure(),
+        (false, 0) => host.adoption.record_empty_head(),
+        (false, newest) => host.adoption.record_head(newest, digest(newest)),
     };
-    if let Next::Fetch { version } = next {
+    if let AdoptionStep::Fetch { version } = next {
         host.take(version);
     }
 }
 
 fn tell(hosts: &mut [Host], from: usize, to: usize) {
     let version = hosts[from].adoption.in_force();
-    if let Next::Fetch { version: wanted } = hosts[to].adoption.heard(version) {
+    if let AdoptionStep::Fetch { version: wanted } = hosts[to].adoption.record_version(version) {
         // The body of what was heard of before may be nowhere but at the platform.
         if wanted == version {
             hosts[to].take(version);
@@ -154,8 +169,8 @@
         lost |= random.random_ratio(1, 30);
         let version = hosts[other].adoption.in_force();
         let answer = (!lost).then_some(version);
-        let next = hosts[chosen].adoption.peer_asked(answer);
-        if let Next::Fetch { version: wanted } = next {
+        let next = hosts[chosen].adoption.record_peer_answer(answer);
+        if let AdoptionStep::Fetch { version: wanted } = next {
             hosts[chosen].take(wanted);
         }
         let now = hosts[chosen].adoption.in_force();
@@ -179,11 +194,20 @@
 /// that is behind. Taking it again would bring back routes that operators have removed.
 #[test]
 fn a_body_that_is_not_newer_is_not_adopted() {
-    let mut adoption = Adoption::fresh(0);
-    adoption.told(5, digest(5));
-    assert_eq!(adoption.offered(5, digest(5), &body(5)), Ok(Next::Adopt));
-    adoption.adopted(5);
-    assert_eq!(adoption.offered(5, digest(5), &body(5)), Ok(Next::Idle));
-    assert_eq!(adoption.offered(4, digest(4), &body(4)), Ok(Next::Idle));
+    let mut adoption = Adoption::starting(0);
+    adoption.record_head(5, digest(5));
+    assert_eq!(
+        adoption.check_body(5, digest(5), &body(5)),
+        Ok(AdoptionStep::Adopt)
+    );
+    adoption.record_adopted(5);
+    assert_eq!(
+        adoption.check_body(5, digest(5), &body(5)),
+        Ok(AdoptionStep::Idle)
+    );
+    assert_eq!(
+        adoption.check_body(4, digest(4), &body(4)),
+        Ok(AdoptionStep::Idle)
+    );
     assert_eq!(adoption.in_force(), 5);
 }
--- a/crates/core/tests/epoch.rs
+++ b/crates/core/tests/epoch.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use flamingopost_core::epoch::{Epoch, Epochs, Sighting};
+use flamingopost_core::epoch::{Epoch, EpochStatus, EpochTracker};
 use flamingopost_core::key::{HostKey, ServerKey};
 use flamingopost_core::leader::Role;
 use flamingopost_core::names::Names;
@@ -38,7 +38,7 @@
 
 struct Host {
     succession: Succession,
-    epochs: Epochs,
+    epochs: EpochTracker,
     others: BTreeSet<HostKey>,
     orders: Vec<(Duration, FencingToken)>,
     claims: usize,
@@ -58,8 +58,11 @@
         let mut names: Names<ServerKey> = Names::default();
         let servers = (0..3).map(|n| names.intern(&format!("ledger-{n}")));
         let host = |own: usize| {
-            let mut epochs = Epochs::default();
-            assert_eq!(epochs.saw(Epoch(0), ms(0)), Sighting::Known);
+            let mut epochs = EpochTracker::default();
+            assert_eq!(
+                epochs.record_store_epoch(Epoch(0), ms(0)),
+                EpochStatus::Current
+            );
             let others = keys.iter().enumerate();
             let others = others.filter(|(n, _)| *n != own).map(|(_, key)| *key);
             Host {
@@ -91,7 +94,7 @@
             peers: electors.filter(|key| host.others.contains(key)).collect(),
             rank: 0,
             newest_token: None,
-            leases_end: leases.max(host.epochs.orders_from(&host.others)),
+            leases_end: leases.max(host.epochs.orders_allowed_from(&host.others)),
             synchronous: false,
             newest_position: Position::default(),
             required_positions: BTreeMap::new(),
@@ -128,16 +131,18 @@
         let host = &mut self.hosts[number];
         let before = Epoch(0);
         assert_eq!(
-            host.epochs.saw(Epoch(1), now),
-            Sighting::Restored { before }
+            host.epochs.record_store_epoch(Epoch(1), now),
+            EpochStatus::Restored { before }
         );
         host.succession.invalidate_claim(now);
     }
 
     /// Host `number` is told by `from` which epoch that one knows.
     fn tell(&mut self, from: usize, number: usize) {
-        let (key, epoch) = (self.keys[from], self.hosts[from].epochs.heard());
-        self.hosts[number].epochs.told(key, epoch, ms(0));
+        let (key, epoch) = (self.keys[from], self.hosts[from].epochs.newest_epoch());
+        self.hosts[number]
+            .epochs
+            .record_peer_epoch(key, epoch, ms(0));
     }
 }
 
@@ -220,18 +225,18 @@
     let mut fleet = Fleet::new(6);
     let others = fleet.hosts[0].others.clone();
     let epochs = &mut fleet.hosts[0].epochs;
-    *epochs = Epochs::default();
-    epochs.saw(Epoch(1), ms(2_000));
-    assert_eq!(epochs.orders_from(&others), ms(0));
-    epochs.told_of_restore(Epoch(0), ms(1_000));
-    assert_eq!(epochs.restored(), None, "an epoch that is over");
-    epochs.told_of_restore(Epoch(1), ms(1_500));
+    *epochs = EpochTracker::default();
+    epochs.record_store_epoch(Epoch(1), ms(2_000));
+    assert_eq!(epochs.orders_allowed_from(&others), ms(0));
+    epochs.record_restore(Epoch(0), ms(1_000));
+    assert_eq!(epochs.restored_at(), None, "an epoch that is over");
+    epochs.record_restore(Epoch(1), ms(1_500));
     assert_eq!(
-        epochs.orders_from(&others),
+        epochs.orders_allowed_from(&others),
         ms(1_500) + CLAIM_HOLDER_TIMEOUT
     );
-    assert!(epochs.may_be_copied(ms(2_000)));
-    assert!(!epochs.knows_claims(ms(2_000)));
+    assert!(epochs.may_list_be_stale(ms(2_000)));
+    assert!(!epochs.are_claims_complete(ms(2_000)));
 }
 
 /// A stranger at an address that a host had before tells of an epoch that the store never had. Hosts took
@@ -239,25 +244,31 @@
 #[test]
 fn what_others_tell_of_epochs_does_not_outdate_the_store() {
     let fleet = Fleet::new(6);
-    let mut epochs = Epochs::default();
-    epochs.saw(Epoch(2), ms(0));
+    let mut epochs = EpochTracker::default();
+    epochs.record_store_epoch(Epoch(2), ms(0));
     assert!(
-        epochs.told(fleet.keys[1], Epoch(9), ms(500)),
+        epochs.record_peer_epoch(fleet.keys[1], Epoch(9), ms(500)),
         "worth asking"
     );
-    assert_eq!(epochs.saw(Epoch(2), ms(510)), Sighting::Known);
-    assert_eq!(epochs.seen(), Epoch(2));
+    assert_eq!(
+        epochs.record_store_epoch(Epoch(2), ms(510)),
+        EpochStatus::Current
+    );
+    assert_eq!(epochs.store_epoch(), Epoch(2));
     assert!(
-        !epochs.told(fleet.keys[2], Epoch(9), ms(520)),
+        !epochs.record_peer_epoch(fleet.keys[2], Epoch(9), ms(520)),
         "asked already"
     );
     assert_eq!(
-        epochs.orders_from(&fleet.hosts[0].others),
+        epochs.orders_allowed_from(&fleet.hosts[0].others),
         ms(500) + CLAIM_HOLDER_TIMEOUT
     );
     let before = Epoch(2);
-    let next = epochs.saw(Epoch(3), ms(9_000));
-    assert_eq!(next, Sighting::Restored { before });
-    assert_eq!(epochs.restored(), Some(ms(9_000)));
-    assert_eq!(epochs.saw(Epoch(2), ms(9_100)), Sighting::Former);
+    let next = epochs.record_store_epoch(Epoch(3), ms(9_000));
+    assert_eq!(next, EpochStatus::Restored { before });
+    assert_eq!(epochs.restored_at(), Some(ms(9_000)));
+    assert_eq!(
+        epochs.record_store_epoch(Epoch(2), ms(9_100)),
+        EpochStatus::Outdated
+    );
 }
--- a/crates/core/tests/extent.rs
+++ b/crates/core/tests/extent.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use flamingopost_core::extent::Extent;
+use flamingopost_core::extent::LogExtent;
 use flamingopost_core::position::Position;
 use flamingopost_core::term::Term;
 
@@ -25,8 +25,8 @@
 /// it shows the start of that term, while a replica had shown an entry of it.
 #[test]
 fn a_primary_with_less_than_was_shown_before_is_not_the_one_that_led() {
-    let mut extent = Extent::default();
-    extent.showed(position(3, 40), ms(100));
+    let mut extent = LogExtent::default();
+    extent.record_position(position(3, 40), ms(100));
     assert!(extent.lacks(position(3, 0), ms(200)));
     assert!(extent.lacks(position(3, 39), ms(200)));
     assert!(!extent.lacks(position(3, 40), ms(200)));
@@ -37,8 +37,8 @@
 /// good faith: a primary was taken for an empty one whenever two callers wrote at once.
 #[test]
 fn a_question_from_before_proves_nothing() {
-    let mut extent = Extent::default();
-    extent.showed(position(3, 40), ms(100));
+    let mut extent = LogExtent::default();
+    extent.record_position(position(3, 40), ms(100));
     assert!(!extent.lacks(position(3, 39), ms(99)));
 }
 
@@ -46,9 +46,9 @@
 /// after a change of primary an empty server would count as the one with most.
 #[test]
 fn the_start_of_a_term_is_nothing_that_was_written() {
-    let mut extent = Extent::default();
-    extent.showed(position(3, 40), ms(100));
-    extent.showed(position(4, 0), ms(110));
+    let mut extent = LogExtent::default();
+    extent.record_position(position(3, 40), ms(100));
+    extent.record_position(position(4, 0), ms(110));
     assert_eq!(extent.furthest(), position(3, 40));
 }
 
@@ -57,9 +57,9 @@
 /// log of a server that had been promoted since.
 #[test]
 fn a_server_that_started_again_proves_its_log() {
-    let mut extent = Extent::default();
+    let mut extent = LogExtent::default();
     assert!(extent.proves(position(3, 0)), "nothing was written");
-    extent.showed(position(2, 40), ms(100));
+    extent.record_position(position(2, 40), ms(100));
     assert!(!extent.proves(position(3, 0)));
     assert!(!extent.proves(position(2, 39)));
     assert!(extent.proves(position(2, 40)));
@@ -74,8 +74,8 @@
 /// the bids that had waited.
 #[test]
 fn no_allowance_is_made_for_a_server_that_is_doubted() {
-    let mut extent = Extent::default();
-    extent.showed(position(3, 40), ms(100));
+    let mut extent = LogExtent::default();
+    extent.record_position(position(3, 40), ms(100));
     assert!(!extent.lacks(position(3, 39), ms(90)));
     assert!(!extent.proves(position(3, 39)));
 }
@@ -84,13 +84,13 @@
 /// server shows a write more. That the primary lacked nearly all of the log was known long before.
 #[test]
 fn a_log_that_has_just_grown_hides_no_loss() {
-    let mut extent = Extent::default();
-    extent.showed(position(3, 111), ms(1_000));
-    extent.showed(position(3, 113), ms(2_040));
+    let mut extent = LogExtent::default();
+    extent.record_position(position(3, 111), ms(1_000));
+    extent.record_position(position(3, 113), ms(2_040));
     assert!(extent.lacks(position(3, 0), ms(2_030)));
     assert!(!extent.lacks(position(3, 111), ms(2_030)), "asked before");
     for log in 0..500 {
-        extent.showed(position(3, 114 + log), ms(3_000 + log * 10));
+        extent.record_position(position(3, 114 + log), ms(3_000 + log * 10));
     }
     assert!(extent.lacks(position(3, 0), ms(7_000)));
     assert!(!extent.lacks(position(3, 600), ms(7_000)));
@@ -101,10 +101,10 @@
 /// anybody could name.
 #[test]
 fn an_empty_log_proves_nothing_where_a_write_is_recorded() {
-    let mut extent = Extent::default();
+    let mut extent = LogExtent::default();
     assert!(extent.proves(position(4, 0)));
-    extent.record();
-    assert!(extent.is_written() && !extent.is_seen());
+    extent.record_written();
+    assert!(extent.is_written() && !extent.has_position());
     assert!(!extent.proves(position(4, 0)));
     assert!(!extent.lacks(position(4, 0), ms(100)));
     assert!(extent.proves(position(4, 1)));
--- a/crates/core/tests/vouch.rs
+++ b/crates/core/tests/freshness.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use flamingopost_core::freshness::{FreshnessTracker, SAMPLE_RETENTION};
 use flamingopost_core::position::Position;
 use flamingopost_core::term::Term;
-use flamingopost_core::vouch::{HORIZON, Vouch};
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -24,39 +24,39 @@
 /// as open although it was sold during the freeze.
 #[test]
 fn nothing_is_vouched_for_after_a_freeze() {
-    let mut vouch = Vouch::default();
-    vouch.led(position(1, 40), ms(1_000));
+    let mut vouch = FreshnessTracker::default();
+    vouch.add_sample(position(1, 40), ms(1_000));
     let arrived = ms(4_200);
-    assert_eq!(vouch.floor(arrived - ms(1_500)), None);
+    assert_eq!(vouch.required_position(arrived - ms(1_500)), None);
 }
 
 /// A member's bid is at 1.57 when its primary dies; the successor starts term 2 from 1.55. The
 /// session would ask for 1.57 for ever and be refused everywhere. The start of term 2 stands in.
 #[test]
 fn a_position_that_a_promotion_dropped_does_not_wedge_its_session() {
-    let mut vouch = Vouch::default();
-    vouch.led(position(1, 57), ms(100));
-    vouch.saw_term(Term::from_number(2));
-    assert_eq!(vouch.current(position(1, 57)), position(2, 0));
-    assert_eq!(vouch.floor(ms(50)), Some(position(2, 0)));
+    let mut vouch = FreshnessTracker::default();
+    vouch.add_sample(position(1, 57), ms(100));
+    vouch.record_term(Term::from_number(2));
+    assert_eq!(vouch.in_current_term(position(1, 57)), position(2, 0));
+    assert_eq!(vouch.required_position(ms(50)), Some(position(2, 0)));
 }
 
 /// A primary was replaced while an answer of its was on the way. The answer arrives after those
 /// of the successor and must not vouch for anything.
 #[test]
 fn an_answer_of_an_ended_term_vouches_for_nothing() {
-    let mut vouch = Vouch::default();
-    vouch.led(position(2, 60), ms(200));
-    vouch.led(position(1, 99), ms(300));
-    assert_eq!(vouch.floor(ms(250)), None);
+    let mut vouch = FreshnessTracker::default();
+    vouch.add_sample(position(2, 60), ms(200));
+    vouch.add_sample(position(1, 99), ms(300));
+    assert_eq!(vouch.required_position(ms(250)), None);
 }
 
 #[test]
 fn samples_older_than_the_horizon_go() {
-    let mut vouch = Vouch::default();
-    vouch.led(position(1, 1), ms(0));
-    vouch.led(position(1, 9), HORIZON + ms(100));
-    assert_eq!(vouch.floor(ms(0)), Some(position(1, 9)));
+    let mut vouch = FreshnessTracker::default();
+    vouch.add_sample(position(1, 1), ms(0));
+    vouch.add_sample(position(1, 9), SAMPLE_RETENTION + ms(100));
+    assert_eq!(vouch.required_position(ms(0)), Some(position(1, 9)));
 }
 
 /// Whatever the order in which answers arrive: the floor covers everything that was acknowledged
@@ -65,7 +65,7 @@
 fn floors_cover_all_that_was_acknowledged() {
     for seed in 0..2_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut vouch = Vouch::default();
+        let mut vouch = FreshnessTracker::default();
         let mut acknowledged: Vec<(Duration, Position)> = Vec::new();
         let mut now = ms(0);
         let mut log = 0;
@@ -86,11 +86,11 @@
                 _ => {
                     // Asked some time ago, answered now.
                     let asked = now.saturating_sub(ms(rng.random_range(0..30)));
-                    vouch.led(position(term, log), asked);
+                    vouch.add_sample(position(term, log), asked);
                 }
             }
             let since = now.saturating_sub(ms(rng.random_range(0..600)));
-            let Some(floor) = vouch.floor(since) else {
+            let Some(floor) = vouch.required_position(since) else {
                 continue;
             };
             let owed = acknowledged.iter().filter(|(at, _)| *at < since);
--- a/crates/core/tests/quorum.rs
+++ b/crates/core/tests/quorum.rs
@@ -5,7 +5,9 @@
 
 use flamingopost_core::key::HostKey;
 use flamingopost_core::names::Names;
-use flamingopost_core::quorum::{GONE, HEARTBEAT, LEASE, MARGIN, Quorum, StoreLease};
+use flamingopost_core::quorum::{
+    CLOCK_MARGIN, GONE_TIMEOUT, HEARTBEAT_INTERVAL, LEASE_DURATION, Quorum, StoreLease,
+};
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -26,14 +28,14 @@
 fn a_cut_off_part_stops_writing() {
     let others = hosts(5);
     let mut quorum = Quorum::default();
-    quorum.list(others.iter().copied().collect(), ms(0));
+    quorum.set_hosts(others.iter().copied().collect(), ms(0));
     others
         .iter()
-        .for_each(|host| quorum.answered(*host, ms(1_000)));
-    assert!(quorum.holds_lease(ms(1_000) + LEASE - ms(1)));
-    quorum.answered(others[0], ms(1_500));
+        .for_each(|host| quorum.record_reply(*host, ms(1_000)));
+    assert!(quorum.holds_lease(ms(1_000) + LEASE_DURATION - ms(1)));
+    quorum.record_reply(others[0], ms(1_500));
     assert!(
-        !quorum.holds_lease(ms(1_000) + LEASE),
+        !quorum.holds_lease(ms(1_000) + LEASE_DURATION),
         "two of six are not most"
     );
 }
@@ -45,7 +47,7 @@
     let mut quorum = Quorum::default();
     assert!(!quorum.knows_hosts());
     assert!(!quorum.holds_lease(ms(1_000)));
-    quorum.list(BTreeSet::new(), ms(1_000));
+    quorum.set_hosts(BTreeSet::new(), ms(1_000));
     assert!(quorum.knows_hosts());
     assert!(quorum.holds_lease(ms(1_000)), "it is the only one");
 }
@@ -56,11 +58,11 @@
 fn a_host_outside_counts_only_those_that_it_asks() {
     let others = hosts(3);
     let mut quorum = Quorum::default();
-    quorum.take_part(false);
-    quorum.list(others.iter().copied().collect(), ms(0));
-    quorum.answered(others[0], ms(1_000));
+    quorum.set_elector(false);
+    quorum.set_hosts(others.iter().copied().collect(), ms(0));
+    quorum.record_reply(others[0], ms(1_000));
     assert!(!quorum.holds_lease(ms(1_100)), "one of three");
-    quorum.answered(others[1], ms(1_000));
+    quorum.record_reply(others[1], ms(1_000));
     assert!(quorum.holds_lease(ms(1_100)));
 }
 
@@ -69,13 +71,13 @@
 #[test]
 fn the_store_stands_in_for_hosts_that_are_gone() {
     let mut quorum = Quorum::default();
-    quorum.list(hosts(5).into_iter().collect(), ms(0));
+    quorum.set_hosts(hosts(5).into_iter().collect(), ms(0));
     assert!(!quorum.holds_lease(ms(2_000)));
     let mut lease = StoreLease::default();
     assert!(!lease.holds_lease(ms(2_000)));
-    lease.asked(ms(2_000));
+    lease.renew(ms(2_000));
     assert!(lease.holds_lease(ms(2_100)));
-    assert!(!lease.holds_lease(ms(2_000) + LEASE));
+    assert!(!lease.holds_lease(ms(2_000) + LEASE_DURATION));
 }
 
 /// A host was removed for good without notice and stays in the list. It must not count for ever:
@@ -84,13 +86,13 @@
 fn a_host_that_is_gone_for_good_counts_no_more() {
     let others = hosts(3);
     let mut quorum = Quorum::default();
-    quorum.list(others.iter().copied().collect(), ms(0));
-    let now = GONE + ms(500);
-    quorum.heard(others[0], now);
-    quorum.heard(others[1], now);
-    quorum.answered(others[0], now);
+    quorum.set_hosts(others.iter().copied().collect(), ms(0));
+    let now = GONE_TIMEOUT + ms(500);
+    quorum.record_message(others[0], now);
+    quorum.record_message(others[1], now);
+    quorum.record_reply(others[0], now);
     assert!(quorum.holds_lease(now), "two of three that are there");
-    assert_eq!(quorum.gone(now), BTreeSet::from([others[2]]));
+    assert_eq!(quorum.gone_hosts(now), BTreeSet::from([others[2]]));
 }
 
 /// A host alone in its fleet, or one that all others have answered, waits for nobody: with the
@@ -99,19 +101,19 @@
 fn with_everybody_told_there_is_nothing_to_wait_for() {
     let others = hosts(2);
     let mut quorum = Quorum::default();
-    assert_eq!(quorum.quiet_at(&BTreeSet::new(), ms(5_000)), ms(0));
-    quorum.list(others.iter().copied().collect(), ms(0));
+    assert_eq!(quorum.leases_end(&BTreeSet::new(), ms(5_000)), ms(0));
+    quorum.set_hosts(others.iter().copied().collect(), ms(0));
     let told = others.into_iter().collect();
-    assert_eq!(quorum.quiet_at(&told, ms(5_000)), ms(0));
+    assert_eq!(quorum.leases_end(&told, ms(5_000)), ms(0));
 }
 
 /// Where nobody is heard, it is this host that is cut off, however long it lasts.
 #[test]
 fn a_cut_off_host_takes_nobody_as_gone() {
     let mut quorum = Quorum::default();
-    quorum.list(hosts(4).into_iter().collect(), ms(0));
-    assert!(quorum.gone(GONE * 4).is_empty());
-    assert!(!quorum.holds_lease(GONE * 4));
+    quorum.set_hosts(hosts(4).into_iter().collect(), ms(0));
+    assert!(quorum.gone_hosts(GONE_TIMEOUT * 4).is_empty());
+    assert!(!quorum.holds_lease(GONE_TIMEOUT * 4));
 }
 
 /// A promotion takes no less than this from its order, on any of the users' deployments.
@@ -134,7 +136,7 @@
             .map(|own| {
                 let mut quorum = Quorum::default();
                 let others = keys.iter().enumerate().filter(|(i, _)| *i != own);
-                quorum.list(others.map(|(_, key)| *key).collect(), ms(0));
+                quorum.set_hosts(others.map(|(_, key)| *key).collect(), ms(0));
                 quorum
             })
             .collect();
@@ -159,22 +161,22 @@
                     if from == to || rng.random_bool(0.1) || blocked(asks_in) {
                         continue;
                     }
-                    quorums[to].heard(keys[from], now + ms(2));
+                    quorums[to].record_message(keys[from], now + ms(2));
                     if !blocked(!asks_in) {
-                        quorums[from].answered(keys[to], now);
-                        quorums[from].heard(keys[to], now + ms(4));
+                        quorums[from].record_reply(keys[to], now);
+                        quorums[from].record_message(keys[to], now + ms(4));
                         told_of_it[from] |= ordered.is_some() && to < count - cut;
                     }
                 }
             }
-            now += HEARTBEAT;
+            now += HEARTBEAT_INTERVAL;
             // The first host orders a promotion, with the word of all that are not cut off.
             let told: BTreeSet<HostKey> = keys[..count - cut].iter().copied().collect();
-            let quiet = now >= quorums[0].quiet_at(&told, now);
+            let quiet = now >= quorums[0].leases_end(&told, now);
             if now >= cut_at && quiet {
                 ordered.get_or_insert(now);
             }
-            let late = quiet && now >= cut_at + LEASE + MARGIN + ms(10);
+            let late = quiet && now >= cut_at + LEASE_DURATION + CLOCK_MARGIN + ms(10);
             let leads = ordered.is_some_and(|at| now >= at + PROMOTION);
             for (writer, told) in quorums.iter().zip(&told_of_it).skip(count - cut) {
                 let alone = cut * 2 < count;
--- a/crates/core/tests/suspicion.rs
+++ b/crates/core/tests/suspicion.rs
@@ -4,11 +4,11 @@
 
 use flamingopost_core::key::{HostKey, ServerKey, ServiceKey, ZoneKey};
 use flamingopost_core::names::Names;
-use flamingopost_core::suspicion::{Judge, Report, Verdict};
+use flamingopost_core::suspicion::{FailureDetector, Reachability, Report};
 use flamingopost_core::timing;
 
 struct Fleet {
-    judge: Judge,
+    judge: FailureDetector,
     server: ServerKey,
     /// Two hosts in each of three zones.
     hosts: Vec<(HostKey, ZoneKey)>,
@@ -22,7 +22,7 @@
         (hosts.intern(&format!("entry-{i}")), zone)
     };
     Fleet {
-        judge: Judge::default(),
+        judge: FailureDetector::default(),
         server: Names::default().intern("ledger-1"),
         hosts: (0..6).map(host).collect(),
     }
@@ -31,12 +31,12 @@
 impl Fleet {
     fn report(&mut self, host: usize, report: Report, now: Duration) {
         let (host, zone) = self.hosts[host];
-        self.judge.heard(host, zone, now);
-        self.judge.report(host, self.server, report, now);
+        self.judge.record_host(host, zone, now);
+        self.judge.add_report(host, self.server, report, now);
     }
 
-    fn verdict(&self, now: Duration) -> Verdict {
-        self.judge.verdict(self.server, now)
+    fn verdict(&self, now: Duration) -> Reachability {
+        self.judge.reachability(self.server, now)
     }
 }
 
@@ -72,7 +72,7 @@
 fn refused_by_hosts_of_all_zones_is_dead() {
     let mut fleet = fleet();
     (0..6).for_each(|host| fleet.report(host, broken(), secs(10)));
-    assert_eq!(fleet.verdict(secs(10)), Verdict::Unreachable);
+    assert_eq!(fleet.verdict(secs(10)), Reachability::Unreachable);
 }
 
 /// A healthy primary is replaced because one zone has lost its way to it.
@@ -83,7 +83,7 @@
         let report = if host % 3 == 1 { broken() } else { well() };
         fleet.report(host, report, secs(10));
     }
-    assert_eq!(fleet.verdict(secs(10)), Verdict::Reachable);
+    assert_eq!(fleet.verdict(secs(10)), Reachability::Reachable);
 }
 
 /// A healthy primary is replaced because one host in each of two zones has lost its way to it.
@@ -94,7 +94,7 @@
         let report = if host < 2 { broken() } else { well() };
         fleet.report(host, report, secs(10));
     }
-    assert_eq!(fleet.verdict(secs(10)), Verdict::Reachable);
+    assert_eq!(fleet.verdict(secs(10)), Reachability::Reachable);
 }
 
 /// A busy primary that answers after one and a half seconds is replaced, which makes all worse.
@@ -106,7 +106,7 @@
         // Probes time out again and again; each late answer ends the silence.
         let millis = 500 * u64::from(step % 4);
         (0..6).for_each(|host| fleet.report(host, silent(millis), now));
-        assert_eq!(fleet.verdict(now), Verdict::Reachable, "step {step}");
+        assert_eq!(fleet.verdict(now), Reachability::Reachable, "step {step}");
     }
 }
 
@@ -115,7 +115,7 @@
 fn long_silence_is_death() {
     let mut fleet = fleet();
     (0..6).for_each(|host| fleet.report(host, silent(2_000), secs(10)));
-    assert_eq!(fleet.verdict(secs(10)), Verdict::Unreachable);
+    assert_eq!(fleet.verdict(secs(10)), Reachability::Unreachable);
 }
 
 /// The hosts that are left are those of one zone. They have to wait until the others would have
@@ -124,18 +124,18 @@
 fn hosts_of_the_only_zone_left_are_enough_after_a_while() {
     let mut fleet = fleet();
     let zones = fleet.hosts.iter().map(|(_, zone)| *zone).collect();
-    fleet.judge.list(zones);
+    fleet.judge.set_listed_zones(zones);
     (0..6).for_each(|host| fleet.report(host, well(), secs(10)));
     let soon = secs(12);
     for host in [0, 3] {
         fleet.report(host, broken(), soon);
     }
-    assert_eq!(fleet.verdict(soon), Verdict::Reachable);
+    assert_eq!(fleet.verdict(soon), Reachability::Reachable);
     let later = secs(10) + timing::ONE_ZONE;
     for host in [0, 3] {
         fleet.report(host, broken(), later);
     }
-    assert_eq!(fleet.verdict(later), Verdict::Unreachable);
+    assert_eq!(fleet.verdict(later), Reachability::Unreachable);
 }
 
 /// Old reports replace a primary that has long been back.
@@ -143,20 +143,23 @@
 fn old_reports_do_not_count() {
     let mut fleet = fleet();
     (0..6).for_each(|host| fleet.report(host, broken(), secs(10)));
-    assert_eq!(fleet.verdict(secs(10) + timing::REPORT), Verdict::Reachable);
+    assert_eq!(
+        fleet.verdict(secs(10) + timing::REPORT),
+        Reachability::Reachable
+    );
 }
 
 /// Two servers that fail in turn are promoted back and forth, and no write gets through.
 #[test]
 fn promotions_in_a_row_wait_longer_each_time() {
-    let mut judge = Judge::default();
+    let mut judge = FailureDetector::default();
     let service = ServiceKey::default();
     let mut now = secs(10);
     let mut pauses = Vec::new();
     for _ in 0..12 {
-        judge.promoted(service, now);
+        judge.record_promotion(service, now);
         let from = now;
-        while !judge.is_cool(service, now) {
+        while !judge.has_cooled_down(service, now) {
             now += Duration::from_millis(100);
         }
         pauses.push(now - from);
@@ -168,6 +171,6 @@
             .all(|pair| pair[1] == (pair[0] * 2).min(timing::COOL_DOWN_MAX))
     );
 
-    judge.promoted(service, now + secs(3_600));
-    assert!(judge.is_cool(service, now + secs(3_600) + timing::COOL_DOWN));
+    judge.record_promotion(service, now + secs(3_600));
+    assert!(judge.has_cooled_down(service, now + secs(3_600) + timing::COOL_DOWN));
 }
--- a/crates/entry/src/link/spread.rs
+++ b/crates/entry/src/link/spread.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use flamingopost_core::adoption::{Adoption, Next};
+use flamingopost_core::adoption::{Adoption, AdoptionStep};
 use flamingopost_core::config;
 use flamingopost_core::digest::Digest;
 use flamingopost_daemon::event::Event as _;
@@ -76,7 +76,7 @@
         shared,
         peers,
         store,
-        adoption: Adoption::fresh(first),
+        adoption: Adoption::starting(first),
         head: None,
         sources: BTreeMap::new(),
         paused_until: Duration::ZERO,
@@ -114,27 +114,27 @@
             let Some(news) = news else {
                 return;
             };
-            if let Next::Fetch { version } = self.take(news) {
+            if let AdoptionStep::Fetch { version } = self.take(news) {
                 self.fetch(version).await;
             }
             self.shared.hear(self.adoption.highest());
         }
     }
 
-    fn take(&mut self, heard: Heard) -> Next {
+    fn take(&mut self, heard: Heard) -> AdoptionStep {
         match heard {
-            Heard::Head(None) => self.adoption.told_none(),
+            Heard::Head(None) => self.adoption.record_empty_head(),
             Heard::Head(Some(head)) => self.take_head(&head),
-            Heard::HeadFailed => self.adoption.platform_failed(),
+            Heard::HeadFailed => self.adoption.record_platform_failure(),
             Heard::Version { version, from } => {
                 if let Some(from) = from {
                     self.sources.insert(from, version);
                 }
-                self.adoption.heard(version)
+                self.adoption.record_version(version)
             }
             Heard::First { from, answer } => {
                 let version = answer.as_ref().map(|answer| answer.version);
-                let next = self.adoption.peer_asked(version);
+                let next = self.adoption.record_peer_answer(version);
                 match answer {
                     Some(answer) => self.take_knowledge(from, *answer),
                     None => next,
@@ -144,39 +144,39 @@
         }
     }
 
-    fn take_head(&mut self, head: &Head) -> Next {
+    fn take_head(&mut self, head: &Head) -> AdoptionStep {
         match head.digest.parse() {
             Ok(digest) => {
                 // A reader that lags may answer with an older head than an earlier read did.
                 if self.head.is_none_or(|(known, _)| known < head.version) {
                     self.head = Some((head.version, digest));
                 }
-                self.adoption.told(head.version, digest)
+                self.adoption.record_head(head.version, digest)
             }
             Err(error) => {
                 let key = head::HEAD.to_owned();
                 let error = error.to_string();
                 Log::BadRow { key, error }.log();
-                Next::Idle
+                AdoptionStep::Idle
             }
         }
     }
 
-    fn take_knowledge(&mut self, from: String, knowledge: Knowledge) -> Next {
+    fn take_knowledge(&mut self, from: String, knowledge: Knowledge) -> AdoptionStep {
         self.sources.insert(from.clone(), knowledge.version);
-        let next = self.adoption.heard(knowledge.version);
+        let next = self.adoption.record_version(knowledge.version);
         // A fresh process holds a body back until all that it has to ask have answered, and then
         // wants the highest version named: what it puts in force may otherwise be older, if only
         // for a moment, than what it had before its restart.
         match next {
-            Next::Fetch { version } if knowledge.version >= version => {}
+            AdoptionStep::Fetch { version } if knowledge.version >= version => {}
             _ => return next,
         }
         let Some(offer) = offer(from, knowledge) else {
             return next;
         };
         self.offered(offer);
-        self.adoption.heard(0)
+        self.adoption.record_version(0)
     }
 
     async fn fetch(&mut self, version: u64) {
@@ -224,10 +224,10 @@
         let version = offer.version;
         let judged = self
             .adoption
-            .offered(version, offer.digest, offer.body.as_bytes());
+            .check_body(version, offer.digest, offer.body.as_bytes());
         match judged {
-            Ok(Next::Adopt) => self.adopt(offer),
-            Ok(Next::Idle | Next::Fetch { .. }) => {}
+            Ok(AdoptionStep::Adopt) => self.adopt(offer),
+            Ok(AdoptionStep::Idle | AdoptionStep::Fetch { .. }) => {}
             Err(error) => {
                 let source = offer.source;
                 let error = error.to_string();
@@ -254,7 +254,7 @@
             .intern(|directory| config::parse(&file, &body, directory));
         match parsed {
             Ok(fleet) => {
-                self.adoption.adopted(version);
+                self.adoption.record_adopted(version);
                 self.shared.adopt(Adopted {
                     version,
                     digest: digest.to_string(),
@@ -267,7 +267,7 @@
             Err(report) => {
                 // Written for a newer program than this one: going on with what is in force is
                 // better than serving by a part of it.
-                self.adoption.refuse(version);
+                self.adoption.reject_version(version);
                 let error = report.to_string();
                 Log::Unadopted {
                     version,
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -435,10 +435,10 @@
             // Nobody is asked about a primary that leaves: who is in touch hears of the order while
             // it still serves.
             let told = match trouble {
-                Some(Trouble::Leaving) => quorum.in_touch(now),
+                Some(Trouble::Leaving) => quorum.recently_heard_hosts(now),
                 _ => told,
             };
-            (quorum.gone(now), quorum.quiet_at(&told, now))
+            (quorum.gone_hosts(now), quorum.leases_end(&told, now))
         });
         let orders_from = self.fleet.orders_from(&gone);
         let targets = service.targets();
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -35,12 +35,12 @@
 impl<C: Codec, P: Platform> Election<C, P> {
     /// The newest epoch of the store by its own word.
     pub(super) fn epoch(&self) -> Epoch {
-        self.fleet.with_epochs(|epochs, _| epochs.seen())
+        self.fleet.with_epochs(|epochs, _| epochs.store_epoch())
     }
 
     /// The newest epoch of the store by anybody's word.
     pub(super) fn epoch_heard(&self) -> Epoch {
-        self.fleet.with_epochs(|epochs, _| epochs.heard())
+        self.fleet.with_epochs(|epochs, _| epochs.newest_epoch())
     }
 
     /// Claims change `attempt` of the primary of `service`, and goes on by how that ends.
@@ -195,7 +195,7 @@
     pub(super) fn rewrite_claims(self: &Rc<Self>) {
         let epoch = self.epoch();
         let before = self.claimed_in.replace(epoch);
-        let restored = self.fleet.with_epochs(|epochs, _| epochs.restored());
+        let restored = self.fleet.with_epochs(|epochs, _| epochs.restored_at());
         if before >= epoch || restored.is_none() {
             return;
         }
--- a/crates/proxy/src/election/talk.rs
+++ b/crates/proxy/src/election/talk.rs
@@ -6,7 +6,7 @@
 
 use flamingopost_core::epoch::Epoch;
 use flamingopost_core::key::ServerKey;
-use flamingopost_core::quorum::HEARTBEAT;
+use flamingopost_core::quorum::HEARTBEAT_INTERVAL;
 use flamingopost_core::term::Term;
 
 use super::{Election, FRESH, Probe, target};
@@ -44,7 +44,7 @@
 
     /// Keeps in contact with the other hosts, for ever.
     pub async fn keep_contact(self: Rc<Self>) {
-        let mut interval = tokio::time::interval(HEARTBEAT);
+        let mut interval = tokio::time::interval(HEARTBEAT_INTERVAL);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             // A host that has just started is in touch with nobody until its first question is
@@ -193,9 +193,9 @@
             return;
         }
         self.lease.set((holds, now));
-        let (heard, hosts) = self
-            .fleet
-            .with_quorum(|quorum, now| (quorum.in_touch(now).len(), quorum.hosts()));
+        let (heard, hosts) = self.fleet.with_quorum(|quorum, now| {
+            (quorum.recently_heard_hosts(now).len(), quorum.host_count())
+        });
         self.site.log(&Event::Lease {
             outcome: if holds { "back" } else { "lost" },
             millis: now.saturating_sub(since).as_millis(),
@@ -285,7 +285,7 @@
             };
             // A restored store may lack a claim that is being acted on.
             let fleet = &election.fleet;
-            if !fleet.with_epochs(|epochs, now| epochs.knows_claims(now)) {
+            if !fleet.with_epochs(|epochs, now| epochs.are_claims_complete(now)) {
                 return;
             }
             for service in election.fleet.services() {
@@ -300,7 +300,7 @@
     fn take(self: &Rc<Self>, message: Message, from: SocketAddr) {
         if let Some(host) = self.fleet.peer(&message.host) {
             self.fleet
-                .with_quorum(|quorum, now| quorum.heard(host, now));
+                .with_quorum(|quorum, now| quorum.record_message(host, now));
             match message.word {
                 Word::Beat {
                     sent,
@@ -340,7 +340,7 @@
                     self.told_of_orders(Duration::from_millis(u64::from(in_touch)));
                     let sent = Duration::from_micros(sent);
                     self.fleet
-                        .with_quorum(|quorum, _| quorum.answered(host, sent));
+                        .with_quorum(|quorum, _| quorum.record_reply(host, sent));
                     self.take_samples(&samples, sent);
                     return;
                 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flamingopost_core::epoch::{Epoch, Epochs, SERVERS_REWRITTEN, Sighting};
+use flamingopost_core::epoch::{Epoch, EpochStatus, EpochTracker, SERVER_REWRITE_TIME};
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::invariant::{self, Invariant};
 use flamingopost_core::key::{HostKey, ServerKey};
@@ -57,7 +57,7 @@
     told: RefCell<Told>,
     peers: RefCell<Peers>,
     quorum: RefCell<Quorum>,
-    epochs: RefCell<Epochs>,
+    epochs: RefCell<EpochTracker>,
     /// The other hosts whose majority counts; worked out anew with each change of the list, since
     /// heartbeats and elections ask for them many times a second.
     electors: RefCell<Vec<(HostKey, Peer)>>,
@@ -137,7 +137,7 @@
     /// A successor may be one whose entry cannot be read, or is missing in the copy from which the store was
     /// restored.
     pub fn knows_all_servers(&self) -> bool {
-        let copied = self.epochs.borrow().may_be_copied(self.site.now());
+        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
         let unreadable = !self.servers.borrow().unreadable.is_empty();
         !copied && !unreadable && self.unnamed.borrow().is_empty()
     }
@@ -149,7 +149,7 @@
     /// not know what operators have changed lately.
     pub fn has_copied_configuration(&self) -> bool {
         let now = self.site.now();
-        self.feeds.configuration.is_behind() && self.epochs.borrow().may_be_copied(now)
+        self.feeds.configuration.is_behind() && self.epochs.borrow().may_list_be_stale(now)
     }
 
     /// The route of a database and the service that it leads to.
@@ -217,7 +217,7 @@
         for id in missing {
             self.change(Change::Gone(id));
         }
-        let copied = self.epochs.borrow().may_be_copied(self.site.now());
+        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
         for entry in entries {
             match Change::from(entry) {
                 Change::Put(backend) if copied => self.put_copied(backend),
@@ -307,11 +307,11 @@
     pub fn news(&self) -> News {
         let now = self.site.now();
         let epochs = self.epochs.borrow();
-        let restored = epochs.restored().map(|at| now.saturating_sub(at));
+        let restored = epochs.restored_at().map(|at| now.saturating_sub(at));
         News {
             configuration: self.feeds.configuration.newest(),
             backends: self.feeds.backends.newest(),
-            epoch: epochs.heard().0,
+            epoch: epochs.newest_epoch().0,
             restored: restored.and_then(|age| u32::try_from(age.as_millis()).ok()),
         }
     }
@@ -330,7 +330,7 @@
         if let Some(millis) = news.restored {
             let age = Duration::from_millis(u64::from(millis));
             let mut epochs = self.epochs.borrow_mut();
-            epochs.told_of_restore(epoch, now.saturating_sub(age));
+            epochs.record_restore(epoch, now.saturating_sub(age));
         }
         self.feeds.configuration.told(news.configuration, now);
         self.feeds.backends.told(news.backends, now);
@@ -356,7 +356,7 @@
     /// all where they are few. The others are told, for as long as they hear most of those.
     pub fn patience(&self) -> Patience {
         let quorum = self.quorum.borrow();
-        let is_told = !quorum.takes_part() && quorum.holds_lease(self.site.now());
+        let is_told = !quorum.is_elector() && quorum.holds_lease(self.site.now());
         match is_told && !self.is_small() {
             true => Patience::Told,
             false => Patience::Own,
@@ -364,13 +364,13 @@
     }
 
     /// Works on what this host knows of the store's epochs.
-    pub fn with_epochs<T>(&self, work: impl FnOnce(&mut Epochs, Duration) -> T) -> T {
+    pub fn with_epochs<T>(&self, work: impl FnOnce(&mut EpochTracker, Duration) -> T) -> T {
         work(&mut self.epochs.borrow_mut(), self.site.now())
     }
 
     /// Another host has heard of `epoch`.
     pub fn told_epoch(&self, host: HostKey, epoch: Epoch) {
-        if self.with_epochs(|epochs, now| epochs.told(host, epoch, now)) {
+        if self.with_epochs(|epochs, now| epochs.record_peer_epoch(host, epoch, now)) {
             self.feeds.restored();
         }
     }
@@ -378,10 +378,10 @@
     /// The store has answered in `epoch`. Returns whether what it said holds: it does not where the
     /// epoch is over.
     pub fn saw_epoch(&self, epoch: Epoch) -> bool {
-        match self.with_epochs(|epochs, now| epochs.saw(epoch, now)) {
-            Sighting::Known => true,
-            Sighting::Former => false,
-            Sighting::Restored { before } => {
+        match self.with_epochs(|epochs, now| epochs.record_store_epoch(epoch, now)) {
+            EpochStatus::Current => true,
+            EpochStatus::Outdated => false,
+            EpochStatus::Restored { before } => {
                 self.restored(before, epoch);
                 true
             }
@@ -402,7 +402,7 @@
         self.feeds.restored();
         let feeds = Rc::clone(&self.feeds);
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(SERVERS_REWRITTEN).await;
+            tokio::time::sleep(SERVER_REWRITE_TIME).await;
             feeds.backends.read_again();
         });
     }
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -22,7 +22,7 @@
     /// copy was taken, and do so again. Guards against majorities that are counted without them.
     pub fn list_peers(&self, entries: Vec<Entry<Peer>>) {
         let named: BTreeSet<&str> = entries.iter().map(peer_id).collect();
-        let copied = self.epochs.borrow().may_be_copied(self.site.now());
+        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
         let missing: Vec<String> = {
             let peers = self.peers.borrow();
             let known = peers.by_host.keys().filter(|_| !copied);
@@ -53,8 +53,8 @@
         let now = self.site.now();
         {
             let mut quorum = self.quorum.borrow_mut();
-            quorum.take_part(takes_part);
-            quorum.list(others, now);
+            quorum.set_elector(takes_part);
+            quorum.set_hosts(others, now);
         }
         self.contact_due.notify_one();
         self.allot();
@@ -114,7 +114,7 @@
         }
         let peers = self.peers.borrow();
         let keys = peers.by_host.values().map(|(key, _)| *key);
-        epochs.orders_from(&keys.filter(|key| !gone.contains(key)).collect())
+        epochs.orders_allowed_from(&keys.filter(|key| !gone.contains(key)).collect())
     }
 
     /// The other hosts whose majority counts.
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use flamingopost_core::dispatch::{self, Dispatch, Need, Standing, Ticket, Unserved};
-use flamingopost_core::extent::Extent;
+use flamingopost_core::extent::LogExtent;
+use flamingopost_core::freshness::{FreshnessTracker, SAMPLE_SPACING};
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::{LeaderTracker, Role};
@@ -14,7 +15,6 @@
 use flamingopost_core::quorum::StoreLease;
 use flamingopost_core::succession::{Contact, PriorOrders, Trouble};
 use flamingopost_core::term::Term;
-use flamingopost_core::vouch::{SPACING, Vouch};
 use tokio::sync::{Notify, oneshot};
 
 use crate::back::{self, Back, Target};
@@ -70,8 +70,8 @@
 
 struct State<C: Codec> {
     dispatch: Dispatch,
-    vouch: Vouch,
-    extent: Extent,
+    vouch: FreshnessTracker,
+    extent: LogExtent,
     leader: LeaderTracker,
     /// Since when the service has had a single server.
     alone: Option<Duration>,
@@ -146,8 +146,8 @@
             confirmed: Notify::new(),
             state: RefCell::new(State {
                 dispatch: Dispatch::default(),
-                vouch: Vouch::default(),
-                extent: Extent::default(),
+                vouch: FreshnessTracker::default(),
+                extent: LogExtent::default(),
                 leader: LeaderTracker::default(),
                 alone: None,
                 check: Check::default(),
@@ -223,15 +223,15 @@
         if state.may_check() {
             self.alarm.notify_one();
         }
-        let passed = state.vouch.passed(position);
+        let passed = state.vouch.passed_at(position);
         let holds = state.holds(server, position);
         if let Some(server) = state.dispatch.server_mut(server) {
             server.saw(holds, passed, now);
         }
-        state.vouch.saw_term(position.term);
+        state.vouch.record_term(position.term);
         state.leader.record_log_term(server, position.term);
         if led && !state.extent.lacks(position, sent) {
-            state.vouch.led(position, sent);
+            state.vouch.add_sample(position, sent);
             state.leader.record_term_led(server, position.term);
             self.has_sample();
         }
@@ -271,7 +271,7 @@
     pub fn newest_sample(&self) -> Option<(Position, Duration)> {
         let now = self.site.now();
         let state = self.state.borrow();
-        let (position, at) = state.vouch.last()?;
+        let (position, at) = state.vouch.last_sample()?;
         Some((position, now.saturating_sub(at)))
     }
 
@@ -293,12 +293,12 @@
         // Samples that are closer together are one: acted on, an answer would lead to the next question.
         let is_known = state
             .vouch
-            .last()
-            .is_some_and(|(_, last)| at < last + SPACING);
+            .last_sample()
+            .is_some_and(|(_, last)| at < last + SAMPLE_SPACING);
         if is_known || position.term < state.vouch.term() || state.extent.lacks(position, at) {
             return;
         }
-        state.vouch.led(position, at);
+        state.vouch.add_sample(position, at);
         drop(state);
         self.has_sample();
     }
@@ -313,11 +313,11 @@
     pub fn need(&self, since: Duration, seen: Position) -> Need {
         let now = self.site.now();
         let state = self.state.borrow();
-        let Some(floor) = state.vouch.floor(since) else {
+        let Some(floor) = state.vouch.required_position(since) else {
             return Need::Lead;
         };
-        let position = floor.max(state.vouch.current(seen));
-        let at = state.vouch.reached(position).unwrap_or(now);
+        let position = floor.max(state.vouch.in_current_term(seen));
+        let at = state.vouch.reached_at(position).unwrap_or(now);
         Need::Position { position, at }
     }
 
@@ -331,7 +331,7 @@
             }
             state.leader.record_role(server, status.role, status.term);
             if status.role == Role::Primary {
-                state.vouch.saw_term(status.term);
+                state.vouch.record_term(status.term);
             }
         }
         self.weigh(server, status.received, sent);
@@ -345,7 +345,7 @@
         };
         {
             let mut state = self.state.borrow_mut();
-            state.vouch.saw_term(term);
+            state.vouch.record_term(term);
             state.leader.record_role(server, Role::Primary, term);
         }
         self.refresh();
--- a/crates/proxy/src/service/confirm.rs
+++ b/crates/proxy/src/service/confirm.rs
@@ -122,7 +122,10 @@
             // The primary has that too. Where it has lost its log, this host may have nothing else to
             // tell it by: it was out of touch when the log got so far.
             let now = self.site.now();
-            self.state.borrow_mut().extent.showed(status.received, now);
+            self.state
+                .borrow_mut()
+                .extent
+                .record_position(status.received, now);
         }
         follows
     }
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -198,7 +198,7 @@
 
     /// The store has answered what was sent at `sent`: nobody has claimed to replace the primary.
     pub fn unclaimed(&self, sent: Duration) {
-        self.state.borrow_mut().store_lease.asked(sent);
+        self.state.borrow_mut().store_lease.renew(sent);
     }
 
     /// Whether this host may rely on the primary for what the store has said.
--- a/crates/proxy/src/service/proof.rs
+++ b/crates/proxy/src/service/proof.rs
@@ -70,14 +70,14 @@
 
     /// Whether some server was seen to hold anything.
     pub fn is_seen(&self) -> bool {
-        self.state.borrow().extent.is_seen()
+        self.state.borrow().extent.has_position()
     }
 
     /// The store's record says whether something was ever written.
     pub fn recorded(&self, is_written: bool) {
         let mut state = self.state.borrow_mut();
         match is_written {
-            true => state.extent.record(),
+            true => state.extent.record_written(),
             false => state.end_check(),
         }
     }
@@ -115,7 +115,7 @@
         let is_seen = {
             let mut state = self.state.borrow_mut();
             state.distrust(server, self.site.now());
-            state.extent.is_seen()
+            state.extent.has_position()
         };
         self.site.log(&Event::LogEmpty {
             service: self.name.clone(),
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -164,8 +164,8 @@
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let was_written = state.extent.is_written();
-        state.vouch.saw_term(position.term);
-        state.extent.showed(position, now);
+        state.vouch.record_term(position.term);
+        state.extent.record_position(position, now);
         if !was_written && state.extent.is_written() && state.dispatch.leader().is_some() {
             state.check = Check::Due(now);
             self.alarm.notify_one();
@@ -343,11 +343,12 @@
         {
             known.blank = false;
         }
-        let was_seen = self.extent.is_seen();
-        self.extent.showed(position, now);
+        let was_seen = self.extent.has_position();
+        self.extent.record_position(position, now);
         let leader = self.dispatch.leader();
         let by_other = leader.is_some_and(|leader| leader != server);
-        if !was_seen && self.extent.is_seen() && by_other && position.term < self.vouch.term() {
+        if !was_seen && self.extent.has_position() && by_other && position.term < self.vouch.term()
+        {
             self.check = Check::Due(now);
         }
     }
