--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -475,10 +475,10 @@
             // No host is queried about a primary that is leaving: connected hosts learn of the
             // order while the primary still serves.
             let answered = match trouble {
-                Some(Trouble::Leaving) => quorum.in_touch(now),
+                Some(Trouble::Leaving) => quorum.recently_heard_hosts(now),
                 _ => answered,
             };
-            (quorum.gone(now), quorum.quiet_at(&answered, now))
+            (quorum.gone_hosts(now), quorum.leases_end(&answered, now))
         });
         let orders_from = self.fleet.orders_from(&gone);
         let targets = service.targets();
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -35,12 +35,12 @@
 impl<C: Codec, P: Platform> Election<C, P> {
     /// Returns the newest store epoch that the store itself has reported to this host.
     pub(super) fn epoch(&self) -> Epoch {
-        self.fleet.with_epochs(|epochs, _| epochs.seen())
+        self.fleet.with_epochs(|epochs, _| epochs.store_epoch())
     }
 
     /// Returns the newest store epoch reported by the store or by any other host.
     pub(super) fn newest_known_epoch(&self) -> Epoch {
-        self.fleet.with_epochs(|epochs, _| epochs.heard())
+        self.fleet.with_epochs(|epochs, _| epochs.newest_epoch())
     }
 
     /// Claims change `attempt` of the primary of `service` and continues the failover according to
@@ -196,7 +196,7 @@
     pub(super) fn rewrite_claims(self: &Rc<Self>) {
         let epoch = self.epoch();
         let before = self.claims_checked_in.replace(epoch);
-        let restored = self.fleet.with_epochs(|epochs, _| epochs.restored());
+        let restored = self.fleet.with_epochs(|epochs, _| epochs.restored_at());
         if before >= epoch || restored.is_none() {
             return;
         }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flamingopost_core::epoch::{Epoch, Epochs, SERVERS_REWRITTEN, Sighting};
+use flamingopost_core::epoch::{Epoch, EpochStatus, EpochTracker, SERVER_REWRITE_TIME};
 use flamingopost_core::incarnation::Incarnation;
 use flamingopost_core::invariant::{self, Invariant};
 use flamingopost_core::key::{HostKey, ServerKey};
@@ -57,7 +57,7 @@
     reported_faults: RefCell<ReportedFaults>,
     peers: RefCell<Peers>,
     quorum: RefCell<Quorum>,
-    epochs: RefCell<Epochs>,
+    epochs: RefCell<EpochTracker>,
     /// The other hosts whose majority forms a quorum. Recomputed only when the list of hosts
     /// changes, since heartbeats and elections read it many times a second.
     electors: RefCell<Vec<(HostKey, Peer)>>,
@@ -138,7 +138,7 @@
     /// The entry of a successor may be unreadable, or missing in the backup from which the store
     /// was restored.
     pub fn knows_all_servers(&self) -> bool {
-        let copied = self.epochs.borrow().may_be_copied(self.site.now());
+        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
         let unreadable = !self.servers.borrow().unreadable.is_empty();
         !copied && !unreadable && self.unconfigured.borrow().is_empty()
     }
@@ -150,7 +150,7 @@
     /// the operators' latest changes.
     pub fn has_outdated_configuration(&self) -> bool {
         let now = self.site.now();
-        self.feeds.configuration.is_behind() && self.epochs.borrow().may_be_copied(now)
+        self.feeds.configuration.is_behind() && self.epochs.borrow().may_list_be_stale(now)
     }
 
     /// Returns the route of a database and the service that it leads to.
@@ -218,7 +218,7 @@
         for id in missing {
             self.apply_server_change(Change::Removed(id));
         }
-        let copied = self.epochs.borrow().may_be_copied(self.site.now());
+        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
         for entry in entries {
             match Change::from(entry) {
                 Change::Put(backend) if copied => self.put_restored(backend),
@@ -310,11 +310,11 @@
     pub fn feed_progress(&self) -> FeedProgress {
         let now = self.site.now();
         let epochs = self.epochs.borrow();
-        let restored = epochs.restored().map(|at| now.saturating_sub(at));
+        let restored = epochs.restored_at().map(|at| now.saturating_sub(at));
         FeedProgress {
             configuration: self.feeds.configuration.newest(),
             backends: self.feeds.backends.newest(),
-            epoch: epochs.heard().0,
+            epoch: epochs.newest_epoch().0,
             restored: restored.and_then(|age| u32::try_from(age.as_millis()).ok()),
         }
     }
@@ -334,7 +334,7 @@
         if let Some(millis) = progress.restored {
             let age = Duration::from_millis(u64::from(millis));
             let mut epochs = self.epochs.borrow_mut();
-            epochs.told_of_restore(epoch, now.saturating_sub(age));
+            epochs.record_restore(epoch, now.saturating_sub(age));
         }
         self.feeds
             .configuration
@@ -363,7 +363,7 @@
     /// them.
     pub fn stuck_detection(&self) -> StuckDetection {
         let quorum = self.quorum.borrow();
-        let is_told = !quorum.takes_part() && quorum.holds_lease(self.site.now());
+        let is_told = !quorum.is_elector() && quorum.holds_lease(self.site.now());
         match is_told && !self.is_small() {
             true => StuckDetection::ByPeers,
             false => StuckDetection::Local,
@@ -371,13 +371,13 @@
     }
 
     /// Calls `work` with the known epochs of the store and the current time.
-    pub fn with_epochs<T>(&self, work: impl FnOnce(&mut Epochs, Duration) -> T) -> T {
+    pub fn with_epochs<T>(&self, work: impl FnOnce(&mut EpochTracker, Duration) -> T) -> T {
         work(&mut self.epochs.borrow_mut(), self.site.now())
     }
 
     /// Records that another host knows of `epoch`.
     pub fn record_peer_epoch(&self, host: HostKey, epoch: Epoch) {
-        if self.with_epochs(|epochs, now| epochs.told(host, epoch, now)) {
+        if self.with_epochs(|epochs, now| epochs.record_peer_epoch(host, epoch, now)) {
             self.feeds.cancel_after_restore();
         }
     }
@@ -385,10 +385,10 @@
     /// Records that the store answered in `epoch`. Returns whether the answer is valid: it is not
     /// if the epoch is over.
     pub fn observe_epoch(&self, epoch: Epoch) -> bool {
-        match self.with_epochs(|epochs, now| epochs.saw(epoch, now)) {
-            Sighting::Known => true,
-            Sighting::Former => false,
-            Sighting::Restored { before } => {
+        match self.with_epochs(|epochs, now| epochs.record_store_epoch(epoch, now)) {
+            EpochStatus::Current => true,
+            EpochStatus::Outdated => false,
+            EpochStatus::Restored { before } => {
                 self.handle_store_restore(before, epoch);
                 true
             }
@@ -409,7 +409,7 @@
         self.feeds.cancel_after_restore();
         let feeds = Rc::clone(&self.feeds);
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(SERVERS_REWRITTEN).await;
+            tokio::time::sleep(SERVER_REWRITE_TIME).await;
             feeds.backends.request_full_read();
         });
     }
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -24,7 +24,7 @@
     /// counted without it.
     pub fn apply_host_list(&self, entries: Vec<Entry<Peer>>) {
         let named: BTreeSet<&str> = entries.iter().map(peer_id).collect();
-        let copied = self.epochs.borrow().may_be_copied(self.site.now());
+        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
         let missing: Vec<String> = {
             let peers = self.peers.borrow();
             let known = peers.by_host.keys().filter(|_| !copied);
@@ -56,8 +56,8 @@
         let now = self.site.now();
         {
             let mut quorum = self.quorum.borrow_mut();
-            quorum.take_part(takes_part);
-            quorum.list(others, now);
+            quorum.set_elector(takes_part);
+            quorum.set_hosts(others, now);
         }
         self.contact_due.notify_one();
         self.allot_connections();
@@ -117,7 +117,7 @@
         }
         let peers = self.peers.borrow();
         let keys = peers.by_host.values().map(|(key, _)| *key);
-        epochs.orders_from(&keys.filter(|key| !gone.contains(key)).collect())
+        epochs.orders_allowed_from(&keys.filter(|key| !gone.contains(key)).collect())
     }
 
     /// Returns the other hosts whose majority forms a quorum.
--- a/crates/proxy/src/service/confirm.rs
+++ b/crates/proxy/src/service/confirm.rs
@@ -125,7 +125,10 @@
             // The primary must have this position too. If it has lost its log, this may be the only
             // evidence on this host, which was cut off when the log reached that position.
             let now = self.site.now();
-            self.state.borrow_mut().extent.showed(status.received, now);
+            self.state
+                .borrow_mut()
+                .extent
+                .record_position(status.received, now);
         }
         follows
     }
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -214,7 +214,7 @@
     /// Records the store's answer to a request sent at `sent`: no host has claimed the right to
     /// replace the primary.
     pub fn record_no_claims(&self, sent: Duration) {
-        self.state.borrow_mut().store_lease.asked(sent);
+        self.state.borrow_mut().store_lease.renew(sent);
     }
 
     /// Reports whether this host may rely on the primary because of the store's answer.
--- a/crates/proxy/src/service/log_proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -72,14 +72,14 @@
 
     /// Reports whether any server has shown a log entry.
     pub fn has_seen_entries(&self) -> bool {
-        self.state.borrow().extent.is_seen()
+        self.state.borrow().extent.has_position()
     }
 
     /// Applies the store's record of whether anything was ever written to the service.
     pub fn apply_store_record(&self, is_written: bool) {
         let mut state = self.state.borrow_mut();
         match is_written {
-            true => state.extent.record(),
+            true => state.extent.record_written(),
             false => state.end_check_hold(),
         }
     }
@@ -123,7 +123,7 @@
         let is_seen = {
             let mut state = self.state.borrow_mut();
             state.distrust(server, self.site.now());
-            state.extent.is_seen()
+            state.extent.has_position()
         };
         self.site.log(&Event::LogEmpty {
             service: self.name.clone(),
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -172,8 +172,8 @@
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let was_written = state.extent.is_written();
-        state.vouch.saw_term(position.term);
-        state.extent.showed(position, now);
+        state.vouch.record_term(position.term);
+        state.extent.record_position(position, now);
         if !was_written && state.extent.is_written() && state.dispatch.leader().is_some() {
             state.check = PrimaryCheck::Due(now);
             self.failover_notify.notify_one();
@@ -363,11 +363,12 @@
         {
             entry.found_empty = false;
         }
-        let was_seen = self.extent.is_seen();
-        self.extent.showed(position, now);
+        let was_seen = self.extent.has_position();
+        self.extent.record_position(position, now);
         let leader = self.dispatch.leader();
         let by_other = leader.is_some_and(|leader| leader != server);
-        if !was_seen && self.extent.is_seen() && by_other && position.term < self.vouch.term() {
+        if !was_seen && self.extent.has_position() && by_other && position.term < self.vouch.term()
+        {
             self.check = PrimaryCheck::Due(now);
         }
     }
