--- a/crates/capacity/src/command/lease.rs
+++ b/crates/capacity/src/command/lease.rs
@@ -127,7 +127,7 @@
         let (sent, no) = round(&mut callers).await?;
         renewals += sent;
         refused += no;
-        next += timing::RENEWAL;
+        next += timing::RENEWAL_INTERVAL;
         tokio::time::sleep_until(next).await;
     }
     let seconds = start.elapsed().as_secs_f64();
--- a/crates/control/src/budgets.rs
+++ b/crates/control/src/budgets.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use flamingopost_core::budget::Grant;
-use flamingopost_core::budget::share::{FLOOR_VALID, Floor, Holder, Renewal, Share};
+use flamingopost_core::budget::server_budget::{
+    FLOOR_VALID, Floor, HostInstance, Renewal, ServerBudget,
+};
 use flamingopost_core::key::{ServerKey, ZoneKey};
 
 use crate::servers::RESERVED;
@@ -33,7 +35,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Renewer {
     /// The process.
-    pub holder: Holder,
+    pub holder: HostInstance,
     /// Its availability zone.
     pub zone: ZoneKey,
     /// How long its lease runs.
@@ -41,13 +43,13 @@
 }
 
 /// Floors by server and holder: connections.
-pub type Floors = BTreeMap<(ServerKey, Holder), u16>;
+pub type Floors = BTreeMap<(ServerKey, HostInstance), u16>;
 
 /// The shares of all servers of one shard.
 #[derive(Debug, Default)]
 pub struct Budgets {
     servers: BTreeMap<ServerKey, Server>,
-    shares: BTreeMap<ServerKey, Share>,
+    shares: BTreeMap<ServerKey, ServerBudget>,
     /// Whether the predecessor's floors have been read since this process became controller.
     loaded: bool,
     /// Floors that the table is known to hold; absent while that has to be read.
@@ -135,7 +137,7 @@
     }
 
     /// A process stopped and has closed everything.
-    pub fn release(&mut self, holder: Holder) {
+    pub fn release(&mut self, holder: HostInstance) {
         for share in self.shares.values_mut() {
             share.release(holder);
         }
@@ -148,11 +150,11 @@
         demand: u16,
         now: Duration,
     ) -> Option<Grant> {
-        let near = self.servers.get(&key)?.zone == renewer.zone && self.is_loaded();
+        let same_zone = self.servers.get(&key)?.zone == renewer.zone && self.is_loaded();
         let renewal = Renewal {
-            holder: renewer.holder,
+            instance: renewer.holder,
             demand,
-            near,
+            same_zone,
             valid: renewer.valid,
         };
         let mut grant = self.share(key, now)?.renew(renewal, now);
@@ -175,10 +177,10 @@
         floors
     }
 
-    fn share(&mut self, key: ServerKey, now: Duration) -> Option<&mut Share> {
+    fn share(&mut self, key: ServerKey, now: Duration) -> Option<&mut ServerBudget> {
         let limit = self.limit(self.servers.get(&key)?);
         let share = self.shares.entry(key);
-        Some(share.or_insert_with(|| Share::new(limit, now)))
+        Some(share.or_insert_with(|| ServerBudget::new(limit, now)))
     }
 
     fn set_limits(&mut self) {
--- a/crates/control/src/floors.rs
+++ b/crates/control/src/floors.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flamingopost_core::budget::share::Holder;
+use flamingopost_core::budget::server_budget::HostInstance;
 use flamingopost_core::directory::Directory;
 use serde::{Deserialize, Serialize};
 
@@ -49,7 +49,7 @@
     for (server, held) in stored {
         let server = directory.servers.intern(&server);
         for floor in held {
-            let holder = Holder {
+            let holder = HostInstance {
                 host: directory.hosts.intern(&floor.host),
                 incarnation: floor.incarnation,
             };
--- a/crates/control/src/shard_lease.rs
+++ b/crates/control/src/shard_lease.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flamingopost_core::budget::Grant;
-use flamingopost_core::budget::share::Holder;
+use flamingopost_core::budget::server_budget::HostInstance;
 use flamingopost_core::key::HostKey;
 use flamingopost_core::leadership::{self, Reply};
 use flamingopost_core::lease::Instance;
@@ -61,7 +61,7 @@
         valid: Duration,
         now: Duration,
     ) -> BTreeMap<String, Grant> {
-        let of_budget = Holder {
+        let of_budget = HostInstance {
             host: holder.host,
             incarnation: holder.incarnation,
         };
--- a/crates/control/tests/budgets.rs
+++ b/crates/control/tests/budgets.rs
@@ -7,7 +7,7 @@
 use flamingopost_control::floors;
 use flamingopost_control::servers::RESERVED;
 use flamingopost_core::budget::Grant;
-use flamingopost_core::budget::share::Holder;
+use flamingopost_core::budget::server_budget::HostInstance;
 use flamingopost_core::directory::Directory;
 use flamingopost_core::key::{ServerKey, ZoneKey};
 
@@ -44,7 +44,7 @@
     }
 
     fn host(&mut self, name: &str, zone: ZoneKey) -> Renewer {
-        let holder = Holder {
+        let holder = HostInstance {
             host: self.directory.hosts.intern(name),
             incarnation: 1,
         };
--- a/crates/control/tests/common/holder.rs
+++ b/crates/control/tests/common/holder.rs
@@ -162,7 +162,7 @@
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
-            tokio::time::sleep(timing::RENEWAL / 2).await;
+            tokio::time::sleep(timing::RENEWAL_INTERVAL / 2).await;
         }
     }
 
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -217,7 +217,7 @@
         })
         .await;
         // The row that names them is in the table by the next read.
-        tokio::time::sleep(flamingopost_core::timing::READ * 2).await;
+        tokio::time::sleep(flamingopost_core::timing::ROW_READ_INTERVAL * 2).await;
     }
 
     /// Waits until one control process tells that the service is open.
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -51,7 +51,7 @@
     let hosts = fleet.hosts(&server_name(0)).await;
     hosts[1].cannot_reach(&[&server_name(0)]);
     // A round trip through the controller of each host that comes after the report.
-    tokio::time::sleep(flamingopost_core::timing::SUSPICION * 3).await;
+    tokio::time::sleep(flamingopost_core::timing::SUSPICION_TIMEOUT * 3).await;
     let after = fleet.open_service(0).await;
     assert_eq!(before.term, after.term);
 }
--- a/crates/control/tests/takeover.rs
+++ b/crates/control/tests/takeover.rs
@@ -85,7 +85,7 @@
     fleet.platform.set_faults(down());
     fleet.restart_controls();
     let hosts = fleet.hosts_without_leases().await;
-    tokio::time::sleep(timing::AUTHORITY).await;
+    tokio::time::sleep(timing::AUTHORITY_DURATION).await;
     assert!(hosts.iter().all(|host| host.primary().is_none()));
     fleet.platform.set_faults(Faults::default());
     all_see(&hosts, &server_name(0)).await;
@@ -142,7 +142,7 @@
     };
     let table = Client::new(fleet.platform.address(), "", common::PATIENCE).unwrap();
     table.write(vec![padding]).await.unwrap();
-    tokio::time::sleep(timing::READ * 3).await;
+    tokio::time::sleep(timing::ROW_READ_INTERVAL * 3).await;
     let (code, answer) = fleet.submit(old, 1, "second", &fleet.config("")).await;
     assert_eq!(code, 200, "{answer}");
     fleet.in_force(2).await;
@@ -209,7 +209,7 @@
     fleet.named_standbys(leader).await;
     fleet.platform.set_faults(down());
     // What was read before the outage has long run out by then.
-    tokio::time::sleep(timing::AUTHORITY * 2).await;
+    tokio::time::sleep(timing::AUTHORITY_DURATION * 2).await;
     all_see(&hosts, &server_name(0)).await;
     fleet.server(&server_name(0)).set_faults(ServerFaults {
         dead: true,
@@ -222,7 +222,7 @@
     all_see(&hosts, &next).await;
     fleet.platform.set_faults(Faults::default());
     // The row follows once the store is back, and nobody has claimed meanwhile.
-    tokio::time::sleep(timing::AUTHORITY).await;
+    tokio::time::sleep(timing::AUTHORITY_DURATION).await;
     assert_eq!(fleet.leader(0).await, leader);
     all_see(&hosts, &next).await;
 }
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,10 +1,10 @@
 //! Which request runs next on a backend server, and which is refused at once.
 
 pub mod cost;
-pub mod flow;
 pub mod limit;
 pub mod queue;
 pub mod ticket;
+pub mod work_rate;
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,21 +13,21 @@
 use crate::key::{ClassKey, CustomerKey};
 use crate::refusal::Refusal;
 use cost::Costs;
-use flow::Flow;
 use limit::Limit;
 use queue::Queue;
 use ticket::Ticket;
+use work_rate::WorkRate;
 
 /// Longest queue that is looked through for late requests at every change.
-const SHORT: usize = 16;
-/// Time between two looks through a longer one.
-const LOOK: Duration = Duration::from_millis(1);
+const SHORT_QUEUE: usize = 16;
+/// Time between two scans through a longer one.
+const SCAN_INTERVAL: Duration = Duration::from_millis(1);
 /// Part of the slots that is taken to be left for a class whatever arrives that is heavier.
-const LEAST_LEFT: f64 = 0.05;
+const MIN_FREE_SHARE: f64 = 0.05;
 
 /// What to do about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
+pub enum Admission {
     /// Send it to the server.
     Start(u64),
     /// Answer it with a refusal, now.
@@ -36,7 +36,7 @@
 
 /// How a request that was started ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Completion {
     /// The server answered.
     Answered,
     /// It did not: the time says nothing about the server's speed.
@@ -57,7 +57,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use flamingopost_core::admission::{Gate, Next};
+/// use flamingopost_core::admission::{Gate, Admission};
 /// use flamingopost_core::admission::ticket::Ticket;
 /// use flamingopost_core::directory::Directory;
 ///
@@ -71,23 +71,23 @@
 ///     share: 1,
 ///     deadline: Duration::from_millis(200),
 /// };
-/// assert_eq!(gate.arrive(ticket, Duration::ZERO), [Next::Start(1)]);
+/// assert_eq!(gate.arrive(ticket, Duration::ZERO), [Admission::Start(1)]);
 /// ```
 #[derive(Debug, Clone)]
 pub struct Gate {
     limit: Limit,
     costs: Costs,
     /// Work that arrived, by weight.
-    arrived: Flow<u32>,
+    arrivals: WorkRate<u32>,
     /// Work that was started, by customer.
-    used: Flow<CustomerKey>,
+    usage: WorkRate<CustomerKey>,
     running: BTreeMap<u64, Running>,
     queue: Queue,
     connections: usize,
     /// The request that is just arriving.
-    newest: Option<u64>,
+    arriving: Option<u64>,
     /// When a long queue was last looked through for those that are late.
-    looked: Duration,
+    scanned_at: Duration,
 }
 
 impl Gate {
@@ -96,48 +96,48 @@
         Gate {
             limit: Limit::new(slots),
             costs: Costs::default(),
-            arrived: Flow::default(),
-            used: Flow::default(),
+            arrivals: WorkRate::default(),
+            usage: WorkRate::default(),
             running: BTreeMap::new(),
             queue: Queue::default(),
             connections: usize::MAX,
-            newest: None,
-            looked: Duration::ZERO,
+            arriving: None,
+            scanned_at: Duration::ZERO,
         }
     }
 
     /// The host may have so many connections to the server: no more requests run at once. With
     /// none, whatever waits is refused at once.
-    pub fn allow(&mut self, connections: u16, now: Duration) -> Vec<Next> {
+    pub fn set_connections(&mut self, connections: u16, now: Duration) -> Vec<Admission> {
         self.connections = usize::from(connections);
-        self.turn(now)
+        self.advance(now)
     }
 
     /// A request arrived. Where the answer does not name it, it waits.
-    pub fn arrive(&mut self, ticket: Ticket, now: Duration) -> Vec<Next> {
+    pub fn arrive(&mut self, ticket: Ticket, now: Duration) -> Vec<Admission> {
         let mean = self.costs.mean(ticket.class);
-        self.arrived.add(ticket.weight, mean, now);
-        let needed = self.costs.safe(ticket.class);
+        self.arrivals.add(ticket.weight, mean, now);
+        let needed = self.costs.upper_estimate(ticket.class);
         if now + needed > ticket.deadline {
-            return vec![Next::Refuse(
+            return vec![Admission::Refuse(
                 ticket.id,
-                self.too_short(&ticket, needed, now),
+                self.deadline_too_short(&ticket, needed, now),
             )];
         }
         let place = self.queue.place(&ticket);
-        if place == self.queue.len() && self.is_one_too_many(&ticket, now) {
-            return vec![Next::Refuse(ticket.id, self.overloaded(now))];
+        if place == self.queue.len() && self.is_first_to_shed(&ticket, now) {
+            return vec![Admission::Refuse(ticket.id, self.overloaded(now))];
         }
         self.queue.insert(place, ticket);
-        self.newest = Some(ticket.id);
-        let next = self.turn(now);
-        self.newest = None;
-        next
+        self.arriving = Some(ticket.id);
+        let decisions = self.advance(now);
+        self.arriving = None;
+        decisions
     }
 
     /// A request that must not wait starts: a statement of an open transaction, which holds a
     /// connection and perhaps locks that others wait for.
-    pub fn resume(&mut self, id: u64, class: ClassKey, now: Duration) {
+    pub fn start_now(&mut self, id: u64, class: ClassKey, now: Duration) {
         self.running.insert(
             id,
             Running {
@@ -148,33 +148,33 @@
     }
 
     /// A request that was started has ended.
-    pub fn finish(&mut self, id: u64, end: End, now: Duration) -> Vec<Next> {
+    pub fn finish(&mut self, id: u64, end: Completion, now: Duration) -> Vec<Admission> {
         if let Some(running) = self.running.remove(&id) {
             let took = now.saturating_sub(running.started);
             match end {
-                End::Answered => {
+                Completion::Answered => {
                     let full = self.running.len() + 1 >= self.slots();
                     self.costs.record(running.class, took);
                     self.limit
-                        .record(took, self.costs.least(running.class), full, now);
+                        .record(took, self.costs.minimum(running.class), full, now);
                 }
-                End::Failed => self.limit.failed(now),
+                Completion::Failed => self.limit.failed(now),
             }
         }
-        self.turn(now)
+        self.advance(now)
     }
 
     /// The caller of a request that waits has gone away.
-    pub fn abandon(&mut self, id: u64, now: Duration) -> Vec<Next> {
+    pub fn abandon(&mut self, id: u64, now: Duration) -> Vec<Admission> {
         if let Some(place) = self.queue.find(id) {
             self.queue.remove(place);
         }
-        self.turn(now)
+        self.advance(now)
     }
 
     /// Time has passed; to be called at [`Gate::deadline`].
-    pub fn tick(&mut self, now: Duration) -> Vec<Next> {
-        self.turn(now)
+    pub fn tick(&mut self, now: Duration) -> Vec<Admission> {
+        self.advance(now)
     }
 
     /// When the first of the waiting requests can no longer be done in time.
@@ -212,26 +212,26 @@
 
     /// When a request that arrives now should have ended.
     pub fn expected(&self, class: ClassKey, now: Duration) -> Duration {
-        self.backlog(now) / self.divisor() + self.costs.mean(class)
+        self.backlog(now) / self.parallelism() + self.costs.mean(class)
     }
 
     /// Looking through a long queue at each arrival and each end would cost more than the requests
     /// themselves; what has become late in it is found a moment later.
-    fn turn(&mut self, now: Duration) -> Vec<Next> {
-        let mut next = Vec::new();
-        let looks = self.queue.len() <= SHORT || now >= self.looked + LOOK;
-        if looks {
-            self.looked = now;
-            self.expire(now, &mut next);
+    fn advance(&mut self, now: Duration) -> Vec<Admission> {
+        let mut decisions = Vec::new();
+        let scan_due = self.queue.len() <= SHORT_QUEUE || now >= self.scanned_at + SCAN_INTERVAL;
+        if scan_due {
+            self.scanned_at = now;
+            self.expire(now, &mut decisions);
         }
-        self.start(now, &mut next);
-        if looks || self.slots() == 0 {
-            self.shed(now, &mut next);
+        self.start(now, &mut decisions);
+        if scan_due || self.slots() == 0 {
+            self.shed(now, &mut decisions);
         }
-        next
+        decisions
     }
 
-    fn expire(&mut self, now: Duration, next: &mut Vec<Next>) {
+    fn expire(&mut self, now: Duration, decisions: &mut Vec<Admission>) {
         let mut place = 0;
         while let Some(ticket) = self.queue.get(place).copied() {
             let needed = self.costs.mean(ticket.class);
@@ -240,60 +240,61 @@
                 continue;
             }
             self.queue.remove(place);
-            let refusal = self.too_short(&ticket, needed, now);
-            next.push(Next::Refuse(ticket.id, refusal));
+            let refusal = self.deadline_too_short(&ticket, needed, now);
+            decisions.push(Admission::Refuse(ticket.id, refusal));
         }
     }
 
-    fn start(&mut self, now: Duration, next: &mut Vec<Next>) {
+    fn start(&mut self, now: Duration, decisions: &mut Vec<Admission>) {
         while self.running.len() < self.slots() {
             let Some(ticket) = self.queue.remove(0) else {
                 return;
             };
             let mean = self.costs.mean(ticket.class);
             if now + mean > ticket.deadline {
-                let refusal = self.too_short(&ticket, mean, now);
-                next.push(Next::Refuse(ticket.id, refusal));
+                let refusal = self.deadline_too_short(&ticket, mean, now);
+                decisions.push(Admission::Refuse(ticket.id, refusal));
                 continue;
             }
-            self.used.add(ticket.customer, mean, now);
-            self.resume(ticket.id, ticket.class, now);
-            next.push(Next::Start(ticket.id));
+            self.usage.add(ticket.customer, mean, now);
+            self.start_now(ticket.id, ticket.class, now);
+            decisions.push(Admission::Start(ticket.id));
         }
     }
 
-    fn shed(&mut self, now: Duration, next: &mut Vec<Next>) {
-        while let Some(late) = self.first_late(now) {
-            let place = self.least(late, now);
+    fn shed(&mut self, now: Duration, decisions: &mut Vec<Admission>) {
+        while let Some(first_late) = self.first_late(now) {
+            let place = self.victim(first_late, now);
             let Some(ticket) = self.queue.remove(place) else {
                 return;
             };
-            next.push(Next::Refuse(ticket.id, self.overloaded(now)));
+            decisions.push(Admission::Refuse(ticket.id, self.overloaded(now)));
         }
     }
 
     /// Whether `ticket`, which would be last, comes too late behind all that waits and is the
     /// one to go. Most refusals of an overload are of this kind, and need no look at the queue.
-    fn is_one_too_many(&self, ticket: &Ticket, now: Duration) -> bool {
+    fn is_first_to_shed(&self, ticket: &Ticket, now: Duration) -> bool {
         if self.running.len() < self.slots() {
             return false;
         }
-        let ahead = self.rest(now) + self.queue.work(&self.costs);
-        let end = now + self.wait(ahead, ticket.weight, now) + self.costs.safe(ticket.class);
-        let own = self.used_for_share(ticket.customer, ticket.share, now);
-        let first_to_go = self.queue.customers().all(|(customer, crowd)| {
-            customer == ticket.customer || self.used_for_share(customer, crowd.share, now) < own
+        let ahead = self.running_work(now) + self.queue.work(&self.costs);
+        let end =
+            now + self.wait(ahead, ticket.weight, now) + self.costs.upper_estimate(ticket.class);
+        let own = self.usage_per_share(ticket.customer, ticket.share, now);
+        let is_heaviest_user = self.queue.customers().all(|(customer, waiting)| {
+            customer == ticket.customer || self.usage_per_share(customer, waiting.share, now) < own
         });
-        end > ticket.deadline && first_to_go
+        end > ticket.deadline && is_heaviest_user
     }
 
-    fn used_for_share(&self, customer: CustomerKey, share: u32, now: Duration) -> f64 {
-        self.used.rate(&customer, now) / f64::from(share.max(1))
+    fn usage_per_share(&self, customer: CustomerKey, share: u32, now: Duration) -> f64 {
+        self.usage.rate(&customer, now) / f64::from(share.max(1))
     }
 
     fn overloaded(&self, now: Duration) -> Refusal {
         Refusal::Overloaded {
-            retry_after: self.backlog(now) / self.divisor(),
+            retry_after: self.backlog(now) / self.parallelism(),
         }
     }
 
@@ -302,7 +303,7 @@
         if self.slots() == 0 {
             return self.queue.len().checked_sub(1);
         }
-        let mut ahead = self.rest(now);
+        let mut ahead = self.running_work(now);
         for (index, ticket) in self.queue.iter().enumerate() {
             let wait = self.wait(ahead, ticket.weight, now);
             if now + wait + self.margin(ticket) > ticket.deadline {
@@ -317,8 +318,8 @@
     /// with room to spare; with one that already waits, an estimate that wavers must not be
     /// enough to give it up.
     fn margin(&self, ticket: &Ticket) -> Duration {
-        if self.newest == Some(ticket.id) {
-            self.costs.safe(ticket.class)
+        if self.arriving == Some(ticket.id) {
+            self.costs.upper_estimate(ticket.class)
         } else {
             self.costs.mean(ticket.class)
         }
@@ -328,13 +329,13 @@
     /// meantime goes first, so only the rest of the slots works off what is ahead: counted out
     /// now, a request that would be pushed out later is refused when it comes.
     fn wait(&self, ahead: Duration, weight: u32, now: Duration) -> Duration {
-        let slots = f64::from(self.divisor());
-        let left = slots - self.arrived.above(weight, now);
+        let slots = f64::from(self.parallelism());
+        let left = slots - self.arrivals.rate_above(weight, now);
         if ahead.is_zero() {
             return Duration::ZERO;
         }
-        if left <= slots * LEAST_LEFT {
-            return ahead.mul_f64(1.0 / (slots * LEAST_LEFT));
+        if left <= slots * MIN_FREE_SHARE {
+            return ahead.mul_f64(1.0 / (slots * MIN_FREE_SHARE));
         }
         ahead.mul_f64(1.0 / left)
     }
@@ -342,23 +343,23 @@
     /// Among those up to `late`, the one of least weight; among equals, of the customer that has
     /// used most for its share lately; among those, the one that takes longest; and at last the
     /// one whose deadline is furthest, which has waited least.
-    fn least(&self, late: usize, now: Duration) -> usize {
+    fn victim(&self, first_late: usize, now: Duration) -> usize {
         let value = |ticket: &Ticket| {
-            let used = self.used_for_share(ticket.customer, ticket.share, now);
+            let used = self.usage_per_share(ticket.customer, ticket.share, now);
             (ticket.weight, -used, Reverse(self.costs.mean(ticket.class)))
         };
-        let mut least = None;
-        for (place, ticket) in self.queue.iter().enumerate().take(late + 1) {
+        let mut lowest = None;
+        for (place, ticket) in self.queue.iter().enumerate().take(first_late + 1) {
             let value = value(ticket);
-            if least.is_none_or(|(least, _)| value <= least) {
-                least = Some((value, place));
+            if lowest.is_none_or(|(lowest, _)| value <= lowest) {
+                lowest = Some((value, place));
             }
         }
-        least.map_or(late, |(_, place)| place)
+        lowest.map_or(first_late, |(_, place)| place)
     }
 
     /// Work left in what runs.
-    fn rest(&self, now: Duration) -> Duration {
+    fn running_work(&self, now: Duration) -> Duration {
         self.running
             .values()
             .map(|running| {
@@ -369,18 +370,18 @@
     }
 
     fn backlog(&self, now: Duration) -> Duration {
-        self.rest(now) + self.queue.work(&self.costs)
+        self.running_work(now) + self.queue.work(&self.costs)
     }
 
-    fn divisor(&self) -> u32 {
+    fn parallelism(&self) -> u32 {
         self.slots().max(1) as u32
     }
 
-    fn too_short(&self, ticket: &Ticket, needed: Duration, now: Duration) -> Refusal {
+    fn deadline_too_short(&self, ticket: &Ticket, needed: Duration, now: Duration) -> Refusal {
         Refusal::DeadlineTooShort {
             needed,
             left: ticket.deadline.saturating_sub(now),
-            retry_after: self.backlog(now) / self.divisor(),
+            retry_after: self.backlog(now) / self.parallelism(),
         }
     }
 }
--- a/crates/core/src/admission/cost.rs
+++ b/crates/core/src/admission/cost.rs
@@ -8,16 +8,16 @@
 /// Part of a new observation in the averages.
 const SMOOTHING: f64 = 0.1;
 /// What a request is taken to need before the first of its class was measured.
-const FIRST_GUESS: Duration = Duration::from_millis(2);
+const INITIAL_COST: Duration = Duration::from_millis(2);
 /// By how much the least time drifts towards the mean with each observation, so that a floor
 /// from better days is forgotten.
-const FORGETTING: f64 = 0.000_02;
+const MINIMUM_DRIFT: f64 = 0.000_02;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Cost {
     mean: f64,
     deviation: f64,
-    least: f64,
+    minimum: f64,
 }
 
 /// Service times by class, as this host observes them: queueing inside the server included.
@@ -33,30 +33,30 @@
         let cost = self.by_class.entry(class).or_insert(Cost {
             mean: took,
             deviation: took / 2.0,
-            least: took,
+            minimum: took,
         });
         cost.deviation += SMOOTHING * ((took - cost.mean).abs() - cost.deviation);
         cost.mean += SMOOTHING * (took - cost.mean);
-        cost.least = (cost.least + FORGETTING * (cost.mean - cost.least)).min(took);
+        cost.minimum = (cost.minimum + MINIMUM_DRIFT * (cost.mean - cost.minimum)).min(took);
     }
 
     /// What a request of `class` takes on average.
     pub fn mean(&self, class: ClassKey) -> Duration {
         let cost = self.by_class.get(&class);
-        cost.map_or(FIRST_GUESS, |cost| Duration::from_secs_f64(cost.mean))
+        cost.map_or(INITIAL_COST, |cost| Duration::from_secs_f64(cost.mean))
     }
 
     /// What most requests of `class` stay under.
-    pub fn safe(&self, class: ClassKey) -> Duration {
+    pub fn upper_estimate(&self, class: ClassKey) -> Duration {
         let cost = self.by_class.get(&class);
-        cost.map_or(FIRST_GUESS, |cost| {
+        cost.map_or(INITIAL_COST, |cost| {
             Duration::from_secs_f64(cost.mean + 2.0 * cost.deviation)
         })
     }
 
     /// What a request of `class` takes when nothing stands in its way.
-    pub fn least(&self, class: ClassKey) -> Duration {
+    pub fn minimum(&self, class: ClassKey) -> Duration {
         let cost = self.by_class.get(&class);
-        cost.map_or(FIRST_GUESS, |cost| Duration::from_secs_f64(cost.least))
+        cost.map_or(INITIAL_COST, |cost| Duration::from_secs_f64(cost.minimum))
     }
 }
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 /// Slowdown against the least time up to which more is tried.
-const EASY: f64 = 2.0;
+const INCREASE_BELOW_SLOWDOWN: f64 = 2.0;
 /// Slowdown against the least time from which less is tried.
-const HARD: f64 = 3.0;
+const DECREASE_ABOVE_SLOWDOWN: f64 = 3.0;
 /// An answer as quick as this is no sign of a crowd: for statements of some microseconds, being
 /// scheduled late is already many times their least time.
-const QUICK: Duration = Duration::from_millis(2);
+const MIN_CONGESTED_LATENCY: Duration = Duration::from_millis(2);
 /// What is left of the limit after a step down.
-const STEP_DOWN: f64 = 0.8;
+const DECREASE: f64 = 0.8;
 /// Shortest time between two steps down: the first must show its effect.
-const REST: Duration = Duration::from_millis(20);
+const DECREASE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An adaptive limit. Several hosts share a server's slots without seeing each other; each reads
 /// from the time of its own answers whether the server is crowded, adds a little while it is not
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limit {
     limit: f64,
-    smallest: f64,
-    greatest: f64,
-    stepped: Duration,
+    minimum: f64,
+    maximum: f64,
+    decreased_at: Duration,
 }
 
 impl Limit {
@@ -33,9 +33,9 @@
         let slots = f64::from(slots.max(1));
         Limit {
             limit: slots,
-            smallest: slots,
-            greatest: slots * 2.0,
-            stepped: Duration::ZERO,
+            minimum: slots,
+            maximum: slots * 2.0,
+            decreased_at: Duration::ZERO,
         }
     }
 
@@ -48,23 +48,23 @@
     /// whether the limit was used up: otherwise it says nothing about a higher one.
     pub fn record(&mut self, took: Duration, least: Duration, full: bool, now: Duration) {
         let slowdown = took.as_secs_f64() / least.as_secs_f64().max(1e-6);
-        if slowdown < EASY && full {
-            self.limit = (self.limit + 0.1 / self.limit).min(self.greatest);
-        } else if slowdown > HARD && took > QUICK {
-            self.step_down(now);
+        if slowdown < INCREASE_BELOW_SLOWDOWN && full {
+            self.limit = (self.limit + 0.1 / self.limit).min(self.maximum);
+        } else if slowdown > DECREASE_ABOVE_SLOWDOWN && took > MIN_CONGESTED_LATENCY {
+            self.decrease(now);
         }
     }
 
     /// A request broke or timed out.
     pub fn failed(&mut self, now: Duration) {
-        self.step_down(now);
+        self.decrease(now);
     }
 
-    fn step_down(&mut self, now: Duration) {
-        if now < self.stepped + REST {
+    fn decrease(&mut self, now: Duration) {
+        if now < self.decreased_at + DECREASE_INTERVAL {
             return;
         }
-        self.stepped = now;
-        self.limit = (self.limit * STEP_DOWN).max(self.smallest);
+        self.decreased_at = now;
+        self.limit = (self.limit * DECREASE).max(self.minimum);
     }
 }
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -13,12 +13,12 @@
 pub struct Queue {
     tickets: VecDeque<Ticket>,
     classes: BTreeMap<ClassKey, u32>,
-    customers: BTreeMap<CustomerKey, Crowd>,
+    customers: BTreeMap<CustomerKey, CustomerQueue>,
 }
 
 /// What waits of one customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Crowd {
+pub struct CustomerQueue {
     /// The customer's weight.
     pub share: u32,
     /// Requests.
@@ -36,11 +36,14 @@
     /// Puts `ticket` at `place`.
     pub fn insert(&mut self, place: usize, ticket: Ticket) {
         *self.classes.entry(ticket.class).or_default() += 1;
-        let crowd = self.customers.entry(ticket.customer).or_insert(Crowd {
-            share: ticket.share,
-            count: 0,
-        });
-        crowd.count += 1;
+        let waiting = self
+            .customers
+            .entry(ticket.customer)
+            .or_insert(CustomerQueue {
+                share: ticket.share,
+                count: 0,
+            });
+        waiting.count += 1;
         self.tickets.insert(place, ticket);
     }
 
@@ -50,8 +53,8 @@
         if let Some(count) = self.classes.get_mut(&ticket.class) {
             *count -= 1;
         }
-        if let Some(crowd) = self.customers.get_mut(&ticket.customer) {
-            crowd.count -= 1;
+        if let Some(waiting) = self.customers.get_mut(&ticket.customer) {
+            waiting.count -= 1;
         }
         Some(ticket)
     }
@@ -82,9 +85,9 @@
     }
 
     /// Customers of whom something waits.
-    pub fn customers(&self) -> impl Iterator<Item = (CustomerKey, Crowd)> + '_ {
-        let crowds = self.customers.iter().map(|(key, crowd)| (*key, *crowd));
-        crowds.filter(|(_, crowd)| crowd.count > 0)
+    pub fn customers(&self) -> impl Iterator<Item = (CustomerKey, CustomerQueue)> + '_ {
+        let waiting = self.customers.iter().map(|(key, waiting)| (*key, *waiting));
+        waiting.filter(|(_, waiting)| waiting.count > 0)
     }
 
     /// What all that waits takes together.
--- a/crates/core/src/authority.rs
+++ b/crates/core/src/authority.rs
@@ -4,18 +4,18 @@
 //! compare-and-set of it makes another process the controller. Two things tell a controller that
 //! the row still names it:
 //!
-//! - a read of the row, for [`timing::AUTHORITY`] from the moment the read was *sent*;
+//! - a read of the row, for [`timing::AUTHORITY_DURATION`] from the moment the read was *sent*;
 //! - with the table service gone, promises of *all* named standbys not to claim, each for
-//!   [`timing::PROMISE`] from the moment it was *asked*.
+//!   [`timing::PROMISE_DURATION`] from the moment it was *asked*.
 //!
 //! A standby that was restarted does not remember whether it claimed before, so its promise counts
 //! only if a read sent after its first answer still named the controller, or if the promise of its
 //! earlier process was still running when it was asked.
 //!
 //! A named standby claims only when its own promise has lapsed, so from then on the second does
-//! not hold; after its compare-and-set it waits [`timing::AUTHORITY`], so the first does not hold
+//! not hold; after its compare-and-set it waits [`timing::AUTHORITY_DURATION`], so the first does not hold
 //! either. A host that the row does not name waits until the row has been unchanged for
-//! [`timing::ORPHAN`], which is also the longest that a controller goes on by promises alone.
+//! [`timing::ORPHAN_TIMEOUT`], which is also the longest that a controller goes on by promises alone.
 
 #[path = "authority_holder.rs"]
 mod holder;
--- a/crates/core/src/authority_holder.rs
+++ b/crates/core/src/authority_holder.rs
@@ -78,7 +78,7 @@
         // The old controller may have sent its last read just before the claim took effect,
         // which was no later than now. Without a predecessor there is nobody to wait for.
         let settled = match predecessor {
-            Some(_) => now + timing::AUTHORITY,
+            Some(_) => now + timing::AUTHORITY_DURATION,
             None => now,
         };
         Holder {
@@ -121,7 +121,7 @@
         if self.over {
             return Duration::ZERO;
         }
-        let by_read = self.read_sent + timing::less_drift(timing::AUTHORITY);
+        let by_read = self.read_sent + timing::less_drift(timing::AUTHORITY_DURATION);
         by_read.max(self.until_by_promises())
     }
 
@@ -140,7 +140,7 @@
         if !self.may_act(now) {
             return Duration::ZERO;
         }
-        self.until().saturating_sub(now).min(timing::LEASE)
+        self.until().saturating_sub(now).min(timing::LEASE_DURATION)
     }
 
     /// Takes what a read of the table, sent at `sent`, found.
@@ -275,8 +275,8 @@
         }
         let (promise, keep) = (self.needs_promises(now), self.needs_keeping(now));
         let mut hosts = self.named();
-        let silent = |host: &HostKey| !self.heard(*host, timing::STANDBY_SILENCE, now);
-        if self.row.standbys.len() < timing::STANDBYS || self.row.standbys.iter().any(silent) {
+        let silent = |host: &HostKey| !self.heard(*host, timing::STANDBY_TIMEOUT, now);
+        if self.row.standbys.len() < timing::STANDBY_COUNT || self.row.standbys.iter().any(silent) {
             hosts.extend(candidates.iter().filter(|host| **host != self.me));
         }
         let mut asks = Vec::new();
@@ -284,8 +284,8 @@
             let peer = self.standbys.entry(host).or_default();
             let behind = peer.revision < self.row.revision;
             let pause = match keep && behind {
-                true => timing::RETRY,
-                false => timing::HEARTBEAT,
+                true => timing::RESEND_INTERVAL,
+                false => timing::HEARTBEAT_INTERVAL,
             };
             if peer.asked.is_some_and(|asked| now < asked + pause) {
                 continue;
@@ -309,7 +309,7 @@
         if self.over || !self.unsettled.is_empty() || self.needs_promises(now) {
             return;
         }
-        let silent = |host: &&HostKey| !self.heard(**host, timing::STANDBY_SILENCE, now);
+        let silent = |host: &&HostKey| !self.heard(**host, timing::STANDBY_TIMEOUT, now);
         let (lost, mut named): (Vec<HostKey>, BTreeSet<HostKey>) = (
             self.row.standbys.iter().filter(silent).copied().collect(),
             self.row
@@ -319,11 +319,11 @@
                 .copied()
                 .collect(),
         );
-        let fresh = |host: &&HostKey| self.heard(**host, timing::SILENCE, now);
+        let fresh = |host: &&HostKey| self.heard(**host, timing::CONTROLLER_TIMEOUT, now);
         let others = candidates.iter().filter(|host| **host != self.me);
         // Never fewer than before: naming none would end the authority by promises.
         for host in others.filter(fresh).chain(&lost) {
-            if named.len() < timing::STANDBYS {
+            if named.len() < timing::STANDBY_COUNT {
                 named.insert(*host);
             }
         }
@@ -371,7 +371,7 @@
         let promised = |host: &HostKey| self.vouched(*host).map(|peer| peer.promised);
         let least = self.named().iter().map(promised).min();
         let least = least.flatten().unwrap_or_default();
-        let orphaned = self.confirmed.written + timing::less_drift(timing::ORPHAN);
+        let orphaned = self.confirmed.written + timing::less_drift(timing::ORPHAN_TIMEOUT);
         least.min(orphaned)
     }
 
@@ -419,19 +419,19 @@
     }
 
     fn needs_promises(&self, now: Duration) -> bool {
-        now >= self.read_sent + timing::READ_OVERDUE
+        now >= self.read_sent + timing::ROW_READ_OVERDUE
     }
 
     fn needs_keeping(&self, now: Duration) -> bool {
         let writing = self.writing.as_ref();
-        let slow = writing.is_some_and(|writing| now >= writing.sent + timing::WRITE_OVERDUE);
+        let slow = writing.is_some_and(|writing| now >= writing.sent + timing::ROW_WRITE_OVERDUE);
         slow || !self.unsettled.is_empty() || self.needs_promises(now)
     }
 
     fn touch_after(&self) -> Duration {
         match self.confirmed.standbys.is_empty() {
-            true => timing::TOUCH_ALONE,
-            false => timing::TOUCH,
+            true => timing::ROW_REFRESH_INTERVAL_NO_STANDBY,
+            false => timing::ROW_REFRESH_INTERVAL,
         }
     }
 
--- a/crates/core/src/authority_standby.rs
+++ b/crates/core/src/authority_standby.rs
@@ -120,12 +120,12 @@
             self.witness = ask.epoch;
         }
         if ask.promise {
-            self.promised = self.promised.max(now + timing::PROMISE);
+            self.promised = self.promised.max(now + timing::PROMISE_DURATION);
         }
         Promise {
             incarnation: self.incarnation,
             given: ask.promise,
-            valid: timing::PROMISE,
+            valid: timing::PROMISE_DURATION,
             epoch: self.epoch,
             revision: self.revision(ask.epoch),
         }
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Lets this process claim without waiting for [`timing::ORPHAN`]. An operator says so after
+    /// Lets this process claim without waiting for [`timing::ORPHAN_TIMEOUT`]. An operator says so after
     /// making sure that the controller and all standbys of the row are gone.
     pub fn force(&mut self) {
         self.forced = true;
@@ -206,8 +206,8 @@
     pub fn read_every(&self) -> Duration {
         let table = self.table.as_ref().and_then(|seen| seen.row.as_ref());
         match table {
-            Some(row) if !row.standbys.contains(&self.me) => timing::READ_ASIDE,
-            _ => timing::READ,
+            Some(row) if !row.standbys.contains(&self.me) => timing::ROW_READ_INTERVAL_OTHERS,
+            _ => timing::ROW_READ_INTERVAL,
         }
     }
 
@@ -262,22 +262,22 @@
     fn may_replace(&self, row: &Row, since: Duration, now: Duration) -> bool {
         // An earlier process on this host may have promised just before it ended, and this one
         // would not know of it.
-        let forgotten = now < self.started + timing::PROMISE;
+        let forgotten = now < self.started + timing::PROMISE_DURATION;
         if self.forced {
             return !forgotten;
         }
         if row.standbys.is_empty() {
             let own = row.controller == self.me;
-            return own || now >= since + timing::ORPHAN_ALONE;
+            return own || now >= since + timing::ORPHAN_TIMEOUT_NO_STANDBY;
         }
         match rank(&row.standbys, self.me) {
             Some(rank) => {
-                let silence = timing::SILENCE + timing::STAGGER * rank;
+                let silence = timing::CONTROLLER_TIMEOUT + timing::STANDBY_STAGGER * rank;
                 !forgotten && now >= self.heard.max(since) + silence
             }
             // Only a write of the controller changes the row, and it goes on by promises no
             // longer than this after its last one. Drift is on the waiting side.
-            None => now >= since + timing::ORPHAN,
+            None => now >= since + timing::ORPHAN_TIMEOUT,
         }
     }
 
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,11 +1,11 @@
 //! How a backend server's connection limit is shared out over entry hosts.
 //!
-//! A controller keeps one [`share::Share`] a server, an entry host one [`purse::Purse`]. Grants
+//! A controller keeps one [`server_budget::ServerBudget`] a server, an entry host one [`host_budget::HostBudget`]. Grants
 //! are leases: a host that vanished keeps its connections until its lease ends, and a host that
 //! can no longer renew closes its own in time. See the design note on limits.
 
-pub mod purse;
-pub mod share;
+pub mod host_budget;
+pub mod server_budget;
 
 use std::time::Duration;
 
--- a/crates/core/src/budget/purse.rs
+++ b/crates/core/src/budget/host_budget.rs
@@ -11,12 +11,12 @@
 
 /// A number of connections and the moment until which they may be open.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Hold {
+struct Allowance {
     connections: u16,
     until: Duration,
 }
 
-impl Hold {
+impl Allowance {
     fn at(self, now: Duration) -> u16 {
         if now < self.until {
             self.connections
@@ -42,23 +42,23 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::budget::Grant;
-/// use flamingopost_core::budget::purse::Purse;
+/// use flamingopost_core::budget::host_budget::HostBudget;
 ///
-/// let mut purse = Purse::default();
+/// let mut budget = HostBudget::default();
 /// let grant = Grant { leased: 1, ..Grant::default() };
-/// purse.grant(grant, Duration::ZERO, Duration::from_secs(3));
-/// assert!(purse.open(Duration::from_secs(1)));
-/// assert!(!purse.open(Duration::from_secs(1)));
+/// budget.grant(grant, Duration::ZERO, Duration::from_secs(3));
+/// assert!(budget.try_open(Duration::from_secs(1)));
+/// assert!(!budget.try_open(Duration::from_secs(1)));
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Purse {
-    leased: Hold,
-    floor: Hold,
+pub struct HostBudget {
+    leased: Allowance,
+    floor: Allowance,
     open: u16,
     wanted: u16,
 }
 
-impl Purse {
+impl HostBudget {
     /// Takes a grant that answers a renewal sent at `sent`; its lease runs `valid` from then.
     /// Answers can overtake each other: one to an older renewal than the last is ignored.
     pub fn grant(&mut self, grant: Grant, sent: Duration, valid: Duration) {
@@ -66,11 +66,11 @@
         if until < self.leased.until {
             return;
         }
-        self.leased = Hold {
+        self.leased = Allowance {
             connections: grant.leased,
             until,
         };
-        self.floor = Hold {
+        self.floor = Allowance {
             connections: grant.floor,
             until: sent + grant.floor_valid,
         };
@@ -82,13 +82,13 @@
     }
 
     /// Connections that are open, those being opened included.
-    pub fn opened(&self) -> u16 {
+    pub fn open_connections(&self) -> u16 {
         self.open
     }
 
     /// Counts a connection that is about to be opened. `false`: it must not be.
     #[must_use]
-    pub fn open(&mut self, now: Duration) -> bool {
+    pub fn try_open(&mut self, now: Duration) -> bool {
         if self.open >= self.allowed(now + CLOSE_MARGIN) {
             return false;
         }
@@ -102,7 +102,7 @@
         self.open = self.open.saturating_sub(1);
     }
 
-    /// What to do about open connections; to be asked at least at [`Purse::deadline`].
+    /// What to do about open connections; to be asked at least at [`HostBudget::deadline`].
     pub fn advise(&self, now: Duration) -> Advice {
         let allowed = self.allowed(now + CLOSE_MARGIN);
         if self.open > allowed {
@@ -125,12 +125,12 @@
     }
 
     /// Takes note of how many connections the host had use for, queued requests included.
-    pub fn want(&mut self, wanted: u16) {
+    pub fn record_demand(&mut self, wanted: u16) {
         self.wanted = self.wanted.max(wanted);
     }
 
     /// The greatest use since the last call, for the next renewal.
-    pub fn demand(&mut self) -> u16 {
+    pub fn take_demand(&mut self) -> u16 {
         std::mem::take(&mut self.wanted)
     }
 
--- a/crates/core/src/budget/share.rs
+++ b/crates/core/src/budget/server_budget.rs
@@ -10,12 +10,12 @@
 /// Time for which a floor is given.
 pub const FLOOR_VALID: Duration = Duration::from_secs(2 * 60 * 60);
 /// Part of a lease by which the controller counts it longer than the host: clocks drift.
-const DRIFT: u32 = 50;
+const DRIFT_DIVISOR: u32 = 50;
 
-/// One life of one entry host. A host that was restarted is another holder: its earlier life may
+/// One life of one entry host. A host that was restarted is another instance: its earlier life may
 /// have left connections that nobody closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder {
+pub struct HostInstance {
     /// The host.
     pub host: HostKey,
     /// The number that its process drew at start.
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Renewal {
     /// Who asks.
-    pub holder: Holder,
+    pub instance: HostInstance,
     /// Connections it has use for.
     pub demand: u16,
     /// Whether host and server are in the same availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// How long the lease that is being granted runs.
     pub valid: Duration,
 }
@@ -87,47 +87,47 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use flamingopost_core::budget::share::{Holder, Renewal, Share};
+/// use flamingopost_core::budget::server_budget::{HostInstance, Renewal, ServerBudget};
 /// use flamingopost_core::directory::Directory;
 ///
 /// let host = Directory::default().hosts.intern("saltlake-1");
-/// let mut share = Share::new(16, Duration::ZERO);
+/// let mut budget = ServerBudget::new(16, Duration::ZERO);
 /// let renewal = Renewal {
-///     holder: Holder { host, incarnation: 1 },
+///     instance: HostInstance { host, incarnation: 1 },
 ///     demand: 4,
-///     near: true,
+///     same_zone: true,
 ///     valid: Duration::from_secs(3),
 /// };
-/// assert_eq!(share.renew(renewal, Duration::ZERO).leased, 4);
+/// assert_eq!(budget.renew(renewal, Duration::ZERO).leased, 4);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Share {
+pub struct ServerBudget {
     limit: u16,
-    accounts: BTreeMap<Holder, Account>,
-    silent_until: Duration,
+    accounts: BTreeMap<HostInstance, Account>,
+    grants_from: Duration,
 }
 
-impl Share {
+impl ServerBudget {
     /// The share of a server that takes `limit` connections. Nothing but floors is granted
-    /// before `silent_until`: a successor must let every lease of its predecessor run out.
-    pub fn new(limit: u16, silent_until: Duration) -> Share {
-        Share {
+    /// before `grants_from`: a successor must let every lease of its predecessor run out.
+    pub fn new(limit: u16, grants_from: Duration) -> ServerBudget {
+        ServerBudget {
             limit,
             accounts: BTreeMap::new(),
-            silent_until,
+            grants_from,
         }
     }
 
     /// Takes over a floor that a predecessor gave.
-    pub fn restore(&mut self, holder: Holder, floor: Floor) {
-        self.accounts.entry(holder).or_default().floor = Some(floor);
+    pub fn restore(&mut self, instance: HostInstance, floor: Floor) {
+        self.accounts.entry(instance).or_default().floor = Some(floor);
     }
 
     /// The floors in force, to be written down *before* a grant that contains a new one is sent.
-    pub fn floors(&self) -> impl Iterator<Item = (Holder, Floor)> + '_ {
+    pub fn floors(&self) -> impl Iterator<Item = (HostInstance, Floor)> + '_ {
         self.accounts
             .iter()
-            .filter_map(|(holder, account)| Some((*holder, account.floor?)))
+            .filter_map(|(instance, account)| Some((*instance, account.floor?)))
     }
 
     /// Adopts another limit. Lowered, it is reached as leases end.
@@ -135,20 +135,22 @@
         self.limit = limit;
     }
 
-    /// Grants what the holder of a renewal may open.
+    /// Grants what the instance of a renewal may open.
     pub fn renew(&mut self, renewal: Renewal, now: Duration) -> Grant {
         self.prune(now);
         let before = self.outstanding(now);
-        let account = self.accounts.entry(renewal.holder).or_default();
+        let account = self.accounts.entry(renewal.instance).or_default();
         account.demand = renewal.demand;
-        self.give_floor(&renewal, now);
-        if now < self.silent_until {
-            return self.floor_only(renewal.holder, now);
+        self.grant_floor(&renewal, now);
+        if now < self.grants_from {
+            return self.floor_only(renewal.instance, now);
         }
-        let free = self.limit.saturating_sub(self.others(renewal.holder, now));
-        let leased = self.target(renewal.holder, now).min(free);
-        let until = now + renewal.valid + renewal.valid / DRIFT;
-        let account = self.accounts.entry(renewal.holder).or_default();
+        let free = self
+            .limit
+            .saturating_sub(self.held_by_others(renewal.instance, now));
+        let leased = self.fair_target(renewal.instance, now).min(free);
+        let until = now + renewal.valid + renewal.valid / DRIFT_DIVISOR;
+        let account = self.accounts.entry(renewal.instance).or_default();
         let leased = leased.max(account.floor_at(now));
         account.leases.push(Lease {
             connections: leased,
@@ -157,13 +159,13 @@
         self.check(before, now);
         Grant {
             leased,
-            ..self.floor_only(renewal.holder, now)
+            ..self.floor_only(renewal.instance, now)
         }
     }
 
     /// A host stopped and has closed everything.
-    pub fn release(&mut self, holder: Holder) {
-        self.accounts.remove(&holder);
+    pub fn release(&mut self, instance: HostInstance) {
+        self.accounts.remove(&instance);
     }
 
     /// Connections that hosts may have open at `now`, all together.
@@ -177,31 +179,31 @@
     /// half of the limit, so that a fleet whose members crash and come back under new names
     /// cannot use it up. A successor that does not yet know what its predecessor granted only
     /// extends floors: a new one could be a connection that another host has open.
-    fn give_floor(&mut self, renewal: &Renewal, now: Duration) {
+    fn grant_floor(&mut self, renewal: &Renewal, now: Duration) {
         let pool = self.limit / 2;
         let given: u16 = self.accounts.values().map(|a| a.floor_at(now)).sum();
-        let others = self.others(renewal.holder, now);
-        let Some(account) = self.accounts.get_mut(&renewal.holder) else {
+        let others = self.held_by_others(renewal.instance, now);
+        let Some(account) = self.accounts.get_mut(&renewal.instance) else {
             return;
         };
         let held = account.floor_at(now);
-        let wanted = if renewal.near && renewal.demand > 0 {
+        let wanted = if renewal.same_zone && renewal.demand > 0 {
             1
         } else {
             0
         };
-        let known = now >= self.silent_until;
+        let known = now >= self.grants_from;
         let fits = known && given - held + wanted <= pool && others + wanted <= self.limit;
         if wanted > 0 && (held > 0 || fits) {
             account.floor = Some(Floor {
                 connections: held.max(wanted),
-                until: now + FLOOR_VALID + FLOOR_VALID / DRIFT,
+                until: now + FLOOR_VALID + FLOOR_VALID / DRIFT_DIVISOR,
             });
         }
     }
 
-    fn floor_only(&self, holder: Holder, now: Duration) -> Grant {
-        let floor = self.accounts.get(&holder).map_or(0, |a| a.floor_at(now));
+    fn floor_only(&self, instance: HostInstance, now: Duration) -> Grant {
+        let floor = self.accounts.get(&instance).map_or(0, |a| a.floor_at(now));
         Grant {
             leased: floor,
             floor,
@@ -213,21 +215,21 @@
         }
     }
 
-    /// The holder's max-min fair part of what is not kept for newcomers. A holder never gets
+    /// The instance's max-min fair part of what is not kept for newcomers. An instance never gets
     /// less than one, or nobody new could ever show its demand.
-    fn target(&self, holder: Holder, now: Duration) -> u16 {
-        let mut demands: Vec<(u16, Holder)> = self
+    fn fair_target(&self, instance: HostInstance, now: Duration) -> u16 {
+        let mut demands: Vec<(u16, HostInstance)> = self
             .accounts
             .iter()
             .filter(|(_, account)| account.outstanding(now) > 0 || account.demand > 0)
-            .map(|(holder, account)| (account.demand.max(1), *holder))
+            .map(|(instance, account)| (account.demand.max(1), *instance))
             .collect();
         demands.sort_unstable();
         let mut left = self.limit.saturating_sub(self.reserve());
         let mut count = demands.len() as u16;
         for (demand, of) in demands {
             let part = demand.min(left.div_ceil(count.max(1)));
-            if of == holder {
+            if of == instance {
                 return part.max(1);
             }
             left = left.saturating_sub(part);
@@ -240,8 +242,8 @@
         self.limit / 8
     }
 
-    fn others(&self, holder: Holder, now: Duration) -> u16 {
-        let others = self.accounts.iter().filter(|(of, _)| **of != holder);
+    fn held_by_others(&self, instance: HostInstance, now: Duration) -> u16 {
+        let others = self.accounts.iter().filter(|(of, _)| **of != instance);
         others.map(|(_, account)| account.outstanding(now)).sum()
     }
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -230,13 +230,13 @@
     pub fn set_idle_in_transaction(
         &mut self,
         key: ServerKey,
-        rests: bool,
+        is_idle: bool,
         now: Duration,
     ) -> Vec<Action> {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.set_idle_in_transaction(rests);
+            server.set_idle_in_transaction(is_idle);
         }
-        match rests {
+        match is_idle {
             true => self.run(now),
             false => Vec::new(),
         }
@@ -360,11 +360,11 @@
     }
 
     fn unserved(&self, ticket: &Ticket, now: Duration) -> Unserved {
-        let some = self
+        let is_servable = self
             .servers
             .iter()
             .any(|(key, server)| self.may_serve(ticket, *key, server, now));
-        match (some, ticket.need) {
+        match (is_servable, ticket.need) {
             (true, _) => Unserved::Busy,
             (false, Need::Leader) => Unserved::NoPrimary,
             (false, Need::Position { .. }) => Unserved::Lagging,
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -88,14 +88,20 @@
 
 impl Server {
     /// A server to which there is no connection yet.
-    pub fn new(local: bool, slots: u16, base: u16, fair: u16, most: u16) -> Server {
+    pub fn new(
+        local: bool,
+        slots: u16,
+        base_connections: u16,
+        fair_connections: u16,
+        max_connections: u16,
+    ) -> Server {
         Server {
             local,
             state: ServerState::Serving,
             slots: slots.max(1),
-            base_connections: base,
-            max_connections: most.max(1),
-            fair_connections: fair.max(1),
+            base_connections,
+            max_connections: max_connections.max(1),
+            fair_connections: fair_connections.max(1),
             fair_share_until: Duration::ZERO,
             window: Window::default(),
             idle_in_transaction: 0,
@@ -119,9 +125,14 @@
     ///
     /// The last word counts, also when it is lower: a server may come back from a restart with
     /// less, and a promotion rolls those back that were ahead.
-    pub fn record_position(&mut self, position: Position, passed: Option<Duration>, now: Duration) {
+    pub fn record_position(
+        &mut self,
+        position: Position,
+        passed_at: Option<Duration>,
+        now: Duration,
+    ) {
         self.applied = position;
-        let behind = passed.map_or(Duration::ZERO, |passed| now.saturating_sub(passed));
+        let behind = passed_at.map_or(Duration::ZERO, |passed_at| now.saturating_sub(passed_at));
         self.lag = match behind > self.lag {
             true => behind,
             false => (self.lag * 3 + behind) / 4,
@@ -179,8 +190,8 @@
     }
 
     /// A connection rests inside a transaction, or does so no more: it takes no slot meanwhile.
-    pub(super) fn set_idle_in_transaction(&mut self, rests: bool) {
-        self.idle_in_transaction = match rests {
+    pub(super) fn set_idle_in_transaction(&mut self, is_idle: bool) {
+        self.idle_in_transaction = match is_idle {
             true => self.idle_in_transaction.saturating_add(1),
             false => self.idle_in_transaction.saturating_sub(1),
         };
@@ -205,8 +216,8 @@
     /// A request that waits for the window gets nothing from another connection, while opening it
     /// takes a slot of the crowded server for longer than a read does: hosts opened 486 connections
     /// a second, which kept more slots busy than a server has, until it refused connections too.
-    pub(super) fn has_room(&self, others: u16) -> bool {
-        self.busy.saturating_sub(self.idle_in_transaction) + others < self.window.size()
+    pub(super) fn has_room(&self, planned: u16) -> bool {
+        self.busy.saturating_sub(self.idle_in_transaction) + planned < self.window.size()
     }
 
     /// Another host lacks connections to the server: those above this host's part are given
@@ -321,12 +332,12 @@
         self.average_latency * (u32::from(self.busy) + 1) / u32::from(self.slots)
     }
 
-    pub(super) fn take_surplus(&mut self, now: Duration, patience: Duration) -> Vec<u64> {
+    pub(super) fn take_surplus(&mut self, now: Duration, max_idle: Duration) -> Vec<u64> {
         let mut surplus = Vec::new();
         let leaving = self.state == ServerState::Leaving;
         // The longest idle stand first: lending takes from the other end.
         while let Some(first) = self.idle.first() {
-            let idle = self.connections() > self.base_connections && now >= first.since + patience;
+            let idle = self.connections() > self.base_connections && now >= first.since + max_idle;
             let over = idle || self.connections() > self.connection_limit(now);
             if !over && !leaving {
                 break;
--- a/crates/core/src/dispatch/ticket.rs
+++ b/crates/core/src/dispatch/ticket.rs
@@ -56,7 +56,7 @@
     /// Transactions wait behind single statements of their priority: while connections are
     /// short, one of them takes the time of dozens of the others.
     pub(super) fn queue_key(&self, order: QueueOrder, now: Duration) -> (bool, u8, bool, Duration) {
-        let place = match order {
+        let age_rank = match order {
             QueueOrder::OldestFirst => self.arrived,
             QueueOrder::NewestFirst => Duration::MAX - self.arrived,
         };
@@ -64,7 +64,7 @@
             now >= self.goal,
             self.priority,
             self.opens_transaction,
-            place,
+            age_rank,
         )
     }
 }
--- a/crates/core/src/dispatch/window.rs
+++ b/crates/core/src/dispatch/window.rs
@@ -76,7 +76,7 @@
     /// A request was answered after `took`: a little more may run at once, up to `most`, unless
     /// requests take so long that they wait in the server's queue. That one may be long enough to
     /// never overflow, and adds its whole length to each request.
-    pub(super) fn record_latency(&mut self, took: Duration, most: u16, now: Duration) {
+    pub(super) fn record_latency(&mut self, took: Duration, max_size: u16, now: Duration) {
         self.trend = (self.trend * (TREND_SMOOTHING_DIVISOR - 1) + took) / TREND_SMOOTHING_DIVISOR;
         let drift = now.saturating_sub(self.baseline_at).as_secs_f64() * BASELINE_DRIFT_PER_SECOND;
         self.baseline_at = now;
@@ -84,8 +84,8 @@
         if self.is_congested() {
             self.decrease(CONGESTION_DECREASE, CONGESTION_DECREASE_INTERVAL, now);
         } else {
-            let most = f64::from(most).max(INITIAL_SIZE);
-            self.size = (self.size + GROWTH / self.size).min(most);
+            let max_size = f64::from(max_size).max(INITIAL_SIZE);
+            self.size = (self.size + GROWTH / self.size).min(max_size);
         }
     }
 
@@ -109,11 +109,11 @@
     }
 
     /// Leaves `part` of the window, unless it was narrowed within the last `rest`.
-    fn decrease(&mut self, part: f64, rest: Duration, now: Duration) {
-        if now < self.decreased_at + rest {
+    fn decrease(&mut self, factor: f64, interval: Duration, now: Duration) {
+        if now < self.decreased_at + interval {
             return;
         }
         self.decreased_at = now;
-        self.size = (self.size * part).max(1.0);
+        self.size = (self.size * factor).max(1.0);
     }
 }
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -10,28 +10,28 @@
 
 /// How long a feed may be behind what others have read before it counts as stuck: changes reach
 /// hosts some milliseconds apart, and a slow store takes hundreds.
-pub const PATIENCE: Duration = Duration::from_millis(400);
+pub const STUCK_AFTER: Duration = Duration::from_millis(400);
 
 /// Longest patience, reached by doubling: a host that the store turns away is told of changes all
 /// the while, and each further call is charged for.
-pub const PATIENCE_MOST: Duration = Duration::from_millis(3_200);
+pub const STUCK_AFTER_MAX: Duration = Duration::from_millis(3_200);
 
 /// How far one of the platform's feeds has been read, here and elsewhere.
 ///
 /// ```
 /// use std::time::Duration;
-/// use flamingopost_core::feed::{Feed, PATIENCE};
+/// use flamingopost_core::feed::{Feed, STUCK_AFTER};
 ///
 /// let at = Duration::from_secs(1);
 /// let mut feed = Feed::default();
 /// feed.read(40, Some(37));
-/// feed.told(40, at);
-/// assert!(!feed.is_stuck(at + PATIENCE), "as of 40 there was nothing newer than 37");
-/// feed.told(41, at);
+/// feed.record_peer_read(40, at);
+/// assert!(!feed.is_stuck(at + STUCK_AFTER), "as of 40 there was nothing newer than 37");
+/// feed.record_peer_read(41, at);
 /// assert!(feed.is_behind() && !feed.is_stuck(at));
-/// assert!(feed.is_stuck(at + PATIENCE));
+/// assert!(feed.is_stuck(at + STUCK_AFTER));
 /// feed.read(43, Some(41));
-/// assert!(!feed.is_stuck(at + PATIENCE));
+/// assert!(!feed.is_stuck(at + STUCK_AFTER));
 /// assert_eq!(feed.newest(), 41);
 /// ```
 #[derive(Debug, Default)]
@@ -46,9 +46,9 @@
 /// What others have read and this host has not.
 #[derive(Debug, Clone, Copy)]
 struct Behind {
-    of: u64,
+    newest: u64,
     since: Duration,
-    patience: Duration,
+    stuck_after: Duration,
 }
 
 impl Feed {
@@ -56,7 +56,10 @@
     pub fn read(&mut self, as_of: u64, newest: Option<u64>) {
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(newest.unwrap_or_default());
-        if self.behind.is_some_and(|behind| behind.of <= self.as_of) {
+        if self
+            .behind
+            .is_some_and(|behind| behind.newest <= self.as_of)
+        {
             self.behind = None;
         }
     }
@@ -67,17 +70,17 @@
     }
 
     /// Another host has read a change at `newest`.
-    pub fn told(&mut self, newest: u64, now: Duration) {
+    pub fn record_peer_read(&mut self, newest: u64, now: Duration) {
         if newest <= self.as_of {
             return;
         }
         match &mut self.behind {
-            Some(behind) => behind.of = behind.of.max(newest),
+            Some(behind) => behind.newest = behind.newest.max(newest),
             None => {
                 self.behind = Some(Behind {
-                    of: newest,
+                    newest,
                     since: now,
-                    patience: PATIENCE,
+                    stuck_after: STUCK_AFTER,
                 });
             }
         }
@@ -91,14 +94,14 @@
     /// Whether the call that waits for changes has to be given up, and a new one made.
     pub fn is_stuck(&self, now: Duration) -> bool {
         self.behind
-            .is_some_and(|behind| now >= behind.since + behind.patience)
+            .is_some_and(|behind| now >= behind.since + behind.stuck_after)
     }
 
     /// A new call is made.
-    pub fn ask_again(&mut self, now: Duration) {
+    pub fn record_retry(&mut self, now: Duration) {
         if let Some(behind) = &mut self.behind {
             behind.since = now;
-            behind.patience = (behind.patience * 2).min(PATIENCE_MOST);
+            behind.stuck_after = (behind.stuck_after * 2).min(STUCK_AFTER_MAX);
         }
     }
 }
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,29 +1,29 @@
 //! Which replicas are set aside because they are slow.
 
-pub mod pulse;
+pub mod latency;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::key::ServerKey;
-use pulse::Pulse;
+use latency::LatencyAverage;
 
 /// A replica is slow from this many times the median of its peers.
-const SLOW: f64 = 3.0;
+const SLOW_RATIO: f64 = 3.0;
 /// And only where it is slower than they by at least this much.
-const WORTH: Duration = Duration::from_millis(2);
+const SLOW_MARGIN: Duration = Duration::from_millis(2);
 /// Answers within the window before a replica is judged.
-const ENOUGH: u32 = 20;
+const MIN_ANSWERS: u32 = 20;
 /// First time for which a replica is set aside; it doubles with each relapse.
-const FIRST_ASIDE: Duration = Duration::from_secs(1);
+const MIN_ASIDE: Duration = Duration::from_secs(1);
 /// Longest time for which a replica is set aside.
-const LONGEST_ASIDE: Duration = Duration::from_secs(30);
+const MAX_ASIDE: Duration = Duration::from_secs(30);
 /// Use of the remaining servers above which nobody is set aside: the rest would drown.
-const BUSY: f64 = 0.8;
+const MAX_UTILIZATION: f64 = 0.8;
 
 /// How much work a replica gets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum HealthState {
     /// Its full part.
     #[default]
     Full,
@@ -35,8 +35,8 @@
 
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Member {
-    pulse: Pulse,
-    standing: Standing,
+    latency: LatencyAverage,
+    state: HealthState,
     since: Duration,
     relapses: u32,
 }
@@ -46,26 +46,26 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::directory::Directory;
-/// use flamingopost_core::health::{Panel, Standing};
+/// use flamingopost_core::health::{ReplicaHealth, HealthState};
 ///
 /// let mut names = Directory::default();
 /// let [slow, fast] = ["bole", "kality"].map(|name| names.servers.intern(name));
-/// let mut panel = Panel::default();
+/// let mut replicas = ReplicaHealth::default();
 /// for _ in 0..50 {
-///     panel.answered(slow, Duration::from_millis(80));
-///     panel.answered(fast, Duration::from_millis(4));
+///     replicas.record(slow, Duration::from_millis(80));
+///     replicas.record(fast, Duration::from_millis(4));
 /// }
-/// assert_eq!(panel.judge(0.3, Duration::from_secs(1)), [(slow, Standing::Aside)]);
+/// assert_eq!(replicas.evaluate(0.3, Duration::from_secs(1)), [(slow, HealthState::Aside)]);
 /// ```
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Panel {
+pub struct ReplicaHealth {
     members: BTreeMap<ServerKey, Member>,
 }
 
-impl Panel {
+impl ReplicaHealth {
     /// `server` answered after `took`, its distance taken off.
-    pub fn answered(&mut self, server: ServerKey, took: Duration) {
-        self.members.entry(server).or_default().pulse.record(took);
+    pub fn record(&mut self, server: ServerKey, took: Duration) {
+        self.members.entry(server).or_default().latency.record(took);
     }
 
     /// `server` is no longer a replica of the service.
@@ -74,53 +74,55 @@
     }
 
     /// The standing of `server`.
-    pub fn standing(&self, server: ServerKey) -> Standing {
+    pub fn state(&self, server: ServerKey) -> HealthState {
         self.members
             .get(&server)
-            .map_or(Standing::Full, |member| member.standing)
+            .map_or(HealthState::Full, |member| member.state)
     }
 
     /// Judges every replica; to be called a few times a second. `busy` is the part of the
     /// replicas' slots that is in use. Returns what changed.
-    pub fn judge(&mut self, busy: f64, now: Duration) -> Vec<(ServerKey, Standing)> {
+    pub fn evaluate(&mut self, utilization: f64, now: Duration) -> Vec<(ServerKey, HealthState)> {
         let keys: Vec<ServerKey> = self.members.keys().copied().collect();
         let mut changed = Vec::new();
         for key in keys {
-            let Some(standing) = self.verdict(key, busy, now) else {
+            let Some(state) = self.next_state(key, utilization, now) else {
                 continue;
             };
-            self.set(key, standing, now);
-            changed.push((key, standing));
+            self.set_state(key, state, now);
+            changed.push((key, state));
         }
         for member in self.members.values_mut() {
-            member.pulse.age();
+            member.latency.decay();
         }
         changed
     }
 
-    fn verdict(&self, key: ServerKey, busy: f64, now: Duration) -> Option<Standing> {
+    fn next_state(&self, key: ServerKey, utilization: f64, now: Duration) -> Option<HealthState> {
         let member = &self.members[&key];
-        match member.standing {
-            Standing::Full => {
-                (self.is_slow(key) && self.can_spare(busy)).then_some(Standing::Aside)
+        match member.state {
+            HealthState::Full => {
+                (self.is_slow(key) && self.can_set_aside(utilization)).then_some(HealthState::Aside)
             }
-            Standing::Aside => (now >= member.since + member.sentence()).then_some(Standing::Trial),
-            Standing::Trial if member.pulse.count() < ENOUGH => None,
-            Standing::Trial if self.is_slow(key) => Some(Standing::Aside),
-            Standing::Trial => Some(Standing::Full),
+            HealthState::Aside => {
+                (now >= member.since + member.time_aside()).then_some(HealthState::Trial)
+            }
+            HealthState::Trial if member.latency.count() < MIN_ANSWERS => None,
+            HealthState::Trial if self.is_slow(key) => Some(HealthState::Aside),
+            HealthState::Trial => Some(HealthState::Full),
         }
     }
 
-    fn set(&mut self, key: ServerKey, standing: Standing, now: Duration) {
+    fn set_state(&mut self, key: ServerKey, state: HealthState, now: Duration) {
         let Some(member) = self.members.get_mut(&key) else {
             return;
         };
-        match standing {
-            Standing::Full => member.relapses = 0,
-            Standing::Trial => member.pulse = Pulse::default(),
-            Standing::Aside => member.relapses += 1,
+        match state {
+            HealthState::Full => member.relapses = 0,
+            HealthState::Trial => member.latency = LatencyAverage::default(),
+            HealthState::Aside => member.relapses += 1,
         }
-        member.standing = standing;
+        member.state = state;
         member.since = now;
     }
 
@@ -129,41 +131,43 @@
     fn is_slow(&self, key: ServerKey) -> bool {
         let member = &self.members[&key];
         let Some(mine) = member
-            .pulse
-            .typical()
-            .filter(|_| member.pulse.count() >= ENOUGH)
+            .latency
+            .average()
+            .filter(|_| member.latency.count() >= MIN_ANSWERS)
         else {
             return false;
         };
         let mut peers: Vec<Duration> = self
             .members
             .iter()
-            .filter(|(other, member)| **other != key && member.standing == Standing::Full)
-            .filter_map(|(_, member)| member.pulse.typical())
+            .filter(|(other, member)| **other != key && member.state == HealthState::Full)
+            .filter_map(|(_, member)| member.latency.average())
             .collect();
         peers.sort_unstable();
         let Some(median) = peers.get(peers.len() / 2) else {
             return false;
         };
-        mine > median.mul_f64(SLOW) && mine > *median + WORTH
+        mine > median.mul_f64(SLOW_RATIO) && mine > *median + SLOW_MARGIN
     }
 
     /// At most half of the replicas are out at once, and the work of one more must fit on those
     /// that remain: setting a slow server aside must not make the others the next slow ones.
-    fn can_spare(&self, busy: f64) -> bool {
+    fn can_set_aside(&self, utilization: f64) -> bool {
         let full = self
             .members
             .values()
-            .filter(|m| m.standing == Standing::Full);
+            .filter(|m| m.state == HealthState::Full);
         let left = full.count().saturating_sub(1);
         let all = self.members.len();
-        left * 2 >= all && left > 0 && busy * (left as f64 + 1.0) / (left as f64) <= BUSY
+        left * 2 >= all
+            && left > 0
+            && utilization * (left as f64 + 1.0) / (left as f64) <= MAX_UTILIZATION
     }
 }
 
 impl Member {
-    fn sentence(&self) -> Duration {
-        let doubled = FIRST_ASIDE * 2u32.pow(self.relapses.saturating_sub(1).min(8));
-        doubled.min(LONGEST_ASIDE)
+    fn time_aside(&self) -> Duration {
+        let doubled = MIN_ASIDE * 2u32.pow(self.relapses.saturating_sub(1).min(8));
+        doubled.min(MAX_ASIDE)
     }
 }
--- a/crates/core/src/hedge.rs
+++ b/crates/core/src/hedge.rs
@@ -8,13 +8,13 @@
 /// Share of answers that should come before a copy is sent.
 const QUANTILE: f64 = 0.95;
 /// Answers that are looked at.
-const WINDOW: usize = 128;
+const WINDOW_ANSWERS: usize = 128;
 /// Answers between two looks.
-const LOOK: u32 = 16;
+const UPDATE_INTERVAL_ANSWERS: u32 = 16;
 /// Answers before the estimate is acted on.
-const ENOUGH: u32 = 50;
+const MIN_ANSWERS: u32 = 50;
 /// No copy is sent earlier than this.
-const EARLIEST: Duration = Duration::from_millis(1);
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// The wait before a copy of a read is sent, learnt from the answers of its class.
 ///
@@ -46,27 +46,27 @@
     pub fn record(&mut self, took: Duration) {
         self.seen = self.seen.saturating_add(1);
         self.window.push_back(took);
-        if self.window.len() > WINDOW {
+        if self.window.len() > WINDOW_ANSWERS {
             self.window.pop_front();
         }
-        if self.seen == ENOUGH || self.seen.is_multiple_of(LOOK) {
-            self.look();
+        if self.seen == MIN_ANSWERS || self.seen.is_multiple_of(UPDATE_INTERVAL_ANSWERS) {
+            self.update_estimate();
         }
     }
 
     /// After which wait a copy should be sent: the rule's, or the learnt one where that is
     /// longer; nothing before enough was learnt.
     pub fn wait(&self, rule: Duration) -> Option<Duration> {
-        (self.seen >= ENOUGH).then(|| self.estimate.max(rule).max(EARLIEST))
+        (self.seen >= MIN_ANSWERS).then(|| self.estimate.max(rule).max(MIN_WAIT))
     }
 
     /// Whether the copy may be sent now; it is paid for from `budget`.
     #[must_use]
     pub fn send(&self, budget: &mut Budget) -> bool {
-        self.seen >= ENOUGH && budget.take()
+        self.seen >= MIN_ANSWERS && budget.take()
     }
 
-    fn look(&mut self) {
+    fn update_estimate(&mut self) {
         let mut sorted: Vec<Duration> = self.window.iter().copied().collect();
         sorted.sort_unstable();
         let place = (sorted.len() as f64 * QUANTILE) as usize;
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -274,7 +274,7 @@
         }
         match &mut self.role {
             Role::Standby(standby) => {
-                let pause = timing::RETRY * 2;
+                let pause = timing::RESEND_INTERVAL * 2;
                 let paced = self.claim_sent.is_none_or(|sent| now >= sent + pause);
                 // A process that has no configuration yet has nothing to control.
                 if !self.claiming
@@ -358,7 +358,7 @@
             Role::Lead(lead) if lead.holder.epoch() < epoch => lead.holder.release(leases, now),
             Role::Lead(lead) => Released {
                 incarnation: self.incarnation,
-                leases: timing::AUTHORITY,
+                leases: timing::AUTHORITY_DURATION,
                 witness: 0,
                 row: Some(lead.holder.row().clone()),
             },
@@ -369,7 +369,9 @@
                     // A claim of this process may have taken effect without its knowledge, and what
                     // it replaced then is not over yet.
                     leases: match self.claim_sent {
-                        Some(sent) => leases.max((sent + timing::AUTHORITY).saturating_sub(now)),
+                        Some(sent) => {
+                            leases.max((sent + timing::AUTHORITY_DURATION).saturating_sub(now))
+                        }
                         None => leases,
                     },
                     witness: standby.witness(),
@@ -458,7 +460,7 @@
     fn is_read_due(&self, now: Duration) -> bool {
         let every = match &self.role {
             Role::Standby(standby) => standby.read_every(),
-            Role::Lead(_) => timing::READ,
+            Role::Lead(_) => timing::ROW_READ_INTERVAL,
         };
         self.read_sent.is_none_or(|sent| now >= sent + every)
     }
--- a/crates/core/src/leadership_lead.rs
+++ b/crates/core/src/leadership_lead.rs
@@ -299,7 +299,7 @@
         else {
             return;
         };
-        if asked.is_none_or(|asked| now >= asked + timing::RETRY) {
+        if asked.is_none_or(|asked| now >= asked + timing::RESEND_INTERVAL) {
             *asked = Some(now);
             let release = |host: &HostKey| Action::Release { host: *host, epoch };
             actions.extend(missing.iter().map(release));
@@ -309,11 +309,11 @@
         }
         let servers = groups.values().flat_map(|group| group.servers.keys());
         let all_servers = servers.into_iter().all(|server| heard.contains(server));
-        let gathered = missing.is_empty() || now >= *since + timing::GATHER;
+        let gathered = missing.is_empty() || now >= *since + timing::GATHER_TIMEOUT;
         // With all memory of the old authority lost, a server that does not answer may lead a
         // term that was opened in an outage. Its writes would be lost beside those of the row's.
-        let forgotten = now >= *since + timing::FORGOTTEN;
-        let told = *witnessed && now >= *since + timing::GATHER;
+        let forgotten = now >= *since + timing::UNKNOWN_HISTORY_WAIT;
+        let told = *witnessed && now >= *since + timing::GATHER_TIMEOUT;
         let surveyed = (all_servers && gathered) || told || forgotten;
         let committed = self.holder.committed() >= self.holder.row().revision;
         if surveyed && committed && self.holder.may_act(now) {
@@ -378,7 +378,7 @@
         if !groups.is_empty() {
             self.holder.name(candidates, now);
         }
-        let pause = timing::RETRY;
+        let pause = timing::RESEND_INTERVAL;
         let paced = self.write_sent.is_none_or(|sent| now >= sent + pause);
         if (self.holder.is_urgent() || paced)
             && let Some(write) = self.holder.write(now)
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -22,7 +22,7 @@
     ) {
         if self
             .status_asked
-            .is_none_or(|asked| now >= asked + timing::STATUS)
+            .is_none_or(|asked| now >= asked + timing::STATUS_INTERVAL)
         {
             self.status_asked = Some(now);
             self.judge.tidy(now);
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! The loop of an entry host, for each shard:
 //!
-//! 1. every [`timing::RENEWAL`](crate::timing::RENEWAL), take a [`Ticket`] with
+//! 1. every [`timing::RENEWAL_INTERVAL`](crate::timing::RENEWAL_INTERVAL), take a [`Ticket`] with
 //!    [`Holder::renewal_sent`] *before* the renewal goes on the wire;
 //! 2. hand the controller's answer to [`Holder::granted`] with that ticket;
 //! 3. hand a revocation to [`Holder::close`] and send back what it returns;
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -209,7 +209,7 @@
                 self.statuses.remove(&server);
                 self.step = Step::Choosing {
                     since,
-                    from: now + timing::RETRY,
+                    from: now + timing::RESEND_INTERVAL,
                 };
             }
             Order::Done | Order::Unknown => self.asked = None,
@@ -258,7 +258,10 @@
     }
 
     fn ask(&mut self, now: Duration) -> Option<Next> {
-        if self.asked.is_some_and(|asked| now < asked + timing::RETRY) {
+        if self
+            .asked
+            .is_some_and(|asked| now < asked + timing::RESEND_INTERVAL)
+        {
             return None;
         }
         self.asked = Some(now);
@@ -269,7 +272,7 @@
         let primary = self.service.primary.and_then(|p| self.statuses.get(&p));
         let close = |status: &Status| {
             let behind = primary.is_some_and(|p| status.position == p.position);
-            !status.leads && !status.leaving && (behind || status.age <= timing::RETRY)
+            !status.leads && !status.leaving && (behind || status.age <= timing::RESEND_INTERVAL)
         };
         self.statuses.values().any(close)
     }
@@ -288,7 +291,11 @@
         // A lease that lapsed without an answer: its holder may have acknowledged more than
         // anybody knows.
         self.complete &= running == self.waiting.len();
-        if self.waiting.is_empty() || self.revoked.is_some_and(|at| now < at + timing::RETRY) {
+        if self.waiting.is_empty()
+            || self
+                .revoked
+                .is_some_and(|at| now < at + timing::RESEND_INTERVAL)
+        {
             return None;
         }
         self.revoked = Some(now);
@@ -327,17 +334,17 @@
         else {
             return None;
         };
-        if now >= since + timing::CONFIRM {
+        if now >= since + timing::CONFIRM_TIMEOUT {
             // It may have taken the term and may yet say so; the next order uses a greater one,
             // and nobody is told of a term that was not opened.
             self.statuses.remove(&server);
             self.step = Step::Choosing {
                 since,
-                from: now + timing::RETRY,
+                from: now + timing::RESEND_INTERVAL,
             };
             return None;
         }
-        if ordered.is_some_and(|ordered| now < ordered + timing::RETRY) {
+        if ordered.is_some_and(|ordered| now < ordered + timing::RESEND_INTERVAL) {
             return None;
         }
         *ordered = Some(now);
@@ -373,7 +380,7 @@
         // Everybody has been asked, the old primary is gone, and nothing moves any more: more
         // waiting brings nothing.
         let gone = replaced.is_none_or(|server| !self.statuses.contains_key(&server));
-        let still = now >= self.reached.1.max(since) + timing::STILL;
+        let still = now >= self.reached.1.max(since) + timing::REPLICATION_IDLE;
         let is_final = all_answered && gone && still;
         match best {
             Some((_, status)) if self.has_all(status) && (gathered || known) => best,
@@ -386,16 +393,16 @@
 
     fn patience(&self) -> Duration {
         match self.reason {
-            Reason::Leaving => timing::CATCH_UP_PLANNED,
-            _ => timing::CATCH_UP,
+            Reason::Leaving => timing::SWITCHOVER_CATCH_UP_TIMEOUT,
+            _ => timing::CATCH_UP_TIMEOUT,
         }
     }
 
     fn patience_for_answers(&self) -> Duration {
         match self.reason {
             // The one that does not answer may be the one that led the greater term.
-            Reason::Rival => timing::CATCH_UP,
-            _ => timing::GATHER,
+            Reason::Rival => timing::CATCH_UP_TIMEOUT,
+            _ => timing::GATHER_TIMEOUT,
         }
     }
 
--- a/crates/core/src/rate.rs
+++ b/crates/core/src/rate.rs
@@ -6,7 +6,7 @@
 const BURST_SECONDS: f64 = 0.1;
 
 /// Longest time that a caller is told to stay away.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3600);
 
 /// A token bucket: so many requests a second, with a short burst.
 ///
@@ -22,7 +22,7 @@
 pub struct Rate {
     per_second: f64,
     tokens: f64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
 impl Rate {
@@ -31,7 +31,7 @@
         let mut rate = Rate {
             per_second: f64::from(per_second),
             tokens: 0.0,
-            filled: now,
+            refilled_at: now,
         };
         rate.tokens = rate.burst();
         rate
@@ -42,16 +42,16 @@
     /// # Errors
     /// The time after which the next one passes, an hour at most: a rule may allow none.
     pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + passed * self.per_second).min(self.burst());
-        self.filled = self.filled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
         let wait = (1.0 - self.tokens) / self.per_second;
-        let wait = Duration::try_from_secs_f64(wait).unwrap_or(LONGEST_WAIT);
-        Err(wait.min(LONGEST_WAIT))
+        let wait = Duration::try_from_secs_f64(wait).unwrap_or(MAX_RETRY_AFTER);
+        Err(wait.min(MAX_RETRY_AFTER))
     }
 
     fn burst(&self) -> f64 {
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -8,19 +8,19 @@
 use budget::Budget;
 
 /// First wait before a request is tried again on a server that may be better by then.
-const FIRST_WAIT: Duration = Duration::from_millis(5);
+const MIN_BACKOFF: Duration = Duration::from_millis(5);
 /// Longest such wait.
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
 /// How an attempt failed, sorted by what can help.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// This server could not take it: refused, unreachable, or no longer primary.
-    Here,
+    ThisServer,
     /// No server can take it just now.
-    Everywhere,
+    AllServers,
     /// It is wrong in itself: every attempt fails the same way.
-    Always,
+    Permanent,
 }
 
 /// One attempt that failed.
@@ -41,16 +41,16 @@
     /// What one more attempt should take.
     pub expected: Duration,
     /// Random bits, for the wait.
-    pub dice: u64,
+    pub random_bits: u64,
 }
 
 /// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Try again after this wait.
-    Again(Duration),
+    Retry(Duration),
     /// Tell the caller, now.
-    Tell,
+    GiveUp,
 }
 
 /// Decides about one failed attempt; a retry is paid for from `budget`.
@@ -58,53 +58,53 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::refusal::Ran;
-/// use flamingopost_core::retry::{self, Attempt, Failure, Next};
+/// use flamingopost_core::retry::{self, Attempt, Failure, RetryDecision};
 /// use flamingopost_core::retry::budget::Budget;
 ///
 /// let attempt = Attempt {
 ///     count: 1,
-///     failure: Failure::Here,
+///     failure: Failure::ThisServer,
 ///     ran: Ran::Unknown,
 ///     repeatable: false,
 ///     retries: 3,
 ///     deadline: Duration::from_secs(1),
 ///     expected: Duration::from_millis(5),
-///     dice: 0,
+///     random_bits: 0,
 /// };
 /// let mut budget = Budget::retries();
-/// assert_eq!(retry::decide(&attempt, &mut budget, Duration::ZERO), Next::Tell);
+/// assert_eq!(retry::decide(&attempt, &mut budget, Duration::ZERO), RetryDecision::GiveUp);
 /// let unsent = Attempt { ran: Ran::No, ..attempt };
 /// assert_eq!(
 ///     retry::decide(&unsent, &mut budget, Duration::ZERO),
-///     Next::Again(Duration::ZERO)
+///     RetryDecision::Retry(Duration::ZERO)
 /// );
 /// ```
-pub fn decide(attempt: &Attempt, budget: &mut Budget, now: Duration) -> Next {
+pub fn decide(attempt: &Attempt, budget: &mut Budget, now: Duration) -> RetryDecision {
     let safe = match attempt.ran {
         Ran::No => true,
         Ran::Unknown => attempt.repeatable,
         Ran::Yes => false,
     };
-    let allowed = attempt.count <= attempt.retries && attempt.failure != Failure::Always;
+    let allowed = attempt.count <= attempt.retries && attempt.failure != Failure::Permanent;
     if !safe || !allowed {
-        return Next::Tell;
+        return RetryDecision::GiveUp;
     }
-    let wait = wait(attempt);
+    let wait = backoff(attempt);
     if now + wait + attempt.expected > attempt.deadline || !budget.take() {
-        return Next::Tell;
+        return RetryDecision::GiveUp;
     }
-    Next::Again(wait)
+    RetryDecision::Retry(wait)
 }
 
 /// Another server is tried at once. Where all are in the same state, the wait doubles and is
 /// spread over its upper half, so that hosts do not come back in step.
-fn wait(attempt: &Attempt) -> Duration {
+fn backoff(attempt: &Attempt) -> Duration {
     match attempt.failure {
-        Failure::Here if attempt.count == 1 => Duration::ZERO,
+        Failure::ThisServer if attempt.count == 1 => Duration::ZERO,
         _ => {
-            let doubled = FIRST_WAIT * 2u32.pow(u32::from(attempt.count.min(8)));
-            let half = doubled.min(LONGEST_WAIT) / 2;
-            half + half.mul_f64((attempt.dice % 1024) as f64 / 1024.0)
+            let doubled = MIN_BACKOFF * 2u32.pow(u32::from(attempt.count.min(8)));
+            let half = doubled.min(MAX_BACKOFF) / 2;
+            half + half.mul_f64((attempt.random_bits % 1024) as f64 / 1024.0)
         }
     }
 }
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -5,7 +5,7 @@
 /// Hedges as a share of requests.
 const HEDGE_SHARE: f64 = 0.05;
 /// Most tokens that are saved up: a burst after a quiet time stays small.
-const MOST: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 
 /// A token bucket that first attempts fill and extra attempts empty. Extra attempts stay a fixed
 /// share of the requests, so a fault that fails everything adds that share to the load and no
@@ -17,7 +17,7 @@
 /// let mut budget = Budget::retries();
 /// let granted = (0..100).filter(|_| budget.take()).count();
 /// assert_eq!(granted, 10);
-/// budget.fill();
+/// budget.record_request();
 /// assert!(!budget.take());
 /// ```
 #[derive(Debug, Clone, PartialEq)]
@@ -38,12 +38,12 @@
     }
 
     /// A first attempt is made.
-    pub fn fill(&mut self) {
-        self.tokens = (self.tokens + self.share).min(MOST);
+    pub fn record_request(&mut self) {
+        self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
     /// Whether no extra attempt can be paid for now.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.tokens < 1.0 - 1e-9
     }
 
@@ -61,7 +61,7 @@
     fn of(share: f64) -> Budget {
         Budget {
             share,
-            tokens: MOST,
+            tokens: MAX_TOKENS,
         }
     }
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,12 +1,12 @@
 //! Which backend server answers a request.
 
-pub mod head;
+pub mod primary_positions;
 pub mod server;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::health::Standing;
+use crate::health::HealthState;
 use crate::history::{History, Verdict};
 use crate::invariant::{self, Invariant};
 use crate::key::{ServerKey, ZoneKey};
@@ -15,20 +15,20 @@
 use crate::session::need::Need;
 use crate::term::Term;
 use crate::view::{self, State};
-use head::Heads;
-use server::{Facts, Server, Status};
+use primary_positions::PrimaryPositions;
+use server::{Server, ServerSettings, Status};
 
 /// A server that is leaving may finish what runs; statements of transactions that are open may
 /// go on, but nothing begins on it this long after this host learnt that it leaves.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
 /// When to ask again while no primary is known: the usual time of a promotion.
-const PROMOTION: Duration = Duration::from_millis(500);
+const PROMOTION_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// When to ask again for a position or an age: a few probes later.
-const FRESHER: Duration = Duration::from_millis(250);
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// One read in so many goes to a replica on trial.
-const TRICKLE: u64 = 16;
+const TRIAL_READ_INTERVAL: u64 = 16;
 /// Terms whose leases are remembered for the age of data that they wrote.
-const KEPT_LEASES: usize = 8;
+const MAX_LEASES: usize = 8;
 
 /// Where a request goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,7 +38,7 @@
         /// The server.
         server: ServerKey,
         /// What it is to the request.
-        part: Part,
+        part: TargetRole,
     },
     /// Nowhere yet: a replica should have the position soon. Ask again after `wait`, or when a
     /// status arrives, whichever is first.
@@ -52,7 +52,7 @@
 
 /// What a chosen server is to the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum TargetRole {
     /// The primary of this term, under a write lease that was valid when it was chosen.
     Primary(Term),
     /// A replica.
@@ -61,13 +61,13 @@
 
 /// One read that looks for a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct ReadRequest {
     /// What the server must be.
     pub need: Need,
     /// How long the read can still wait for a replica before it takes the primary.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Random bits, which pick the two candidates that are compared.
-    pub dice: u64,
+    pub random_bits: u64,
 }
 
 /// What one entry host knows of the servers of one service.
@@ -77,7 +77,7 @@
     service: view::Service,
     servers: BTreeMap<ServerKey, Server>,
     leases: BTreeMap<Term, Duration>,
-    heads: Heads,
+    primary_positions: PrimaryPositions,
 }
 
 impl Table {
@@ -94,18 +94,18 @@
             },
             servers: BTreeMap::new(),
             leases: BTreeMap::new(),
-            heads: Heads::default(),
+            primary_positions: PrimaryPositions::default(),
         }
     }
 
     /// Adopts the servers of a configuration; those gone from it receive nothing more.
-    pub fn configure(&mut self, servers: &BTreeMap<ServerKey, Facts>, now: Duration) {
+    pub fn configure(&mut self, servers: &BTreeMap<ServerKey, ServerSettings>, now: Duration) {
         self.servers.retain(|key, _| servers.contains_key(key));
-        for (key, facts) in servers {
+        for (key, settings) in servers {
             self.servers
                 .entry(*key)
-                .or_insert_with(|| Server::new(*facts))
-                .facts = *facts;
+                .or_insert_with(|| Server::new(*settings))
+                .settings = *settings;
         }
         self.mark_leaving(now);
     }
@@ -120,10 +120,10 @@
     }
 
     /// The write lease of `term` runs until `until`. A lease only ever ends later, or is ended.
-    pub fn lease(&mut self, term: Term, until: Duration) {
+    pub fn extend_lease(&mut self, term: Term, until: Duration) {
         let end = self.leases.entry(term).or_insert(until);
         *end = (*end).max(until);
-        while self.leases.len() > KEPT_LEASES {
+        while self.leases.len() > MAX_LEASES {
             self.leases.pop_first();
         }
     }
@@ -143,13 +143,15 @@
     /// in its answer's position.
     pub fn status(&mut self, server: ServerKey, status: Status, sent: Duration, now: Duration) {
         if self.primary(now).map(|(primary, _)| primary) == Some(server) {
-            self.heads.note(status.position, sent);
+            self.primary_positions.record(status.position, sent);
         }
-        let reached = self.heads.reached(status.position, &self.service.history);
+        let reached = self
+            .primary_positions
+            .reached(status.position, &self.service.history);
         if let Some(server) = self.servers.get_mut(&server) {
-            server.heard(status, sent, now);
+            server.record_status(status, sent, now);
             if let Some(proof) = reached {
-                server.prove(proof);
+                server.record_proof(proof);
             }
         }
     }
@@ -157,14 +159,14 @@
     /// A server could not be reached.
     pub fn unreachable(&mut self, server: ServerKey, now: Duration) {
         if let Some(server) = self.servers.get_mut(&server) {
-            server.lost(now);
+            server.record_failure(now);
         }
     }
 
     /// [`crate::health`] found that `server` should get this much work.
-    pub fn set_standing(&mut self, server: ServerKey, standing: Standing) {
+    pub fn set_health(&mut self, server: ServerKey, health: HealthState) {
         if let Some(server) = self.servers.get_mut(&server) {
-            server.standing = standing;
+            server.health = health;
         }
     }
 
@@ -226,7 +228,7 @@
     /// Where a write, or anything that must see the newest data, goes.
     pub fn write(&self, now: Duration) -> Route {
         let refuse = Route::Refuse(Refusal::NoPrimary {
-            retry_after: PROMOTION,
+            retry_after: PROMOTION_RETRY_AFTER,
         });
         let Some((server, term)) = self.primary(now) else {
             return refuse;
@@ -234,7 +236,7 @@
         match self.servers.get(&server) {
             Some(known) if known.takes_work(now) && known.is_reachable(now) => Route::Go {
                 server,
-                part: Part::Primary(term),
+                part: TargetRole::Primary(term),
             },
             _ => refuse,
         }
@@ -242,45 +244,50 @@
 
     /// Where a read goes: a replica in the host's zone that satisfies it, else one elsewhere,
     /// else a short wait where one is about to, else the primary.
-    pub fn read(&self, ask: &Ask, now: Duration) -> Route {
-        if ask.need == Need::Primary {
+    pub fn read(&self, request: &ReadRequest, now: Duration) -> Route {
+        if request.need == Need::Primary {
             return self.write(now);
         }
-        let able = self.able(&ask.need, now);
-        if let Some(server) = self.pick(&able, ask.dice) {
+        let candidates = self.candidates(&request.need, now);
+        if let Some(server) = self.pick(&candidates, request.random_bits) {
             return Route::Go {
                 server,
                 part: self.part(server, now),
             };
         }
-        if let Some(wait) = self.catches_up(&ask.need, now)
-            && wait <= ask.patience
+        if let Some(wait) = self.catch_up_wait(&request.need, now)
+            && wait <= request.max_wait
         {
             return Route::Wait { wait };
         }
         match self.write(now) {
-            Route::Refuse(refusal) => Route::Refuse(self.why(&ask.need, refusal, now)),
+            Route::Refuse(refusal) => Route::Refuse(self.refusal_for(&request.need, refusal, now)),
             route => route,
         }
     }
 
     /// A replica other than `taken` that satisfies a read now, for a second copy of it.
-    pub fn other(&self, ask: &Ask, taken: ServerKey, now: Duration) -> Option<ServerKey> {
-        let mut able = self.able(&ask.need, now);
-        able.retain(|server| *server != taken);
-        self.pick(&able, ask.dice)
+    pub fn hedge_target(
+        &self,
+        request: &ReadRequest,
+        taken: ServerKey,
+        now: Duration,
+    ) -> Option<ServerKey> {
+        let mut candidates = self.candidates(&request.need, now);
+        candidates.retain(|server| *server != taken);
+        self.pick(&candidates, request.random_bits)
     }
 
     /// What `server` is at `now`.
-    fn part(&self, server: ServerKey, now: Duration) -> Part {
+    fn part(&self, server: ServerKey, now: Duration) -> TargetRole {
         match self.primary(now) {
-            Some((primary, term)) if primary == server => Part::Primary(term),
-            _ => Part::Replica,
+            Some((primary, term)) if primary == server => TargetRole::Primary(term),
+            _ => TargetRole::Replica,
         }
     }
 
     /// Servers other than the leased primary that satisfy `need`.
-    fn able(&self, need: &Need, now: Duration) -> Vec<ServerKey> {
+    fn candidates(&self, need: &Need, now: Duration) -> Vec<ServerKey> {
         let primary = self.primary(now).map(|(server, _)| server);
         self.servers
             .iter()
@@ -303,7 +310,7 @@
             .is_none_or(|wanted| self.service.history.covers(position, wanted));
         let young = need
             .proven_since(now)
-            .is_none_or(|since| self.proven(server).is_some_and(|proven| proven >= since));
+            .is_none_or(|since| self.proven_at(server).is_some_and(|proven| proven >= since));
         reached && young
     }
 
@@ -316,7 +323,7 @@
     /// The moment at which the data of `server` were last proven current. A server's own proof
     /// only says that it had everything of the primary it follows; that primary was the only one
     /// for as long as a write lease of its term was valid, so the proof counts no further.
-    fn proven(&self, server: &Server) -> Option<Duration> {
+    fn proven_at(&self, server: &Server) -> Option<Duration> {
         let proof = server.proof()?;
         let lease = self.leases.get(&proof.term)?;
         Some(proof.at.min(*lease))
@@ -325,44 +332,45 @@
     /// Among those in good standing, the cheaper of two picked at random, where another zone
     /// costs its distance. One on trial gets a trickle, and one set aside is used when there is
     /// nothing else.
-    fn pick(&self, able: &[ServerKey], dice: u64) -> Option<ServerKey> {
-        let trial = self.of_standing(able, Standing::Trial);
+    fn pick(&self, candidates: &[ServerKey], random_bits: u64) -> Option<ServerKey> {
+        let trial = self.in_health_state(candidates, HealthState::Trial);
         if let Some(server) = trial.first()
-            && dice.is_multiple_of(TRICKLE)
+            && random_bits.is_multiple_of(TRIAL_READ_INTERVAL)
         {
             return Some(*server);
         }
-        let full = self.of_standing(able, Standing::Full);
-        let pool = [full.as_slice(), &trial, able]
+        let full = self.in_health_state(candidates, HealthState::Full);
+        let pool = [full.as_slice(), &trial, candidates]
             .into_iter()
             .find(|pool| !pool.is_empty())?;
         let near: Vec<ServerKey> = pool
             .iter()
             .copied()
-            .filter(|key| self.servers[key].facts.zone == self.zone)
+            .filter(|key| self.servers[key].settings.zone == self.zone)
             .collect();
-        let near = self.cheaper_of_two(&near, dice / TRICKLE);
-        let any = self.cheaper_of_two(pool, dice >> 32);
+        let near = self.cheaper_of_two(&near, random_bits / TRIAL_READ_INTERVAL);
+        let any = self.cheaper_of_two(pool, random_bits >> 32);
         match (near, any) {
             (Some(near), Some(any)) if self.cost(near) <= self.cost(any) => Some(near),
             (near, any) => any.or(near),
         }
     }
 
-    fn of_standing(&self, able: &[ServerKey], standing: Standing) -> Vec<ServerKey> {
-        able.iter()
+    fn in_health_state(&self, candidates: &[ServerKey], health: HealthState) -> Vec<ServerKey> {
+        candidates
+            .iter()
             .copied()
-            .filter(|key| self.servers[key].standing == standing)
+            .filter(|key| self.servers[key].health == health)
             .collect()
     }
 
-    fn cheaper_of_two(&self, pool: &[ServerKey], dice: u64) -> Option<ServerKey> {
+    fn cheaper_of_two(&self, pool: &[ServerKey], random_bits: u64) -> Option<ServerKey> {
         let count = pool.len() as u64;
         if count == 0 {
             return None;
         }
-        let first = dice % count;
-        let step = 1 + (dice / count) % count.saturating_sub(1).max(1);
+        let first = random_bits % count;
+        let step = 1 + (random_bits / count) % count.saturating_sub(1).max(1);
         let second = (first + step) % count;
         [first, second]
             .map(|index| pool[index as usize])
@@ -372,16 +380,16 @@
 
     fn cost(&self, key: ServerKey) -> Duration {
         let server = &self.servers[&key];
-        let distance = if server.facts.zone == self.zone {
+        let distance = if server.settings.zone == self.zone {
             Duration::ZERO
         } else {
-            server.facts.distance
+            server.settings.distance
         };
-        distance + server.expected()
+        distance + server.expected_latency()
     }
 
     /// The shortest time after which a replica should satisfy `need`, where one should.
-    fn catches_up(&self, need: &Need, now: Duration) -> Option<Duration> {
+    fn catch_up_wait(&self, need: &Need, now: Duration) -> Option<Duration> {
         let wanted = need.position()?;
         // The leased primary has the position already; waiting for it would never end.
         let primary = self.primary(now).map(|(server, _)| server);
@@ -391,7 +399,7 @@
             .map(|(_, server)| server)
             .filter(|server| server.leaving.is_none() && server.is_reachable(now))
             .filter(|server| self.primary_lag(server).is_some())
-            .filter_map(|server| server.reaches(wanted, now))
+            .filter_map(|server| server.time_to_reach(wanted, now))
             .min()
     }
 
@@ -403,18 +411,18 @@
         Some(head.log.saturating_sub(server.position()?.log))
     }
 
-    fn why(&self, need: &Need, no_primary: Refusal, now: Duration) -> Refusal {
+    fn refusal_for(&self, need: &Need, no_primary: Refusal, now: Duration) -> Refusal {
         if !self.servers.values().any(|server| server.is_reachable(now)) {
             return Refusal::NoServer {
-                retry_after: PROMOTION,
+                retry_after: PROMOTION_RETRY_AFTER,
             };
         }
         if let Some(position) = need.position()
-            && !self.anyone_has(position, now)
+            && !self.is_position_reachable(position, now)
         {
             return Refusal::PositionNotReached {
                 position,
-                retry_after: FRESHER,
+                retry_after: STALE_RETRY_AFTER,
             };
         }
         if need.proven_since(now).is_none() {
@@ -424,16 +432,16 @@
             .servers
             .values()
             .filter(|server| server.is_reachable(now))
-            .filter_map(|server| self.proven(server))
+            .filter_map(|server| self.proven_at(server))
             .max();
         Refusal::DataTooOld {
             age: youngest.map(|proven| now.saturating_sub(proven)),
             limit: need.max_age(),
-            retry_after: FRESHER,
+            retry_after: STALE_RETRY_AFTER,
         }
     }
 
-    fn anyone_has(&self, wanted: Position, now: Duration) -> bool {
+    fn is_position_reachable(&self, wanted: Position, now: Duration) -> bool {
         let need = Need::Position {
             position: wanted,
             max_age: None,
@@ -447,7 +455,7 @@
     /// The leaving mark counts from when this host first learnt of it.
     fn mark_leaving(&mut self, now: Duration) {
         for (key, server) in &mut self.servers {
-            let leaving = server.facts.leaving || self.service.leaving.contains(key);
+            let leaving = server.settings.leaving || self.service.leaving.contains(key);
             server.leaving = match (leaving, server.leaving) {
                 (true, since) => since.or(Some(now)),
                 (false, _) => None,
--- a/crates/core/src/route/head.rs
+++ b/crates/core/src/route/primary_positions.rs
@@ -8,33 +8,34 @@
 use crate::position::Position;
 
 /// Entries that are kept: more than three seconds of lag at the least spacing.
-const KEPT: usize = 64;
+const MAX_ENTRIES: usize = 64;
 /// Least time between two entries.
-const SPACING: Duration = Duration::from_millis(50);
+const MIN_SPACING: Duration = Duration::from_millis(50);
 
 /// A position of the primary and the moment at which it was asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Head {
+struct PrimaryPosition {
     position: Position,
-    asked: Duration,
+    asked_at: Duration,
 }
 
 /// Recent positions of the primary, seen under a write lease that was valid when its answer came.
 #[derive(Debug, Clone, Default)]
-pub struct Heads {
-    entries: VecDeque<Head>,
+pub struct PrimaryPositions {
+    entries: VecDeque<PrimaryPosition>,
 }
 
-impl Heads {
+impl PrimaryPositions {
     /// The primary answered with `position` to something sent at `asked`.
-    pub fn note(&mut self, position: Position, asked: Duration) {
+    pub fn record(&mut self, position: Position, asked_at: Duration) {
         if let Some(last) = self.entries.back()
-            && asked < last.asked + SPACING
+            && asked_at < last.asked_at + MIN_SPACING
         {
             return;
         }
-        self.entries.push_back(Head { position, asked });
-        if self.entries.len() > KEPT {
+        self.entries
+            .push_back(PrimaryPosition { position, asked_at });
+        if self.entries.len() > MAX_ENTRIES {
             self.entries.pop_front();
         }
     }
@@ -42,11 +43,11 @@
     /// The latest moment for which data at `position` are proven to hold all that was
     /// acknowledged before it.
     pub fn reached(&self, position: Position, history: &History) -> Option<Proof> {
-        let reached = |head: &&Head| history.covers(position, head.position);
-        let head = self.entries.iter().rev().find(reached)?;
+        let reached = |entry: &&PrimaryPosition| history.covers(position, entry.position);
+        let entry = self.entries.iter().rev().find(reached)?;
         Some(Proof {
-            term: head.position.term,
-            at: head.asked,
+            term: entry.position.term,
+            at: entry.asked_at,
         })
     }
 }
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -2,23 +2,23 @@
 
 use std::time::Duration;
 
-use crate::health::Standing;
+use crate::health::HealthState;
 use crate::key::ZoneKey;
 use crate::position::Position;
 use crate::term::Term;
 
 /// After a failure a server is left alone this long, unless it answers.
-const LEFT_ALONE: Duration = Duration::from_millis(500);
+const RETRY_AFTER_FAILURE: Duration = Duration::from_millis(500);
 /// Part of a new observation in a moving average.
 const SMOOTHING: f64 = 0.1;
 /// What a statement is taken to need before the first was measured.
-const FIRST_GUESS: Duration = Duration::from_millis(2);
+const INITIAL_LATENCY: Duration = Duration::from_millis(2);
 /// A gap that should close later than this is not waited for.
-const LONGEST_CATCH_UP: Duration = Duration::from_secs(1);
+const MAX_CATCH_UP_WAIT: Duration = Duration::from_secs(1);
 
 /// What the configuration says of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Facts {
+pub struct ServerSettings {
     /// Its availability zone.
     pub zone: ZoneKey,
     /// Statements it runs at once.
@@ -36,12 +36,12 @@
     pub position: Position,
     /// Its proof of being current; absent when the answer does not tell, as with the position
     /// that comes with a statement's answer.
-    pub fresh: Option<Fresh>,
+    pub fresh: Option<Freshness>,
 }
 
 /// A server's own word on how current its data are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fresh {
+pub struct Freshness {
     /// The term that it leads or follows.
     pub term: Term,
     /// How old its data may be against the primary of that term; zero on the primary itself.
@@ -61,36 +61,36 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Server {
     /// What the configuration says of it.
-    pub facts: Facts,
+    pub settings: ServerSettings,
     /// Since when this host knows that it is leaving.
     pub leaving: Option<Duration>,
     /// Requests of this host that run on it.
     pub running: u32,
-    pub(super) standing: Standing,
+    pub(super) health: HealthState,
     position: Option<Position>,
     proof: Option<Proof>,
-    asked: Duration,
-    failed: Option<Duration>,
-    took: Option<Duration>,
-    heard: Option<(Duration, Position)>,
-    pace: Option<f64>,
+    status_sent_at: Duration,
+    failed_at: Option<Duration>,
+    average_latency: Option<Duration>,
+    last_sample: Option<(Duration, Position)>,
+    log_rate: Option<f64>,
 }
 
 impl Server {
     /// A server of which nothing was heard yet.
-    pub fn new(facts: Facts) -> Server {
+    pub fn new(settings: ServerSettings) -> Server {
         Server {
-            facts,
+            settings,
             leaving: None,
             running: 0,
-            standing: Standing::Full,
+            health: HealthState::Full,
             position: None,
             proof: None,
-            asked: Duration::ZERO,
-            failed: None,
-            took: None,
-            heard: None,
-            pace: None,
+            status_sent_at: Duration::ZERO,
+            failed_at: None,
+            average_latency: None,
+            last_sample: None,
+            log_rate: None,
         }
     }
 
@@ -105,39 +105,39 @@
     }
 
     /// How much work it gets.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn health(&self) -> HealthState {
+        self.health
     }
 
     /// What a statement on it takes, queueing there included; a moving average.
-    pub fn took(&self) -> Duration {
-        self.took.unwrap_or(FIRST_GUESS)
+    pub fn average_latency(&self) -> Duration {
+        self.average_latency.unwrap_or(INITIAL_LATENCY)
     }
 
     /// Answers can overtake each other, so an answer to an older question changes nothing: after
     /// a server has dropped the tail of an old term, its earlier position is no longer true.
     /// The age was measured after `sent`, so what was `age` old then was current no earlier than
     /// `sent - age`.
-    pub(super) fn heard(&mut self, status: Status, sent: Duration, now: Duration) {
-        self.failed = None;
-        if sent < self.asked {
+    pub(super) fn record_status(&mut self, status: Status, sent: Duration, now: Duration) {
+        self.failed_at = None;
+        if sent < self.status_sent_at {
             return;
         }
-        self.asked = sent;
+        self.status_sent_at = sent;
         if let Some(fresh) = status.fresh
             && let Some(at) = sent.checked_sub(fresh.age)
         {
-            self.prove(Proof {
+            self.record_proof(Proof {
                 term: fresh.term,
                 at,
             });
         }
-        self.measure_pace(status.position, now);
+        self.update_log_rate(status.position, now);
         self.position = Some(status.position);
     }
 
     /// Takes a proof, unless there is a newer one of the same term.
-    pub(super) fn prove(&mut self, proof: Proof) {
+    pub(super) fn record_proof(&mut self, proof: Proof) {
         let newer = self
             .proof
             .is_none_or(|known| (known.term, known.at) < (proof.term, proof.at));
@@ -146,20 +146,21 @@
         }
     }
 
-    pub(super) fn lost(&mut self, now: Duration) {
-        self.failed = Some(now);
+    pub(super) fn record_failure(&mut self, now: Duration) {
+        self.failed_at = Some(now);
     }
 
     pub(super) fn finished(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
-            let old = self.took.unwrap_or(took);
-            self.took = Some(old.mul_f64(1.0 - SMOOTHING) + took.mul_f64(SMOOTHING));
+            let old = self.average_latency.unwrap_or(took);
+            self.average_latency = Some(old.mul_f64(1.0 - SMOOTHING) + took.mul_f64(SMOOTHING));
         }
     }
 
     pub(super) fn is_reachable(&self, now: Duration) -> bool {
-        self.failed.is_none_or(|at| now >= at + LEFT_ALONE)
+        self.failed_at
+            .is_none_or(|at| now >= at + RETRY_AFTER_FAILURE)
     }
 
     /// A primary that leaves goes on taking writes for a grace period, so that the controller
@@ -170,30 +171,30 @@
     }
 
     /// When a request sent now should be answered.
-    pub(super) fn expected(&self) -> Duration {
-        let slots = f64::from(self.facts.slots.max(1));
+    pub(super) fn expected_latency(&self) -> Duration {
+        let slots = f64::from(self.settings.slots.max(1));
         let rounds = (f64::from(self.running) + 1.0) / slots;
-        self.took().mul_f64(rounds.max(1.0))
+        self.average_latency().mul_f64(rounds.max(1.0))
     }
 
     /// The time after which its data should reach `wanted`, from the pace of its log.
-    pub(super) fn reaches(&self, wanted: Position, now: Duration) -> Option<Duration> {
-        let (at, position) = self.heard?;
+    pub(super) fn time_to_reach(&self, wanted: Position, now: Duration) -> Option<Duration> {
+        let (at, position) = self.last_sample?;
         if position.term != wanted.term {
             return None;
         }
         let gap = wanted.log.saturating_sub(position.log) as f64;
-        let pace = self.pace.filter(|pace| *pace > 0.0)?;
-        let wait = Duration::try_from_secs_f64(gap / pace).ok()?;
+        let rate = self.log_rate.filter(|rate| *rate > 0.0)?;
+        let wait = Duration::try_from_secs_f64(gap / rate).ok()?;
         let wait = (at + wait)
             .saturating_sub(now)
             .max(Duration::from_millis(1));
-        (wait <= LONGEST_CATCH_UP).then_some(wait)
+        (wait <= MAX_CATCH_UP_WAIT).then_some(wait)
     }
 
-    fn measure_pace(&mut self, position: Position, now: Duration) {
-        let Some((at, before)) = self.heard else {
-            self.heard = Some((now, position));
+    fn update_log_rate(&mut self, position: Position, now: Duration) {
+        let Some((at, before)) = self.last_sample else {
+            self.last_sample = Some((now, position));
             return;
         };
         let passed = now.saturating_sub(at).as_secs_f64();
@@ -201,8 +202,8 @@
             return;
         }
         let grown = position.log.saturating_sub(before.log) as f64 / passed;
-        let old = self.pace.unwrap_or(grown);
-        self.pace = Some(old + SMOOTHING * (grown - old));
-        self.heard = Some((now, position));
+        let old = self.log_rate.unwrap_or(grown);
+        self.log_rate = Some(old + SMOOTHING * (grown - old));
+        self.last_sample = Some((now, position));
     }
 }
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -130,7 +130,9 @@
         let against: Vec<HostKey> = hosts
             .iter()
             .filter(|(host, _)| self.is_fresh(**host, now))
-            .filter(|(_, entry)| now < entry.at + timing::REPORT && entry.seen.is_unreachable())
+            .filter(|(_, entry)| {
+                now < entry.at + timing::REPORT_MAX_AGE && entry.seen.is_unreachable()
+            })
             .map(|(host, _)| *host)
             .collect();
         let zone = |host: &HostKey| self.hosts.get(host).map(|heard| heard.zone);
@@ -170,15 +172,15 @@
 
     fn is_fresh(&self, host: HostKey, now: Duration) -> bool {
         let heard = self.hosts.get(&host);
-        heard.is_some_and(|heard| now < heard.at + timing::REPORT)
+        heard.is_some_and(|heard| now < heard.at + timing::REPORT_MAX_AGE)
     }
 
     /// Whether hosts of no other zone have been heard for a while. Where the platform lists live
     /// hosts elsewhere, that has to last longer.
     fn is_alone(&self, zones: &BTreeSet<ZoneKey>, now: Duration) -> bool {
         let patience = match self.listed.difference(zones).next() {
-            Some(_) => timing::ONE_ZONE,
-            None => timing::REPORT,
+            Some(_) => timing::SINGLE_ZONE_WAIT,
+            None => timing::REPORT_MAX_AGE,
         };
         let others = self.hosts.values().filter(|h| !zones.contains(&h.zone));
         let last = others.map(|heard| heard.at).max();
@@ -201,7 +203,8 @@
     }
 
     fn has_answer(&self) -> bool {
-        self.silent.is_some_and(|silent| silent < timing::SUSPICION)
+        self.silent
+            .is_some_and(|silent| silent < timing::SUSPICION_TIMEOUT)
     }
 
     fn is_unreachable(&self) -> bool {
@@ -209,8 +212,8 @@
             return false;
         }
         let limit = match self.broken {
-            0 => timing::SUSPICION_SILENT,
-            _ => timing::SUSPICION,
+            0 => timing::SILENT_SUSPICION_TIMEOUT,
+            _ => timing::SUSPICION_TIMEOUT,
         };
         self.silent.is_none_or(|silent| silent >= limit)
     }
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -47,7 +47,7 @@
     Promise {
         incarnation,
         given: true,
-        valid: timing::PROMISE,
+        valid: timing::PROMISE_DURATION,
         epoch: 1,
         revision: 1,
     }
@@ -90,7 +90,7 @@
     let (mut holder, row) = leading(&hosts);
     holder.read(secs(12), Some(&row));
     assert!(holder.may_act(secs(14)));
-    assert!(!holder.may_act(secs(12) + timing::AUTHORITY));
+    assert!(!holder.may_act(secs(12) + timing::AUTHORITY_DURATION));
 }
 
 /// A lease runs on after the authority behind it has ended, and the successor does not know of
@@ -102,7 +102,7 @@
     for millis in (0..5_000).step_by(50) {
         let now = secs(10) + Duration::from_millis(millis);
         let lease = holder.lease(now);
-        assert!(lease.is_zero() || now + lease <= secs(10) + timing::AUTHORITY);
+        assert!(lease.is_zero() || now + lease <= secs(10) + timing::AUTHORITY_DURATION);
     }
 }
 
@@ -178,7 +178,7 @@
 fn standbys_named_by_a_lost_write_have_to_promise_too() {
     let hosts = hosts();
     let (mut holder, _) = leading(&hosts);
-    let now = secs(10) + timing::STANDBY_SILENCE;
+    let now = secs(10) + timing::STANDBY_TIMEOUT;
     holder.read(
         now,
         Some(&row(hosts.controller, &[hosts.first, hosts.second])),
@@ -212,7 +212,8 @@
         standby.read(Some(&row), now);
         assert_eq!(standby.claim(now), None);
     }
-    let row = claimed(&mut standby, secs(10) + timing::PROMISE).expect("the controller is silent");
+    let row = claimed(&mut standby, secs(10) + timing::PROMISE_DURATION)
+        .expect("the controller is silent");
     assert_eq!((row.epoch, row.controller), (2, hosts.first));
     assert!(!row.standbys.contains(&hosts.first));
 }
@@ -223,11 +224,11 @@
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first]);
     let mut standby = Standby::new(hosts.first, 4, secs(20));
-    let early = secs(20) + timing::SILENCE + SOON;
+    let early = secs(20) + timing::CONTROLLER_TIMEOUT + SOON;
     standby.read(Some(&row), secs(20));
     standby.read(Some(&row), early);
     assert_eq!(standby.claim(early), None);
-    let late = secs(20) + timing::PROMISE;
+    let late = secs(20) + timing::PROMISE_DURATION;
     standby.read(Some(&row), late);
     assert!(standby.claim(late).is_some());
 }
@@ -256,7 +257,7 @@
     let row = row(hosts.controller, &[hosts.first]);
     let mut other = Standby::new(hosts.other, 3, secs(0));
     other.read(Some(&row), secs(10));
-    let last = secs(10) + timing::ORPHAN;
+    let last = secs(10) + timing::ORPHAN_TIMEOUT;
     other.read(Some(&row), last - SOON);
     assert_eq!(other.claim(last - SOON), None);
     other.read(Some(&row), last);
@@ -268,7 +269,7 @@
 fn a_controller_stops_before_a_host_that_is_not_named_claims() {
     let hosts = hosts();
     let (mut holder, _) = leading(&hosts);
-    let last = secs(9) + timing::ORPHAN;
+    let last = secs(9) + timing::ORPHAN_TIMEOUT;
     for host in [hosts.first, hosts.second] {
         holder.promised(host, secs(11), promise(1), secs(11) + SOON);
         holder.promised(host, last - secs(1), promise(1), last - secs(1) + SOON);
@@ -291,9 +292,9 @@
         row: None,
     };
     let mut holder = Holder::new(row, predecessor, secs(20), secs(20));
-    assert_eq!(holder.settled(), secs(20) + timing::AUTHORITY);
+    assert_eq!(holder.settled(), secs(20) + timing::AUTHORITY_DURATION);
     holder.released(hosts.controller, &released(8), secs(20));
-    assert_eq!(holder.settled(), secs(20) + timing::AUTHORITY);
+    assert_eq!(holder.settled(), secs(20) + timing::AUTHORITY_DURATION);
     holder.released(hosts.controller, &released(7), secs(20));
     assert_eq!(holder.settled(), secs(20) + Duration::from_millis(300));
 }
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use flamingopost_core::budget::Grant;
-use flamingopost_core::budget::purse::{Advice, CLOSE_MARGIN, Purse};
-use flamingopost_core::budget::share::{Floor, Holder, Renewal, Share};
+use flamingopost_core::budget::host_budget::{Advice, CLOSE_MARGIN, HostBudget};
+use flamingopost_core::budget::server_budget::{Floor, HostInstance, Renewal, ServerBudget};
 use flamingopost_core::directory::Directory;
 use flamingopost_core::key::HostKey;
 use rand::{RngExt, SeedableRng};
@@ -27,9 +27,9 @@
 
 fn renewal(host: HostKey, incarnation: u64, demand: u16) -> Renewal {
     Renewal {
-        holder: Holder { host, incarnation },
+        instance: HostInstance { host, incarnation },
         demand,
-        near: true,
+        same_zone: true,
         valid: LEASE,
     }
 }
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn every_host_of_a_fleet_gets_its_part() {
-    let mut share = Share::new(LIMIT, Duration::ZERO);
+fn every_host_of_a_fleet_gets_its_share() {
+    let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
     let hosts = hosts(7);
     let mut last = BTreeMap::new();
     for round in 0..20 {
         for host in &hosts {
             let now = Duration::from_millis(500 * round);
-            last.insert(*host, share.renew(renewal(*host, 1, 8), now).leased);
+            last.insert(*host, server_budget.renew(renewal(*host, 1, 8), now).leased);
         }
     }
     assert!(last.values().all(|leased| *leased >= 2), "{last:?}");
@@ -56,13 +56,15 @@
 /// A host is killed with all its connections open. Nobody closed them for certain, so its part
 /// must not be given away before its lease has ended, not even to its own next life.
 #[test]
-fn a_vanished_host_keeps_its_part_until_its_lease_ends() {
-    let mut share = Share::new(LIMIT, Duration::ZERO);
+fn a_vanished_host_keeps_its_share_until_its_lease_ends() {
+    let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
     let host = hosts(1)[0];
-    let first = share.renew(renewal(host, 1, 16), Duration::ZERO).leased;
-    let second = share.renew(renewal(host, 2, 16), seconds(1)).leased;
+    let first = server_budget
+        .renew(renewal(host, 1, 16), Duration::ZERO)
+        .leased;
+    let second = server_budget.renew(renewal(host, 2, 16), seconds(1)).leased;
     assert!(first + second <= LIMIT, "{first} and {second}");
-    let third = share.renew(renewal(host, 2, 16), seconds(3)).leased;
+    let third = server_budget.renew(renewal(host, 2, 16), seconds(3)).leased;
     assert!(third > second);
 }
 
@@ -71,8 +73,8 @@
 #[test]
 fn a_successor_waits_out_the_leases_of_its_predecessor() {
     let host = hosts(1)[0];
-    let mut share = Share::new(LIMIT, seconds(3));
-    let holder = Holder {
+    let mut server_budget = ServerBudget::new(LIMIT, seconds(3));
+    let instance = HostInstance {
         host,
         incarnation: 1,
     };
@@ -80,91 +82,100 @@
         connections: 2,
         until: seconds(100),
     };
-    share.restore(holder, floor);
-    assert_eq!(share.renew(renewal(host, 1, 9), seconds(1)).leased, 2);
-    assert!(share.renew(renewal(host, 1, 9), seconds(3)).leased > 2);
+    server_budget.restore(instance, floor);
+    assert_eq!(
+        server_budget.renew(renewal(host, 1, 9), seconds(1)).leased,
+        2
+    );
+    assert!(server_budget.renew(renewal(host, 1, 9), seconds(3)).leased > 2);
 }
 
 /// Found by seed 100000 and others of the randomised run: a successor that still waited gave a
 /// newcomer a floor, while hosts of its predecessor had every connection open. The newcomer
 /// opened one more than the server takes.
 #[test]
-fn a_successor_that_waits_gives_no_new_floor() {
+fn a_waiting_successor_grants_no_new_floor() {
     let host = hosts(1)[0];
-    let mut share = Share::new(LIMIT, seconds(3));
-    assert_eq!(share.renew(renewal(host, 1, 9), seconds(1)).leased, 0);
-    assert_eq!(share.floors().count(), 0);
+    let mut server_budget = ServerBudget::new(LIMIT, seconds(3));
+    assert_eq!(
+        server_budget.renew(renewal(host, 1, 9), seconds(1)).leased,
+        0
+    );
+    assert_eq!(server_budget.floors().count(), 0);
 }
 
 /// A zone is cut off from its controller. Its hosts cannot renew, but the servers in the zone
 /// still answer them: they keep their floors, and close the rest in time.
 #[test]
 fn a_cut_off_host_keeps_its_floor_and_closes_the_rest() {
-    let mut share = Share::new(LIMIT, Duration::ZERO);
+    let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
     let host = hosts(1)[0];
-    let mut purse = Purse::default();
-    let grant = share.renew(renewal(host, 1, 6), Duration::ZERO);
-    purse.grant(grant, Duration::ZERO, LEASE);
-    while purse.open(Duration::ZERO) {}
-    assert_eq!(purse.opened(), 6);
-    let due = purse.deadline(Duration::ZERO).unwrap();
+    let mut budget = HostBudget::default();
+    let grant = server_budget.renew(renewal(host, 1, 6), Duration::ZERO);
+    budget.grant(grant, Duration::ZERO, LEASE);
+    while budget.try_open(Duration::ZERO) {}
+    assert_eq!(budget.open_connections(), 6);
+    let due = budget.deadline(Duration::ZERO).unwrap();
     assert!(due <= LEASE - CLOSE_MARGIN);
     let excess = 6 - grant.floor;
-    assert_eq!(purse.advise(due), Advice::Close(excess));
-    (0..excess).for_each(|_| purse.closed());
-    purse.check(seconds(3600));
-    assert_eq!(purse.advise(seconds(3600)), Advice::Keep);
+    assert_eq!(budget.advise(due), Advice::Close(excess));
+    (0..excess).for_each(|_| budget.closed());
+    budget.check(seconds(3600));
+    assert_eq!(budget.advise(seconds(3600)), Advice::Keep);
 }
 
 /// Hosts crash and come back under new names all day. Their floors last for hours; if these were
 /// given without bound, the last crash would leave no connection for anybody.
 #[test]
 fn floors_of_vanished_hosts_never_use_up_the_limit() {
-    let mut share = Share::new(LIMIT, Duration::ZERO);
+    let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
     let host = hosts(1)[0];
     for life in 0..100 {
         let now = seconds(5 * life);
-        let grant = share.renew(renewal(host, life, 4), now);
+        let grant = server_budget.renew(renewal(host, life, 4), now);
         assert!(grant.leased >= 1, "life {life} gets nothing");
     }
-    let floors: u16 = share.floors().map(|(_, floor)| floor.connections).sum();
+    let floors: u16 = server_budget
+        .floors()
+        .map(|(_, floor)| floor.connections)
+        .sum();
     assert!(floors <= LIMIT / 2);
 }
 
 #[test]
 fn a_lowered_limit_is_reached_as_leases_end() {
-    let mut share = Share::new(LIMIT, Duration::ZERO);
+    let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
     let hosts = hosts(2);
     for host in &hosts {
-        share.renew(renewal(*host, 1, 7), Duration::ZERO);
+        server_budget.renew(renewal(*host, 1, 7), Duration::ZERO);
     }
-    share.configure(8);
+    server_budget.configure(8);
     for round in 1..20 {
         for host in &hosts {
-            share.renew(renewal(*host, 1, 7), Duration::from_millis(500 * round));
+            server_budget.renew(renewal(*host, 1, 7), Duration::from_millis(500 * round));
         }
     }
-    assert!(share.outstanding(seconds(10)) <= 8);
+    assert!(server_budget.outstanding(seconds(10)) <= 8);
 }
 
 #[test]
 #[should_panic(expected = "connection_limit")]
-fn connections_beyond_a_grant_are_caught() {
-    let mut purse = Purse::default();
+fn connections_beyond_a_grant_violate_the_invariant() {
+    let mut budget = HostBudget::default();
     let grant = Grant {
         leased: 2,
         ..Grant::default()
     };
-    purse.grant(grant, Duration::ZERO, LEASE);
-    assert!(purse.open(Duration::ZERO) && purse.open(Duration::ZERO));
-    purse.check(LEASE);
+    budget.grant(grant, Duration::ZERO, LEASE);
+    assert!(budget.try_open(Duration::ZERO) && budget.try_open(Duration::ZERO));
+    budget.check(LEASE);
 }
 
 /// One host of a randomised run.
 struct Host {
     key: HostKey,
     life: u64,
-    purse: Purse,
+    budget: HostBudget,
     /// Its clock runs at this rate against the controller's.
     rate: f64,
     paused_until: Duration,
@@ -188,12 +199,12 @@
 
 struct Fleet {
     random: ChaCha8Rng,
-    share: Share,
+    server_budget: ServerBudget,
     hosts: Vec<Host>,
     flights: Vec<Flight>,
     /// Connections of killed processes that the server has not yet dropped, and until when it
     /// may keep them: to the end of the grant that they were opened under.
-    ghosts: Vec<(Duration, u16)>,
+    orphaned: Vec<(Duration, u16)>,
     now: Duration,
     most: u16,
 }
@@ -206,7 +217,7 @@
             .map(|key| Host {
                 key,
                 life: 0,
-                purse: Purse::default(),
+                budget: HostBudget::default(),
                 rate: 1.0 + random.random_range(-0.01..0.01),
                 paused_until: Duration::ZERO,
                 cut_until: Duration::ZERO,
@@ -214,10 +225,10 @@
             .collect();
         Fleet {
             random,
-            share: Share::new(LIMIT, Duration::ZERO),
+            server_budget: ServerBudget::new(LIMIT, Duration::ZERO),
             hosts,
             flights: Vec::new(),
-            ghosts: Vec::new(),
+            orphaned: Vec::new(),
             now: Duration::from_secs(1),
             most: 0,
         }
@@ -245,7 +256,7 @@
         for flight in landed {
             let host = &mut self.hosts[flight.host];
             if host.life == flight.life && now >= host.paused_until {
-                host.purse.grant(flight.grant, flight.sent, LEASE);
+                host.budget.grant(flight.grant, flight.sent, LEASE);
             }
         }
     }
@@ -257,14 +268,14 @@
             return;
         }
         let clock = host.clock(self.now);
-        while let Advice::Close(_) = host.purse.advise(clock) {
-            host.purse.closed();
+        while let Advice::Close(_) = host.budget.advise(clock) {
+            host.budget.closed();
         }
         match dice {
             0..600 => {
-                let _ = host.purse.open(clock);
+                let _ = host.budget.try_open(clock);
             }
-            600..640 if host.purse.opened() > 0 => host.purse.closed(),
+            600..640 if host.budget.open_connections() > 0 => host.budget.closed(),
             640..780 if self.now >= host.cut_until => self.renew(index),
             780..784 => self.kill(index),
             784..787 => host.cut_until = self.now + seconds(8),
@@ -277,14 +288,14 @@
     fn renew(&mut self, index: usize) {
         let demand = self.random.random_range(0..10);
         let delay = Duration::from_millis(self.random.random_range(0..400));
-        let near = self.random.random_bool(0.4);
+        let same_zone = self.random.random_bool(0.4);
         let host = &self.hosts[index];
         let ask = Renewal {
-            near,
+            same_zone,
             ..renewal(host.key, host.life, demand)
         };
         let (life, sent) = (host.life, host.clock(self.now));
-        let grant = self.share.renew(ask, self.now + delay / 2);
+        let grant = self.server_budget.renew(ask, self.now + delay / 2);
         if self.random.random_ratio(1, 5) {
             return;
         }
@@ -302,38 +313,46 @@
     fn kill(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         let clock = host.clock(self.now);
-        let floor = host.purse.allowed(clock + LEASE).min(host.purse.opened());
+        let floor = host
+            .budget
+            .allowed(clock + LEASE)
+            .min(host.budget.open_connections());
         let leased = (0..2500)
             .map(Duration::from_millis)
-            .find(|wait| host.purse.allowed(clock + *wait) <= floor);
-        let rest = host.purse.opened() - floor;
-        self.ghosts.push((self.now + leased.unwrap_or(LEASE), rest));
-        self.ghosts.push((self.now + seconds(7000), floor));
-        host.purse = Purse::default();
+            .find(|wait| host.budget.allowed(clock + *wait) <= floor);
+        let rest = host.budget.open_connections() - floor;
+        self.orphaned
+            .push((self.now + leased.unwrap_or(LEASE), rest));
+        self.orphaned.push((self.now + seconds(7000), floor));
+        host.budget = HostBudget::default();
         host.life += 1;
     }
 
     fn replace_controller(&mut self) {
-        let floors: Vec<(Holder, Floor)> = self.share.floors().collect();
-        self.share = Share::new(LIMIT, self.now + LEASE + LEASE / 50 + seconds(1));
-        for (holder, floor) in floors {
-            self.share.restore(holder, floor);
+        let floors: Vec<(HostInstance, Floor)> = self.server_budget.floors().collect();
+        self.server_budget = ServerBudget::new(LIMIT, self.now + LEASE + LEASE / 50 + seconds(1));
+        for (instance, floor) in floors {
+            self.server_budget.restore(instance, floor);
         }
     }
 
     fn check(&mut self) {
         let now = self.now;
-        self.ghosts.retain(|(until, _)| now < *until);
-        let ghosts: u16 = self.ghosts.iter().map(|(_, count)| count).sum();
-        let open: u16 = self.hosts.iter().map(|host| host.purse.opened()).sum();
+        self.orphaned.retain(|(until, _)| now < *until);
+        let orphaned: u16 = self.orphaned.iter().map(|(_, count)| count).sum();
+        let open: u16 = self
+            .hosts
+            .iter()
+            .map(|host| host.budget.open_connections())
+            .sum();
         assert!(
-            open + ghosts <= LIMIT,
-            "{open} open and {ghosts} of the dead"
+            open + orphaned <= LIMIT,
+            "{open} open and {orphaned} of the dead"
         );
-        self.most = self.most.max(open + ghosts);
+        self.most = self.most.max(open + orphaned);
         for host in &self.hosts {
             if now >= host.paused_until {
-                host.purse.check(host.clock(now));
+                host.budget.check(host.clock(now));
             }
         }
     }
@@ -342,7 +361,7 @@
 /// Hosts renew, lose answers, are cut off, paused for a moment and killed, and the controller is
 /// replaced. What all of them have open, the dead included, stays within the limit.
 #[test]
-fn randomised_schedules_never_pass_the_limit() {
+fn randomised_schedules_never_exceed_the_limit() {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     let schedules = number("FLAMINGOPOST_SCHEDULES").unwrap_or(CI_SCHEDULES);
     let first = number("FLAMINGOPOST_SEED").unwrap_or(1);
--- a/crates/core/tests/dispatch/crowd.rs
+++ b/crates/core/tests/dispatch/crowd.rs
@@ -32,7 +32,7 @@
 /// narrow, a host that measures a little more narrows down to one request, and the times stay as
 /// they are by the work of the other.
 #[test]
-fn hosts_share_a_crowded_server_evenly() {
+fn hosts_share_a_congested_server_evenly() {
     for hosts in [2, 5] {
         for seed in 0..4 {
             let served = Crowd::new(hosts, seed).play();
--- a/crates/core/tests/dispatch/load.rs
+++ b/crates/core/tests/dispatch/load.rs
@@ -10,7 +10,7 @@
 /// A server refuses because its queue is full. Sent again at once, the refused requests keep the
 /// queue full and nothing else gets through: the window narrows, and widens with answers.
 #[test]
-fn a_full_queue_narrows_what_runs_at_once() {
+fn a_full_queue_shrinks_the_window() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let leader = keys[0];
@@ -31,7 +31,7 @@
 /// a slot for 27 ms, and closed again soon after: the primary did little else for the rest of the
 /// day, and one request in eight of its service was refused.
 #[test]
-fn a_narrow_window_opens_no_connections() {
+fn a_full_window_opens_no_connections() {
     let now = ms(1_000);
     let (mut dispatch, keys) = dispatch(now);
     dispatch.arrive(ticket(1, Need::Leader, now), now);
@@ -49,7 +49,7 @@
 /// request waited there for most of its goal, and three in five were answered late. Hosts that see
 /// requests take several times as long as before send less, and the queue stays with them.
 #[test]
-fn a_growing_queue_narrows_what_runs_at_once() {
+fn growing_latency_shrinks_the_window() {
     let (mut dispatch, keys) = dispatch(ms(0));
     let mut now = ms(0);
     let mut answer = |dispatch: &mut Dispatch, took: u64, count: u64| {
@@ -97,7 +97,7 @@
 /// A caller thinks inside its transaction. Its connection takes no slot meanwhile, so another
 /// request may run beside it.
 #[test]
-fn a_resting_transaction_leaves_room() {
+fn a_connection_idle_in_a_transaction_takes_no_slot() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let leader = keys[0];
@@ -118,7 +118,7 @@
 /// its goal and was answered just after it: half of them were late although the primary could have
 /// answered four in five in time. Served by the newest, those are.
 #[test]
-fn too_much_work_makes_a_few_requests_late_and_not_all() {
+fn overload_makes_only_a_few_requests_late() {
     let now = ms(1_000);
     let (mut dispatch, keys) = dispatch(now);
     let (mut running, mut in_time, mut asked) = (Vec::new(), 0, 0);
--- a/crates/core/tests/dispatch/main.rs
+++ b/crates/core/tests/dispatch/main.rs
@@ -80,7 +80,7 @@
 /// A lot view accepts data of a second ago. The replica next door has them; asking the primary in
 /// another zone would cost a slot that bids need, and bytes between zones.
 #[test]
-fn a_read_goes_to_the_replica_next_door() {
+fn a_read_goes_to_the_replica_in_the_same_zone() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     for key in &keys[1..] {
@@ -95,7 +95,7 @@
 /// to contain that, also one that is still far behind in the old term. The buyer would see a lot
 /// as open that was sold seconds ago. Only servers that have shown the new term may answer.
 #[test]
-fn the_start_of_a_term_is_only_read_where_it_was_shown() {
+fn the_start_of_a_term_is_read_only_from_servers_that_reported_it() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let behind = dispatch.server_mut(keys[1]).unwrap();
@@ -119,7 +119,7 @@
 /// A replica lags by seconds. Each read that it refuses costs a round trip, so after the first it
 /// is left alone for a while, also by reads that ask for something slightly older.
 #[test]
-fn a_replica_that_refused_for_lag_is_left_alone() {
+fn a_replica_that_refused_for_lag_is_skipped() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     dispatch.replica_lagging(keys[1], now - ms(1_500), now);
@@ -132,7 +132,7 @@
 /// A queue has once grown past the goal. Served by age alone, everybody after that would be late
 /// for as long as the load lasts; those that can still be in time go first.
 #[test]
-fn requests_in_time_go_before_late_ones() {
+fn requests_that_can_meet_their_goal_go_first() {
     let start = ms(5_000);
     let (mut dispatch, keys) = dispatch(start);
     let actions = dispatch.arrive(ticket(1, Need::Leader, start), start);
@@ -204,7 +204,7 @@
 /// Reads of some age need the start of its term, which servers take every log to contain: they wait for the
 /// check, while a replica that has shown what they need answers.
 #[test]
-fn reads_of_some_age_do_not_rely_on_the_lead_of_an_unchecked_primary() {
+fn bounded_staleness_reads_do_not_use_an_unchecked_primary() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let hold = Hold {
@@ -231,7 +231,7 @@
 /// Three hosts hold twelve of a server's sixteen connections; a fourth has one and a queue of a
 /// hundred. Once it has asked, the others keep to their part.
 #[test]
-fn a_host_keeps_to_its_part_when_another_lacks_connections() {
+fn a_host_keeps_to_its_fair_share_when_another_lacks_connections() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     let leader = keys[0];
@@ -255,7 +255,7 @@
 /// limit four times. Counting the attempts that were still under way it took itself to have its
 /// part, asked nobody, and served nothing for a second.
 #[test]
-fn a_host_without_connections_is_short_of_them() {
+fn connections_being_opened_do_not_count_towards_the_fair_share() {
     let now = ms(5_000);
     let leader = keys()[0];
     let mut dispatch = Dispatch::default();
@@ -297,7 +297,7 @@
 /// A server that is leaving gets no reads, and its idle connections close; as primary it takes
 /// writes until another one leads, since nobody else can.
 #[test]
-fn a_leaving_server_gets_only_what_nobody_else_can_take() {
+fn a_leaving_primary_takes_only_writes() {
     let now = ms(5_000);
     let (mut dispatch, keys) = dispatch(now);
     for key in [keys[0], keys[1]] {
--- a/crates/core/tests/dispatch/random.rs
+++ b/crates/core/tests/dispatch/random.rs
@@ -14,7 +14,7 @@
 /// time, no host has more connections than it may, no request is lost or answered twice, and what
 /// needs the primary runs nowhere else.
 #[test]
-fn random_runs_keep_every_connection_to_one_request() {
+fn randomised_runs_keep_every_connection_to_one_request() {
     for seed in 0..400 {
         Run::new(seed).play();
     }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use flamingopost_core::feed::{Feed, PATIENCE, PATIENCE_MOST};
+use flamingopost_core::feed::{Feed, STUCK_AFTER, STUCK_AFTER_MAX};
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -12,10 +12,10 @@
 /// that brings nothing any more. Told by others how far they are, a host notices within a second
 /// of them, however long its own call waits.
 #[test]
-fn a_feed_that_others_are_ahead_of_is_stuck() {
+fn a_feed_behind_its_peers_becomes_stuck() {
     let mut feed = Feed::default();
     feed.read(10, Some(10));
-    feed.told(12, at(1_000));
+    feed.record_peer_read(12, at(1_000));
     assert!(!feed.is_stuck(at(1_399)), "it may be on its way");
     assert!(feed.is_stuck(at(1_400)));
 }
@@ -23,10 +23,10 @@
 /// Versions count all tables together. A host that has read up to version 20, where the last
 /// change of this table was number 12, lacks nothing that others have read in this table.
 #[test]
-fn changes_elsewhere_count_for_nothing() {
+fn changes_of_other_tables_do_not_count() {
     let mut feed = Feed::default();
     feed.read(20, Some(12));
-    feed.told(15, at(0));
+    feed.record_peer_read(15, at(0));
     assert!(!feed.is_stuck(at(60_000)));
     assert_eq!(
         feed.newest(),
@@ -38,23 +38,26 @@
 /// The store turns one host away while others read changes from it. The host goes on asking, at
 /// longer and longer intervals, and stops as soon as it has caught up.
 #[test]
-fn a_host_that_is_turned_away_asks_less_and_less_often() {
+fn a_host_refused_by_the_store_retries_with_backoff() {
     let mut feed = Feed::default();
     feed.read(10, None);
     let mut asked = Vec::new();
     for now in (0..20_000).step_by(50) {
-        feed.told(11 + now / 1_000, at(now));
+        feed.record_peer_read(11 + now / 1_000, at(now));
         if feed.is_stuck(at(now)) {
             asked.push(now);
-            feed.ask_again(at(now));
+            feed.record_retry(at(now));
         }
     }
     let gaps: Vec<u64> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert_eq!(gaps[..3], [800, 1_600, 3_200]);
-    let most = u64::try_from(PATIENCE_MOST.as_millis()).unwrap();
+    let most = u64::try_from(STUCK_AFTER_MAX.as_millis()).unwrap();
     assert!(gaps[3..].iter().all(|gap| *gap == most), "{gaps:?}");
     feed.read(40, Some(30));
     assert!(!feed.is_stuck(at(30_000)));
-    feed.told(41, at(30_000));
-    assert!(feed.is_stuck(at(30_000) + PATIENCE), "patience starts anew");
+    feed.record_peer_read(41, at(30_000));
+    assert!(
+        feed.is_stuck(at(30_000) + STUCK_AFTER),
+        "patience starts anew"
+    );
 }
--- a/crates/core/tests/leadership/world/entry.rs
+++ b/crates/core/tests/leadership/world/entry.rs
@@ -92,7 +92,10 @@
     fn entry_step(&mut self, host: usize, life: u64) {
         let now = self.local(Place::Entry(host));
         let entry = &mut self.entries[host].1;
-        if entry.renewed.is_none_or(|at| now >= at + timing::RENEWAL) {
+        if entry
+            .renewed
+            .is_none_or(|at| now >= at + timing::RENEWAL_INTERVAL)
+        {
             self.renew(host, life, false);
         }
         let entry = &mut self.entries[host].1;
@@ -192,7 +195,7 @@
             if first
                 && entry
                     .renewed
-                    .is_none_or(|at| now >= at + timing::RENEWAL / 2)
+                    .is_none_or(|at| now >= at + timing::RENEWAL_INTERVAL / 2)
             {
                 world.renew(host, life, false);
             }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -102,7 +102,7 @@
 
 #[test]
 fn leases_have_lapsed_before_a_host_counts_as_gone() {
-    assert!(GONE_AFTER > timing::LEASE * 2);
+    assert!(GONE_AFTER > timing::LEASE_DURATION * 2);
 }
 
 /// An operator drains a server that the platform has called leaving as well. Taking back the
--- a/crates/core/tests/promotion.rs
+++ b/crates/core/tests/promotion.rs
@@ -152,11 +152,11 @@
 #[test]
 fn the_replica_that_has_all_is_taken() {
     let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(9);
     trial.promotion.status(trial.near, Some(replica(8)));
     assert_eq!(trial.order(), None, "another may have it");
-    trial.pass(timing::RETRY);
+    trial.pass(timing::RESEND_INTERVAL);
     trial.promotion.status(trial.far, Some(replica(9)));
     assert_eq!(trial.order(), Some((trial.far, NEXT)));
 
@@ -172,7 +172,7 @@
 #[test]
 fn an_order_names_the_log_that_it_needs() {
     let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(9);
     trial.promotion.status(trial.near, Some(replica(9)));
     let order = Next::Promote {
@@ -188,7 +188,7 @@
 #[test]
 fn a_longer_log_of_an_older_term_is_not_taken() {
     let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.promotion.closed(holder(), None);
     trial.committed = CLOSE;
     let before = Position {
@@ -208,12 +208,12 @@
 #[test]
 fn what_no_server_has_is_recorded_as_lost() {
     let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(9);
     trial.promotion.status(trial.near, Some(replica(7)));
     trial.promotion.status(trial.far, Some(replica(6)));
     assert_eq!(trial.order(), None);
-    trial.pass(timing::STILL);
+    trial.pass(timing::REPLICATION_IDLE);
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
     trial.promotion.status(trial.near, Some(leads(NEXT, 7)));
     let open = trial.open();
@@ -228,7 +228,7 @@
 #[test]
 fn a_holder_that_could_not_be_asked_makes_the_record_incomplete() {
     let mut trial = trial(Reason::Unreachable);
-    let until = trial.now + timing::LEASE;
+    let until = trial.now + timing::LEASE_DURATION;
     trial.close(until);
     trial.committed = CLOSE;
     trial.now = until;
@@ -261,9 +261,9 @@
     trial.promotion.closing(CLOSE, BTreeMap::new());
     trial.committed = CLOSE;
     trial.promotion.status(trial.far, Some(replica(8)));
-    trial.pass(timing::GATHER);
+    trial.pass(timing::GATHER_TIMEOUT);
     trial.next();
-    trial.pass(timing::GATHER);
+    trial.pass(timing::GATHER_TIMEOUT);
     let (server, term) = trial.order().expect("one is there");
     trial.promotion.status(server, Some(leads(term, 8)));
     let open = trial.open();
@@ -280,7 +280,7 @@
 #[test]
 fn a_rival_is_waited_for() {
     let mut trial = trial(Reason::Rival);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.promotion.written(at(9), true);
     trial.closed(9);
     let follows = Status {
@@ -297,7 +297,7 @@
     trial.promotion.status(trial.near, Some(rival));
     // Nobody knows on which log the rival's term went on, so the last write may be missing there.
     assert_eq!(trial.order(), None);
-    trial.pass(timing::STILL);
+    trial.pass(timing::REPLICATION_IDLE);
     let after = Term { epoch: 1, count: 2 };
     assert_eq!(trial.order(), Some((trial.near, after)));
     trial.promotion.status(
@@ -315,14 +315,14 @@
 #[test]
 fn a_lost_answer_is_settled_by_the_status() {
     let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(7);
     trial.promotion.status(trial.near, Some(replica(7)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
     trial
         .promotion
         .promoted(trial.near, NEXT, Order::Unknown, trial.now);
-    trial.pass(timing::RETRY);
+    trial.pass(timing::RESEND_INTERVAL);
     assert_eq!(
         trial.order(),
         Some((trial.near, NEXT)),
@@ -337,14 +337,14 @@
 #[test]
 fn another_server_gets_another_term() {
     let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(7);
     trial.promotion.status(trial.near, Some(replica(8)));
     trial.promotion.status(trial.far, Some(replica(7)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial.pass(timing::CONFIRM);
+    trial.pass(timing::CONFIRM_TIMEOUT);
     assert_eq!(trial.order(), None);
-    trial.pass(timing::RETRY);
+    trial.pass(timing::RESEND_INTERVAL);
     let after = Term { epoch: 1, count: 2 };
     assert_eq!(trial.order(), Some((trial.far, after)));
 }
@@ -353,7 +353,7 @@
 #[test]
 fn a_refusal_leads_to_a_greater_term() {
     let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(7);
     trial.promotion.status(trial.near, Some(replica(7)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
@@ -366,7 +366,7 @@
         ..replica(7)
     };
     trial.promotion.status(trial.near, Some(knows));
-    trial.pass(timing::RETRY);
+    trial.pass(timing::RESEND_INTERVAL);
     let greater = Term { epoch: 1, count: 6 };
     assert_eq!(trial.order(), Some((trial.near, greater)));
 }
@@ -384,10 +384,10 @@
     assert_eq!(trial.next(), [], "writes go on while no replica is near");
     trial.promotion.status(trial.near, Some(replica(99)));
     assert_eq!(trial.next(), []);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(101);
     trial.promotion.status(trial.old, Some(leads(TERM, 102)));
-    trial.pass(timing::CATCH_UP);
+    trial.pass(timing::CATCH_UP_TIMEOUT);
     assert_eq!(trial.order(), None, "not all is there yet");
     trial.promotion.status(trial.near, Some(replica(102)));
     assert_eq!(trial.order(), Some((trial.near, NEXT)));
@@ -400,9 +400,9 @@
     trial.promotion.status(trial.old, Some(leads(TERM, 100)));
     trial.promotion.status(trial.near, Some(replica(99)));
     assert_eq!(trial.next(), []);
-    trial.close(trial.now + timing::LEASE);
+    trial.close(trial.now + timing::LEASE_DURATION);
     trial.closed(100);
     trial.next();
-    trial.pass(timing::CATCH_UP_PLANNED);
+    trial.pass(timing::SWITCHOVER_CATCH_UP_TIMEOUT);
     assert_eq!(trial.order(), Some((trial.old, NEXT)));
 }
--- a/crates/core/tests/refusal.rs
+++ b/crates/core/tests/refusal.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_page_lists_exactly_the_refusals_there_are() {
+fn the_page_lists_every_refusal_and_no_other() {
     let written: BTreeSet<&str> = PAGE
         .lines()
         .filter(|line| line.starts_with("| `") && line.matches('|').count() == 7)
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn every_refusal_has_a_sqlstate_of_its_own() {
+fn every_refusal_has_a_unique_sqlstate() {
     let states: BTreeSet<&str> = all().iter().map(Refusal::sqlstate).collect();
     assert_eq!(states.len(), all().len());
     let names: BTreeSet<&str> = all().iter().map(name).collect();
@@ -148,7 +148,7 @@
 /// A caller's program decides by the first characters whether it may repeat a request; a class
 /// that does not fit would make it double a bid.
 #[test]
-fn the_sqlstate_tells_whether_it_ran() {
+fn the_sqlstate_shows_whether_the_request_ran() {
     for refusal in all() {
         let state = refusal.sqlstate();
         let expected = match &state[..state.len().min(3)] {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn programs_and_people_are_told_when_to_come_back() {
+fn detail_and_hint_state_when_to_retry() {
     for refusal in all() {
         let waits = refusal.retry_after().is_some();
         assert_eq!(refusal.detail().contains("retry_after_ms="), waits);
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -6,7 +6,7 @@
 use flamingopost_core::rate::Rate;
 use flamingopost_core::refusal::Ran;
 use flamingopost_core::retry::budget::Budget;
-use flamingopost_core::retry::{self, Attempt, Failure, Next};
+use flamingopost_core::retry::{self, Attempt, Failure, RetryDecision};
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -14,75 +14,75 @@
 
 const FIRST: Attempt = Attempt {
     count: 1,
-    failure: Failure::Here,
+    failure: Failure::ThisServer,
     ran: Ran::No,
     repeatable: false,
     retries: 2,
     deadline: Duration::from_millis(100),
     expected: Duration::from_millis(5),
-    dice: 0,
+    random_bits: 0,
 };
 
-fn decide(attempt: Attempt) -> Next {
+fn decide(attempt: Attempt) -> RetryDecision {
     retry::decide(&attempt, &mut Budget::retries(), Duration::ZERO)
 }
 
 #[test]
-fn what_was_not_sent_is_tried_elsewhere_at_once() {
-    assert_eq!(decide(FIRST), Next::Again(Duration::ZERO));
+fn an_unsent_request_is_retried_on_another_server_at_once() {
+    assert_eq!(decide(FIRST), RetryDecision::Retry(Duration::ZERO));
 }
 
 /// The connection broke after a bid was sent. A retry could place it twice.
 #[test]
-fn what_may_have_run_is_repeated_only_when_it_may_run_twice() {
+fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
     let unknown = Attempt {
         ran: Ran::Unknown,
         ..FIRST
     };
-    assert_eq!(decide(unknown), Next::Tell);
+    assert_eq!(decide(unknown), RetryDecision::GiveUp);
     let repeatable = Attempt {
         repeatable: true,
         ..unknown
     };
-    assert_ne!(decide(repeatable), Next::Tell);
+    assert_ne!(decide(repeatable), RetryDecision::GiveUp);
     let ran = Attempt {
         ran: Ran::Yes,
         ..repeatable
     };
-    assert_eq!(decide(ran), Next::Tell);
+    assert_eq!(decide(ran), RetryDecision::GiveUp);
 }
 
 #[test]
-fn what_no_attempt_can_mend_is_told_at_once() {
+fn a_permanent_failure_is_not_retried() {
     let always = Attempt {
-        failure: Failure::Always,
+        failure: Failure::Permanent,
         ..FIRST
     };
-    assert_eq!(decide(always), Next::Tell);
+    assert_eq!(decide(always), RetryDecision::GiveUp);
 }
 
 #[test]
-fn nothing_is_tried_past_its_rule_or_deadline() {
+fn no_retry_exceeds_the_rule_or_the_deadline() {
     let third = Attempt { count: 3, ..FIRST };
-    assert_eq!(decide(third), Next::Tell);
+    assert_eq!(decide(third), RetryDecision::GiveUp);
     let late = Attempt {
         expected: ms(101),
         ..FIRST
     };
-    assert_eq!(decide(late), Next::Tell);
+    assert_eq!(decide(late), RetryDecision::GiveUp);
 }
 
 /// During a promotion every host's writes fail in the same instant. If all came back in step they
 /// would hit the new primary as one.
 #[test]
-fn waits_are_spread() {
-    let wait = |dice| match decide(Attempt {
-        failure: Failure::Everywhere,
-        dice,
+fn backoff_is_jittered() {
+    let wait = |random_bits| match decide(Attempt {
+        failure: Failure::AllServers,
+        random_bits,
         ..FIRST
     }) {
-        Next::Again(wait) => wait,
-        Next::Tell => Duration::ZERO,
+        RetryDecision::Retry(wait) => wait,
+        RetryDecision::GiveUp => Duration::ZERO,
     };
     assert_eq!(wait(0), ms(5));
     assert!(wait(1023) > ms(9) && wait(1023) < ms(10));
@@ -95,12 +95,12 @@
     let mut budget = Budget::retries();
     let mut retries = 0;
     for _ in 0..1000 {
-        budget.fill();
+        budget.record_request();
         let attempt = Attempt {
             retries: 3,
             ..FIRST
         };
-        if retry::decide(&attempt, &mut budget, Duration::ZERO) != Next::Tell {
+        if retry::decide(&attempt, &mut budget, Duration::ZERO) != RetryDecision::GiveUp {
             retries += 1;
         }
     }
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_hedge_waits_for_what_most_answers_take() {
+fn a_hedge_waits_for_the_95th_percentile() {
     let mut hedge = Hedge::default();
     assert_eq!(hedge.wait(ms(1)), None, "nothing was learnt yet");
     for count in 0..4000u64 {
@@ -123,7 +123,7 @@
 /// The first answers of a service come with new connections and are slow. They must not keep hedges
 /// away for long.
 #[test]
-fn slow_answers_at_the_start_are_forgotten() {
+fn slow_initial_answers_are_forgotten() {
     let mut hedge = Hedge::default();
     (0..10).for_each(|_| hedge.record(ms(3000)));
     (0..144).for_each(|_| hedge.record(ms(4)));
@@ -139,14 +139,14 @@
     let mut budget = Budget::hedges();
     let mut sent = 0;
     for _ in 0..1000 {
-        budget.fill();
+        budget.record_request();
         sent += u32::from(hedge.send(&mut budget));
     }
     assert!((50..=60).contains(&sent), "{sent}");
 }
 
 #[test]
-fn a_rate_lets_its_number_through_and_says_when_the_next_passes() {
+fn a_rate_limits_requests_and_reports_when_the_next_one_passes() {
     let mut rate = Rate::new(100, Duration::ZERO);
     let mut passed = 0;
     for step in 0..10_000 {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_rate_of_none_lets_nothing_through() {
+fn a_rate_of_zero_refuses_every_request() {
     let mut rate = Rate::new(0, Duration::ZERO);
     let first = rate.take(Duration::ZERO).is_ok();
     assert!(!first);
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use flamingopost_core::directory::Directory;
-use flamingopost_core::health::Standing;
+use flamingopost_core::health::HealthState;
 use flamingopost_core::key::{ServerKey, ZoneKey};
 use flamingopost_core::position::Position;
 use flamingopost_core::refusal::Refusal;
-use flamingopost_core::route::server::{Facts, Fresh, Status};
-use flamingopost_core::route::{Ask, LEAVING_GRACE, Part, Route, Table};
+use flamingopost_core::route::server::{Freshness, ServerSettings, Status};
+use flamingopost_core::route::{LEAVING_GRACE, ReadRequest, Route, Table, TargetRole};
 use flamingopost_core::session::need::Need;
 use flamingopost_core::term::Term;
 use flamingopost_core::view::{Service, State};
@@ -26,7 +26,7 @@
 /// Three servers in three zones; the host is in the zone of `near`, the primary is `primary`.
 struct Scene {
     table: Table,
-    facts: BTreeMap<ServerKey, Facts>,
+    settings: BTreeMap<ServerKey, ServerSettings>,
     primary: ServerKey,
     near: ServerKey,
     far: ServerKey,
@@ -37,40 +37,40 @@
         let mut names = Directory::default();
         let zones = ["dumdum", "saltlake", "garia"].map(|zone| names.zones.intern(zone));
         let [primary, near, far] = ["one", "two", "three"].map(|name| names.servers.intern(name));
-        let fact = |zone: ZoneKey| Facts {
+        let fact = |zone: ZoneKey| ServerSettings {
             zone,
             slots: 2,
             distance: ms(3),
             leaving: false,
         };
-        let facts = BTreeMap::from([
+        let settings = BTreeMap::from([
             (primary, fact(zones[0])),
             (near, fact(zones[1])),
             (far, fact(zones[2])),
         ]);
         let mut table = Table::new(zones[1]);
-        table.configure(&facts, NOW);
+        table.configure(&settings, NOW);
         table.adopt(open(TERM, primary), NOW);
-        table.lease(TERM, LEASE_END);
+        table.extend_lease(TERM, LEASE_END);
         let mut scene = Scene {
             table,
-            facts,
+            settings,
             primary,
             near,
             far,
         };
-        scene.tell(primary, 100, 0);
-        scene.tell(near, 100, 50);
-        scene.tell(far, 100, 50);
+        scene.report(primary, 100, 0);
+        scene.report(near, 100, 50);
+        scene.report(far, 100, 50);
         scene
     }
 
-    fn tell(&mut self, server: ServerKey, log: u64, age: u64) {
-        self.tell_at(server, log, age, NOW);
+    fn report(&mut self, server: ServerKey, log: u64, age: u64) {
+        self.report_at(server, log, age, NOW);
     }
 
-    fn tell_at(&mut self, server: ServerKey, log: u64, age: u64, now: Duration) {
-        let fresh = Some(Fresh {
+    fn report_at(&mut self, server: ServerKey, log: u64, age: u64, now: Duration) {
+        let fresh = Some(Freshness {
             term: TERM,
             age: ms(age),
         });
@@ -84,12 +84,12 @@
     }
 
     fn read_at(&self, need: Need, now: Duration) -> Route {
-        let ask = Ask {
+        let request = ReadRequest {
             need,
-            patience: Duration::ZERO,
-            dice: 7,
+            max_wait: Duration::ZERO,
+            random_bits: 7,
         };
-        self.table.read(&ask, now)
+        self.table.read(&request, now)
     }
 }
 
@@ -113,46 +113,46 @@
 fn replica(server: ServerKey) -> Route {
     Route::Go {
         server,
-        part: Part::Replica,
+        part: TargetRole::Replica,
     }
 }
 
 fn primary(server: ServerKey) -> Route {
     Route::Go {
         server,
-        part: Part::Primary(TERM),
+        part: TargetRole::Primary(TERM),
     }
 }
 
 #[test]
-fn reads_go_near_then_far_then_to_the_primary() {
+fn reads_prefer_the_local_zone_then_other_zones_then_the_primary() {
     let mut scene = Scene::new();
     assert_eq!(scene.read(after(100)), replica(scene.near));
-    scene.tell(scene.near, 90, 50);
+    scene.report(scene.near, 90, 50);
     assert_eq!(scene.read(after(100)), replica(scene.far));
-    scene.tell(scene.far, 90, 50);
+    scene.report(scene.far, 90, 50);
     assert_eq!(scene.read(after(100)), primary(scene.primary));
     assert_eq!(scene.read(after(90)), replica(scene.near));
 }
 
 #[test]
-fn a_read_waits_for_a_replica_that_is_about_to_have_the_position() {
+fn a_read_waits_for_a_replica_that_is_about_to_reach_the_position() {
     let mut scene = Scene::new();
-    scene.tell_at(scene.near, 150, 50, NOW + ms(100));
-    let ask = |patience| Ask {
+    scene.report_at(scene.near, 150, 50, NOW + ms(100));
+    let request = |max_wait| ReadRequest {
         need: after(155),
-        patience,
-        dice: 7,
+        max_wait,
+        random_bits: 7,
     };
     let now = NOW + ms(101);
-    let route = scene.table.read(&ask(ms(50)), now);
+    let route = scene.table.read(&request(ms(50)), now);
     assert_eq!(route, Route::Wait { wait: ms(9) });
-    let route = scene.table.read(&ask(ms(5)), now);
+    let route = scene.table.read(&request(ms(5)), now);
     assert_eq!(route, primary(scene.primary));
 }
 
 #[test]
-fn a_crowded_replica_near_by_yields_to_an_idle_one_elsewhere() {
+fn an_idle_remote_replica_is_preferred_to_a_busy_local_one() {
     let mut scene = Scene::new();
     for _ in 0..12 {
         scene.table.started(scene.near, NOW);
@@ -164,12 +164,12 @@
 /// probes, but says how long it has not heard from its primary. What became too old is refused,
 /// the rest is served.
 #[test]
-fn a_cut_off_zone_refuses_what_is_too_old_and_serves_the_rest() {
+fn a_partitioned_zone_refuses_only_reads_that_need_newer_data() {
     let mut scene = Scene::new();
     let now = LEASE_END + ms(500);
     scene.table.unreachable(scene.primary, now);
     scene.table.unreachable(scene.far, now);
-    scene.tell_at(scene.near, 100, 400, now);
+    scene.report_at(scene.near, 100, 400, now);
     assert!(matches!(
         scene.read_at(aged(450), now),
         Route::Refuse(Refusal::DataTooOld { age: Some(age), .. }) if age == ms(500)
@@ -188,7 +188,7 @@
     let now = LEASE_END + ms(100);
     scene.table.unreachable(scene.near, now);
     scene.table.unreachable(scene.far, now);
-    scene.tell_at(scene.primary, 120, 0, now);
+    scene.report_at(scene.primary, 120, 0, now);
     assert_eq!(scene.read_at(aged(150), now), replica(scene.primary));
     assert!(matches!(
         scene.read_at(aged(50), now),
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_session_that_brought_nothing_is_served_by_a_replica_once_its_data_are_proven_newer() {
+fn a_session_without_a_position_reads_from_a_replica_proven_current_since_its_start() {
     let mut scene = Scene::new();
     let need = Need::Since {
         began: NOW + ms(1),
@@ -209,26 +209,26 @@
     };
     assert_eq!(scene.read(need), primary(scene.primary));
     let later = NOW + ms(100);
-    scene.tell_at(scene.near, 101, 40, later);
+    scene.report_at(scene.near, 101, 40, later);
     assert_eq!(scene.read_at(need, later), replica(scene.near));
 }
 
 /// A primary that was replaced holds writes that no later term has. Nobody may read them from it,
 /// whatever its position says.
 #[test]
-fn nothing_is_read_from_a_divergent_log() {
+fn no_read_goes_to_a_divergent_log() {
     let mut scene = Scene::new();
-    scene.tell(scene.primary, 130, 0);
+    scene.report(scene.primary, 130, 0);
     let mut service = open(NEXT, scene.near);
     service.history.open(TERM, 0);
     service.history.open(NEXT, 100);
     scene.table.adopt(service, NOW);
-    scene.table.lease(NEXT, LEASE_END);
+    scene.table.extend_lease(NEXT, LEASE_END);
     scene.table.unreachable(scene.far, NOW);
     let any = Need::Any { max_age: None };
     let to_new = Route::Go {
         server: scene.near,
-        part: Part::Primary(NEXT),
+        part: TargetRole::Primary(NEXT),
     };
     assert_eq!(scene.read(any), to_new);
 }
@@ -238,7 +238,7 @@
 #[test]
 fn a_late_status_does_not_undo_a_newer_one() {
     let mut scene = Scene::new();
-    scene.tell_at(scene.near, 90, 50, NOW + ms(10));
+    scene.report_at(scene.near, 90, 50, NOW + ms(10));
     let old = Status {
         position: Position {
             term: TERM,
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_closed_term_takes_no_writes_and_replicas_go_on() {
+fn a_closed_term_refuses_writes_and_replicas_still_serve_reads() {
     let mut scene = Scene::new();
     scene
         .table
@@ -266,19 +266,19 @@
 /// An operator empties a server. Reads leave it at once; writes to a leaving primary go on only
 /// for the grace in which the controller moves the term.
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn a_leaving_server_gets_no_new_work() {
     let mut scene = Scene::new();
     for server in [scene.near, scene.primary] {
-        scene.facts.get_mut(&server).unwrap().leaving = true;
+        scene.settings.get_mut(&server).unwrap().leaving = true;
     }
-    scene.table.configure(&scene.facts, NOW);
+    scene.table.configure(&scene.settings, NOW);
     assert_eq!(scene.read(after(100)), replica(scene.far));
     assert_eq!(
         scene.table.write(NOW + LEAVING_GRACE),
         primary(scene.primary)
     );
     let later = NOW + LEAVING_GRACE + ms(1);
-    scene.table.lease(TERM, later + ms(1000));
+    scene.table.extend_lease(TERM, later + ms(1000));
     assert!(matches!(
         scene.table.write(later),
         Route::Refuse(Refusal::NoPrimary { .. })
@@ -287,16 +287,16 @@
 
 #[test]
 #[should_panic(expected = "no_new_work")]
-fn work_on_a_server_that_left_is_caught() {
+fn work_on_a_leaving_server_violates_the_invariant() {
     let mut scene = Scene::new();
-    scene.facts.get_mut(&scene.near).unwrap().leaving = true;
-    scene.table.configure(&scene.facts, NOW);
+    scene.settings.get_mut(&scene.near).unwrap().leaving = true;
+    scene.table.configure(&scene.settings, NOW);
     scene.table.started(scene.near, NOW + LEAVING_GRACE + ms(1));
 }
 
 #[test]
 #[should_panic(expected = "read_your_writes")]
-fn a_read_answered_from_older_data_is_caught() {
+fn a_read_answered_from_older_data_violates_the_invariant() {
     let scene = Scene::new();
     scene.table.check_read(
         &after(100),
@@ -311,19 +311,19 @@
 /// while. Lot views with an age limit must not all move to the primary for it: the answers
 /// themselves show that the replica has what the primary had.
 #[test]
-fn a_replica_without_probes_proves_itself_by_its_answers() {
+fn answers_prove_a_replica_current_without_probes() {
     let mut scene = Scene::new();
-    let told = |log| Status {
+    let status = |log| Status {
         position: Position { term: TERM, log },
         fresh: None,
     };
     let asked = NOW + ms(1000);
     let now = asked + ms(5);
-    scene.table.status(scene.primary, told(200), asked, now);
+    scene.table.status(scene.primary, status(200), asked, now);
     let later = NOW + ms(1100);
-    scene.table.status(scene.near, told(199), later, later);
+    scene.table.status(scene.near, status(199), later, later);
     assert_eq!(scene.read_at(aged(150), later), primary(scene.primary));
-    scene.table.status(scene.near, told(200), later, later);
+    scene.table.status(scene.near, status(200), later, later);
     assert_eq!(scene.read_at(aged(150), later), replica(scene.near));
     assert_eq!(scene.read_at(aged(50), later), primary(scene.primary));
 }
@@ -333,12 +333,12 @@
 fn a_primary_without_a_lease_proves_nothing() {
     let mut scene = Scene::new();
     let now = LEASE_END + ms(200);
-    let told = |log| Status {
+    let status = |log| Status {
         position: Position { term: TERM, log },
         fresh: None,
     };
-    scene.table.status(scene.primary, told(200), now, now);
-    scene.table.status(scene.near, told(200), now, now);
+    scene.table.status(scene.primary, status(200), now, now);
+    scene.table.status(scene.near, status(200), now, now);
     assert!(matches!(
         scene.read_at(aged(300), now),
         Route::Refuse(Refusal::DataTooOld { .. })
@@ -348,31 +348,31 @@
 #[test]
 fn a_replica_set_aside_serves_only_when_nothing_else_can() {
     let mut scene = Scene::new();
-    scene.table.set_standing(scene.near, Standing::Aside);
+    scene.table.set_health(scene.near, HealthState::Aside);
     assert_eq!(scene.read(after(100)), replica(scene.far));
-    scene.tell(scene.far, 10, 50);
+    scene.report(scene.far, 10, 50);
     assert_eq!(scene.read(after(100)), replica(scene.near));
 }
 
 #[test]
-fn a_replica_on_trial_gets_a_trickle() {
+fn a_replica_on_trial_gets_one_read_in_sixteen() {
     let mut scene = Scene::new();
-    scene.table.set_standing(scene.near, Standing::Trial);
+    scene.table.set_health(scene.near, HealthState::Trial);
     let near = (0..1600)
-        .filter(|dice| {
-            let ask = Ask {
+        .filter(|random_bits| {
+            let request = ReadRequest {
                 need: after(100),
-                patience: Duration::ZERO,
-                dice: *dice,
+                max_wait: Duration::ZERO,
+                random_bits: *random_bits,
             };
-            scene.table.read(&ask, NOW) == replica(scene.near)
+            scene.table.read(&request, NOW) == replica(scene.near)
         })
         .count();
     assert_eq!(near, 100);
 }
 
 #[test]
-fn a_position_that_nobody_has_is_refused_with_a_time_to_come_back() {
+fn a_position_that_no_server_has_reached_is_refused_with_a_retry_time() {
     let mut scene = Scene::new();
     scene.table.unreachable(scene.primary, NOW);
     let Route::Refuse(refusal) = scene.read(after(200)) else {
@@ -385,19 +385,19 @@
 /// A read on the cheapest replica is late, and its copy must not go to the same one: with two
 /// replicas the pick would always fall on it again.
 #[test]
-fn a_copy_goes_to_another_replica() {
+fn a_hedge_goes_to_another_replica() {
     let scene = Scene::new();
-    let ask = Ask {
+    let request = ReadRequest {
         need: after(100),
-        patience: Duration::ZERO,
-        dice: 7,
+        max_wait: Duration::ZERO,
+        random_bits: 7,
     };
     let (near, far) = (scene.near, scene.far);
-    assert_eq!(scene.table.other(&ask, near, NOW), Some(far));
-    assert_eq!(scene.table.other(&ask, far, NOW), Some(near));
-    let newer = Ask {
+    assert_eq!(scene.table.hedge_target(&request, near, NOW), Some(far));
+    assert_eq!(scene.table.hedge_target(&request, far, NOW), Some(near));
+    let newer = ReadRequest {
         need: after(101),
-        ..ask
+        ..request
     };
-    assert_eq!(scene.table.other(&newer, near, NOW), None);
+    assert_eq!(scene.table.hedge_target(&newer, near, NOW), None);
 }
--- a/crates/core/tests/suspicion.rs
+++ b/crates/core/tests/suspicion.rs
@@ -55,7 +55,7 @@
     Report {
         failures: 4,
         broken: 4,
-        silent: Some(timing::SUSPICION),
+        silent: Some(timing::SUSPICION_TIMEOUT),
     }
 }
 
@@ -131,7 +131,7 @@
         fleet.report(host, broken(), soon);
     }
     assert_eq!(fleet.verdict(soon), Verdict::Reachable);
-    let later = secs(10) + timing::ONE_ZONE;
+    let later = secs(10) + timing::SINGLE_ZONE_WAIT;
     for host in [0, 3] {
         fleet.report(host, broken(), later);
     }
@@ -143,7 +143,10 @@
 fn old_reports_do_not_count() {
     let mut fleet = fleet();
     (0..6).for_each(|host| fleet.report(host, broken(), secs(10)));
-    assert_eq!(fleet.verdict(secs(10) + timing::REPORT), Verdict::Reachable);
+    assert_eq!(
+        fleet.verdict(secs(10) + timing::REPORT_MAX_AGE),
+        Verdict::Reachable
+    );
 }
 
 /// Two servers that fail in turn are promoted back and forth, and no write gets through.
--- a/crates/entry/src/admin/explain.rs
+++ b/crates/entry/src/admin/explain.rs
@@ -2,7 +2,7 @@
 
 use flamingopost_core::directory::Directory;
 use flamingopost_core::key::CallerKey;
-use flamingopost_core::route::{self, Ask, Part};
+use flamingopost_core::route::{self, ReadRequest, TargetRole};
 use flamingopost_core::rule::{Access, Request};
 use flamingopost_core::session::Session;
 use flamingopost_core::statement::Statement;
@@ -88,13 +88,13 @@
         match session.need(then.target, then.max_age, marker, table.history()) {
             Err(refusal) => route::Route::Refuse(refusal),
             Ok(need) => {
-                let patience = choice.deadline(&statement.marker);
-                let dice = rand::random();
+                let max_wait = choice.deadline(&statement.marker);
+                let random_bits = rand::random();
                 table.read(
-                    &Ask {
+                    &ReadRequest {
                         need,
-                        patience,
-                        dice,
+                        max_wait,
+                        random_bits,
                     },
                     now,
                 )
@@ -113,8 +113,8 @@
                 .unwrap_or_default()
                 .to_owned(),
             part: match part {
-                Part::Primary(term) => format!("primary of {term}"),
-                Part::Replica => "replica".to_owned(),
+                TargetRole::Primary(term) => format!("primary of {term}"),
+                TargetRole::Replica => "replica".to_owned(),
             },
         },
         route::Route::Wait { wait } => Route::Wait {
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -6,7 +6,7 @@
 use flamingopost_core::once::keyed::{Keyed, Next as KeyedNext};
 use flamingopost_core::refusal::{Doubt, Ran, Refusal};
 use flamingopost_core::retry::{self, Failure};
-use flamingopost_core::route::Part;
+use flamingopost_core::route::TargetRole;
 use flamingopost_core::rule::Ack;
 use flamingopost_core::session::need::Need;
 use flamingopost_core::statement::Action;
@@ -147,17 +147,17 @@
                 retries,
                 deadline: treatment.deadline,
                 expected: Duration::ZERO,
-                dice: rand::random(),
+                random_bits: rand::random(),
             };
             match self.service.retry(&attempt) {
-                retry::Next::Again(wait) => {
+                retry::RetryDecision::Retry(wait) => {
                     let safe = ran == Ran::No || treatment.then.repeatable;
                     invariant::check(Invariant::AtMostOnce, safe, || {
                         format!("sent again after {refusal}")
                     });
                     tokio::time::sleep(wait).await;
                 }
-                retry::Next::Tell => {
+                retry::RetryDecision::GiveUp => {
                     let truthful = refusal.ran() != Ran::No || ran == Ran::No;
                     invariant::check(Invariant::TrueRefusal, truthful, || {
                         format!("{refusal} is told of a request that may have run")
@@ -186,7 +186,7 @@
             Err(pool::Error::Connect(error)) => {
                 self.service.stumbled(found.server, &error);
                 return Ok(Outcome::Failed {
-                    failure: Failure::Here,
+                    failure: Failure::ThisServer,
                     ran: Ran::No,
                     refusal: Refusal::NoServer {
                         retry_after: UNREACHABLE,
@@ -261,7 +261,7 @@
         Ok(match settled {
             Settled::Given => Outcome::Answered(by),
             Settled::Elsewhere(refusal) => Outcome::Failed {
-                failure: Failure::Everywhere,
+                failure: Failure::AllServers,
                 ran: refusal.ran(),
                 refusal,
             },
@@ -297,7 +297,7 @@
             held.release();
         }
         match (next, part) {
-            (KeyedNext::Done { .. }, Part::Primary(term)) => {
+            (KeyedNext::Done { .. }, TargetRole::Primary(term)) => {
                 self.commit_keyed(term, position, &progress, treatment)
                     .await?;
                 Ok(Outcome::Answered(By::Primary))
@@ -314,7 +314,7 @@
                 self.front.out.truncate(mark);
                 // The key makes another run from the start safe, whatever became of this one.
                 Ok(Outcome::Failed {
-                    failure: Failure::Here,
+                    failure: Failure::ThisServer,
                     ran: Ran::No,
                     refusal,
                 })
@@ -354,13 +354,13 @@
         self.front.out.truncate(mark);
         if !progress.sent {
             return Ok(Outcome::Failed {
-                failure: Failure::Here,
+                failure: Failure::ThisServer,
                 ran: Ran::No,
                 refusal: unsent(doubt),
             });
         }
         Ok(Outcome::Failed {
-            failure: Failure::Here,
+            failure: Failure::ThisServer,
             ran: Ran::Unknown,
             refusal: Refusal::OutcomeUnknown { doubt },
         })
@@ -369,8 +369,8 @@
     fn still_fits(&self, found: &Found, request: &Request) -> bool {
         let begins = self.service.takes_work(found.server);
         let leads = match found.part {
-            Part::Primary(term) => self.service.may_write(found.server, term),
-            Part::Replica => true,
+            TargetRole::Primary(term) => self.service.may_write(found.server, term),
+            TargetRole::Replica => true,
         };
         // A read that was sent to the primary for lack of replicas may go on without the lease
         // if its need does not ask for it.
@@ -404,9 +404,9 @@
     begins || request.access() == Access::Write || request.session_state() == SessionState::Pinned
 }
 
-fn by(part: Part) -> By {
+fn by(part: TargetRole) -> By {
     match part {
-        Part::Primary(_) => By::Primary,
-        Part::Replica => By::Replica,
+        TargetRole::Primary(_) => By::Primary,
+        TargetRole::Replica => By::Replica,
     }
 }
--- a/crates/entry/src/answer/kept.rs
+++ b/crates/entry/src/answer/kept.rs
@@ -1,7 +1,7 @@
 //! Requests on the connection that a session keeps, and what is told when it is lost.
 
 use flamingopost_core::refusal::{Doubt, Refusal};
-use flamingopost_core::route::Part;
+use flamingopost_core::route::TargetRole;
 use flamingopost_core::rule::Access;
 use flamingopost_core::session::state::Transaction;
 use flamingopost_core::statement::Action;
@@ -92,10 +92,10 @@
     }
 
     /// Whether `part` is still what the connection's server was when the session came to it.
-    fn still_leads(&self, part: Part) -> bool {
+    fn still_leads(&self, part: TargetRole) -> bool {
         match part {
-            Part::Primary(term) => self.service.leads(term),
-            Part::Replica => true,
+            TargetRole::Primary(term) => self.service.leads(term),
+            TargetRole::Replica => true,
         }
     }
 }
--- a/crates/entry/src/gate.rs
+++ b/crates/entry/src/gate.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flamingopost_core::admission::ticket::Ticket;
-use flamingopost_core::admission::{self, End, Next};
+use flamingopost_core::admission::{self, Admission, Completion};
 use flamingopost_core::clock::Clock;
 use flamingopost_core::key::{ClassKey, CustomerKey};
 use flamingopost_core::refusal::Refusal;
@@ -45,7 +45,7 @@
 pub struct Pass {
     gate: Arc<Gate>,
     id: u64,
-    end: End,
+    end: Completion,
 }
 
 /// A request in the queue; leaves it when dropped.
@@ -96,7 +96,7 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         let id = inner.number();
-        inner.gate.resume(id, class, now);
+        inner.gate.start_now(id, class, now);
         drop(inner);
         self.pass(id)
     }
@@ -110,7 +110,7 @@
     pub fn allow(&self, connections: u16) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let next = inner.gate.allow(connections, now);
+        let next = inner.gate.set_connections(connections, now);
         inner.tell_all(next);
     }
 
@@ -171,7 +171,7 @@
         Pass {
             gate: Arc::clone(self),
             id,
-            end: End::Failed,
+            end: Completion::Failed,
         }
     }
 
@@ -186,7 +186,7 @@
         self.last
     }
 
-    fn tell_all(&mut self, next: Vec<Next>) {
+    fn tell_all(&mut self, next: Vec<Admission>) {
         for step in next {
             let (id, verdict) = split(step);
             self.tell(id, verdict);
@@ -201,10 +201,10 @@
     }
 }
 
-fn split(step: Next) -> (u64, Verdict) {
+fn split(step: Admission) -> (u64, Verdict) {
     match step {
-        Next::Start(id) => (id, Ok(())),
-        Next::Refuse(id, refusal) => (id, Err(refusal)),
+        Admission::Start(id) => (id, Ok(())),
+        Admission::Refuse(id, refusal) => (id, Err(refusal)),
     }
 }
 
@@ -242,7 +242,7 @@
         let mut inner = self.gate.lock();
         inner.waiting.remove(&self.id);
         let mut next = inner.gate.abandon(self.id, now);
-        next.extend(inner.gate.finish(self.id, End::Failed, now));
+        next.extend(inner.gate.finish(self.id, Completion::Failed, now));
         inner.tell_all(next);
     }
 }
@@ -250,7 +250,7 @@
 impl Pass {
     /// The server answered, so the time taken says something about it.
     pub fn answered(mut self) {
-        self.end = End::Answered;
+        self.end = Completion::Answered;
     }
 }
 
--- a/crates/entry/src/hedge.rs
+++ b/crates/entry/src/hedge.rs
@@ -4,7 +4,7 @@
 use std::mem;
 use std::time::Duration;
 
-use flamingopost_core::route::Part;
+use flamingopost_core::route::TargetRole;
 
 use crate::attempt::Fault;
 use crate::exchange::{self, End, Progress, Sent};
@@ -153,6 +153,6 @@
     let safe = request.only_reads()
         && treatment.then.repeatable
         && request.end != request::End::Flush
-        && held.part == Part::Replica;
+        && held.part == TargetRole::Replica;
     safe.then_some(rule)
 }
--- a/crates/entry/src/held.rs
+++ b/crates/entry/src/held.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use flamingopost_core::position::Position;
-use flamingopost_core::route::Part;
+use flamingopost_core::route::TargetRole;
 use flamingopost_core::rule::Ack;
 use flamingopost_core::session::need::Need;
 use pgwire::messages::response::TransactionStatus;
@@ -21,7 +21,7 @@
     pub lent: Lent,
     /// What its server was when the session came to it. A transaction belongs to this term; it
     /// is never carried into another.
-    pub part: Part,
+    pub part: TargetRole,
     /// What the first statement asked of the server's data.
     pub need: Need,
     /// Whether something that may write ran since the last commit.
--- a/crates/entry/src/link/renewal.rs
+++ b/crates/entry/src/link/renewal.rs
@@ -46,7 +46,7 @@
         note_lapses(&link, &turns);
         show(&link);
         tokio::select! {
-            () = tokio::time::sleep(jittered(timing::RENEWAL)) => {}
+            () = tokio::time::sleep(jittered(timing::RENEWAL_INTERVAL)) => {}
             () = link.shared.renewal_wanted() => tokio::time::sleep(LEAST).await,
             () = link.shared.stop().stopped() => return,
         }
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flamingopost_core::key::ServerKey;
-use flamingopost_core::route::server::Fresh;
+use flamingopost_core::route::server::Freshness;
 use flamingopost_core::session::state::State;
 use flamingopost_core::term::Term;
 use flamingopost_daemon::event::Event as _;
@@ -116,10 +116,10 @@
     }
 }
 
-fn fresh(row: &[Option<String>]) -> Option<Fresh> {
+fn fresh(row: &[Option<String>]) -> Option<Freshness> {
     let number = |column: usize| row.get(column)?.as_ref()?.parse::<i64>().ok();
     let age = u64::try_from(number(AGE_COLUMN)?).ok()?;
-    Some(Fresh {
+    Some(Freshness {
         term: Term::from_number(number(TERM_COLUMN)?),
         age: Duration::from_millis(age),
     })
--- a/crates/entry/src/seek.rs
+++ b/crates/entry/src/seek.rs
@@ -4,7 +4,7 @@
 
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::refusal::Refusal;
-use flamingopost_core::route::{Ask, Part, Route};
+use flamingopost_core::route::{ReadRequest, Route, TargetRole};
 use flamingopost_core::session::need::Need;
 
 use crate::answer::needs_primary;
@@ -23,7 +23,7 @@
     /// The server.
     pub server: ServerKey,
     /// What it is to the request.
-    pub part: Part,
+    pub part: TargetRole,
     /// What the request asks of its data.
     pub need: Need,
 }
@@ -74,13 +74,13 @@
             let age = treatment.max_age;
             let history = table.history();
             let need = session.need(then.target, then.max_age, age, history).ok()?;
-            let ask = Ask {
+            let ask = ReadRequest {
                 need,
-                patience: Duration::ZERO,
-                dice: rand::random(),
+                max_wait: Duration::ZERO,
+                random_bits: rand::random(),
             };
-            let server = table.other(&ask, taken, now)?;
-            let part = Part::Replica;
+            let server = table.hedge_target(&ask, taken, now)?;
+            let part = TargetRole::Replica;
             Some(Found { server, part, need })
         })
     }
@@ -106,10 +106,10 @@
             // Counted from the arrival: a share of what is left would never be used up.
             let allowed = treatment.deadline.saturating_sub(treatment.arrived);
             let patient = treatment.arrived + allowed / PATIENCE_SHARE;
-            let ask = Ask {
+            let ask = ReadRequest {
                 need,
-                patience: patient.saturating_sub(now),
-                dice: rand::random(),
+                max_wait: patient.saturating_sub(now),
+                random_bits: rand::random(),
             };
             Ok((need, table.read(&ask, now)))
         })
