--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use flamingopost_core::fleet::{Fleet, Server};
-use flamingopost_core::health::{Panel, Standing};
+use flamingopost_core::health::{HealthState, ReplicaHealth};
 use flamingopost_core::hedge::Hedge;
 use flamingopost_core::key::{ServerKey, ServiceKey, ZoneKey};
 use flamingopost_core::lease::Leader;
 use flamingopost_core::position::Position;
 use flamingopost_core::retry::budget::Budget;
 use flamingopost_core::retry::{self, Attempt};
-use flamingopost_core::route::server::{Facts, Fresh, Status};
+use flamingopost_core::route::server::{Freshness, ServerSettings, Status};
 use flamingopost_core::route::{LEAVING_GRACE, Table};
 use flamingopost_core::term::Term;
 use tokio::sync::watch;
@@ -68,7 +68,7 @@
     synced: Option<Synced>,
     retries: Budget,
     /// How fast its replicas answer, compared with each other.
-    panel: Panel,
+    panel: ReplicaHealth,
     hedge: Hedge,
     hedges: Budget,
     /// Parameters that its servers report at start-up.
@@ -96,7 +96,7 @@
             ways: BTreeMap::new(),
             synced: None,
             retries: Budget::retries(),
-            panel: Panel::default(),
+            panel: ReplicaHealth::default(),
             hedge: Hedge::default(),
             hedges: Budget::hedges(),
             parameters: Arc::default(),
@@ -153,7 +153,7 @@
 
     /// Notes what `back` told of its server in answer to something sent at `sent`; `fresh` where
     /// it told how current its data are.
-    pub fn heard(&self, back: &Back, fresh: Option<Fresh>, sent: Duration) {
+    pub fn heard(&self, back: &Back, fresh: Option<Freshness>, sent: Duration) {
         self.shared
             .report(back.server, Outcome::Answered(back.position));
         let Some(position) = back.position else {
@@ -210,7 +210,7 @@
     /// enough was learnt.
     pub fn hedge_wait(&self, rule: Duration) -> Option<Duration> {
         let mut state = self.lock();
-        state.hedges.fill();
+        state.hedges.record_request();
         state.hedge.wait(rule)
     }
 
@@ -231,19 +231,19 @@
         let distance = self.with_table(|table, _| {
             table.finished(server, took);
             let known = table.servers().get(&server);
-            known.map(|known| known.facts.distance)
+            known.map(|known| known.settings.distance)
         });
         if let (Some(took), Some(distance)) = (took, distance)
             && Some(server) != self.leading()
         {
             let took = took.saturating_sub(distance);
-            self.lock().panel.answered(server, took);
+            self.lock().panel.record(server, took);
         }
     }
 
     /// Sets slow replicas aside and takes them back; to be called a few times a second. Returns
     /// what changed.
-    pub fn judge(&self) -> Vec<(ServerKey, Standing)> {
+    pub fn judge(&self) -> Vec<(ServerKey, HealthState)> {
         let primary = self.leading();
         let mut busy = (0, 0);
         for (key, way) in self.ways() {
@@ -256,12 +256,12 @@
         let mut state = self.lock();
         if let Some(primary) = primary {
             state.panel.remove(primary);
-            state.table.set_standing(primary, Standing::Full);
+            state.table.set_health(primary, HealthState::Full);
         }
         let busy = busy.0 as f64 / f64::from(u32::try_from(busy.1.max(1)).unwrap_or(u32::MAX));
-        let changed = state.panel.judge(busy, now);
+        let changed = state.panel.evaluate(busy, now);
         for (server, standing) in &changed {
-            state.table.set_standing(*server, *standing);
+            state.table.set_health(*server, *standing);
         }
         changed
     }
@@ -276,11 +276,11 @@
 
     /// Notes the first attempt at a request, which pays into the budget of retries.
     pub fn tell_first_attempt(&self) {
-        self.lock().retries.fill();
+        self.lock().retries.record_request();
     }
 
     /// Whether a failed attempt is followed by another.
-    pub fn retry(&self, attempt: &Attempt) -> retry::Next {
+    pub fn retry(&self, attempt: &Attempt) -> retry::RetryDecision {
         let now = self.shared.now();
         retry::decide(attempt, &mut self.lock().retries, now)
     }
@@ -377,9 +377,9 @@
         }
     }
 
-    fn facts(&self, server: &Server) -> Facts {
+    fn facts(&self, server: &Server) -> ServerSettings {
         let near = server.zone == self.place.zone;
-        Facts {
+        ServerSettings {
             zone: server.zone,
             slots: server.slots,
             distance: if near { Duration::ZERO } else { ZONE_DISTANCE },
@@ -409,7 +409,7 @@
         };
         if let Leader::Open { term, .. } = leases.leader(self.key, now) {
             let left = leases.left(service.shard, now);
-            state.table.lease(term, now + left);
+            state.table.extend_lease(term, now + left);
         }
     }
 
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/settle.rs
@@ -7,7 +7,7 @@
 use flamingopost_core::lease::Acknowledge;
 use flamingopost_core::position::Position;
 use flamingopost_core::refusal::{Doubt, Refusal};
-use flamingopost_core::route::Part;
+use flamingopost_core::route::TargetRole;
 use flamingopost_core::rule::{Access, Ack};
 use flamingopost_core::session::POSITION;
 use flamingopost_core::session::need::Need;
@@ -98,12 +98,12 @@
                 return Ok(Settled::Elsewhere(refusal));
             }
         };
-        if let (Some(position), Part::Primary(term), Ack::Replica, Ended::Written) =
+        if let (Some(position), TargetRole::Primary(term), Ack::Replica, Ended::Written) =
             (position, part, ack, ended)
         {
             self.confirm(position, term, treatment).await?;
         }
-        if part == Part::Replica && ended == Ended::Read && progress.sqlstate.is_none() {
+        if part == TargetRole::Replica && ended == Ended::Read && progress.sqlstate.is_none() {
             check_own_writes(need, position);
         }
         self.finish(progress, report, request.end);
@@ -180,20 +180,20 @@
     ) -> Verdict {
         let position = held.position();
         match (held.part, ended) {
-            (Part::Primary(term), Ended::Written) => {
+            (TargetRole::Primary(term), Ended::Written) => {
                 held.wrote = false;
                 self.acknowledge(term, position)
             }
             (_, Ended::Undone) => Verdict::Pass,
-            (Part::Primary(term), Ended::Read) if progress.sqlstate.is_none() => {
+            (TargetRole::Primary(term), Ended::Read) if progress.sqlstate.is_none() => {
                 self.judge_primary_read(held.need, term, position, sent)
             }
-            (Part::Primary(term), Ended::Not)
+            (TargetRole::Primary(term), Ended::Not)
                 if progress.sqlstate.is_none() && status == TransactionStatus::Transaction =>
             {
                 self.judge_open(term)
             }
-            (Part::Replica, _) if progress.sqlstate.is_none() => {
+            (TargetRole::Replica, _) if progress.sqlstate.is_none() => {
                 self.judge_replica_read(held.need, position)
             }
             _ => Verdict::Pass,
@@ -373,7 +373,7 @@
 
 /// Whether nothing of the request ran and nothing of the answer has left.
 fn unchanged(held: &Held, progress: &Progress, status: TransactionStatus) -> bool {
-    let primary = matches!(held.part, Part::Primary(_));
+    let primary = matches!(held.part, TargetRole::Primary(_));
     let idle = status == TransactionStatus::Idle;
     primary && idle && !progress.streamed && progress.completed == 0
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use flamingopost_core::budget::Grant;
-use flamingopost_core::budget::purse::{CLOSE_MARGIN, Purse};
+use flamingopost_core::budget::host_budget::{CLOSE_MARGIN, HostBudget};
 use flamingopost_core::clock::Clock;
 use flamingopost_core::directory::Directory;
 use flamingopost_core::history::History;
@@ -32,7 +32,7 @@
     adopted: watch::Sender<Option<Arc<Adopted>>>,
     leases: Mutex<Holder>,
     changes: watch::Sender<u64>,
-    purses: Mutex<BTreeMap<ServerKey, Purse>>,
+    purses: Mutex<BTreeMap<ServerKey, HostBudget>>,
     tallies: Mutex<Tallies>,
     demand: Mutex<BTreeMap<ServerKey, u16>>,
     renew: Notify,
--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use flamingopost_core::admission::End;
+use flamingopost_core::admission::Completion;
 use flamingopost_core::admission::ticket::Ticket;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -199,7 +199,7 @@
             let in_time = self.now <= request.deadline;
             self.tally.answered(request.kind, took, in_time);
         }
-        let moves = self.hosts[request.host].finish(id, End::Answered, self.now);
+        let moves = self.hosts[request.host].finish(id, Completion::Answered, self.now);
         self.apply(request.host, moves);
     }
 
--- a/crates/load/src/overload/policy.rs
+++ b/crates/load/src/overload/policy.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flamingopost_core::admission::ticket::Ticket;
-use flamingopost_core::admission::{End, Gate, Next};
+use flamingopost_core::admission::{Admission, Completion, Gate};
 
 use super::Run;
 
@@ -53,7 +53,7 @@
         match run.policy {
             Policy::Gate => {
                 let mut gate = Gate::new(run.slots);
-                gate.allow(free as u16, Duration::ZERO);
+                gate.set_connections(free as u16, Duration::ZERO);
                 Host::Gate(Box::new(gate))
             }
             policy => Host::Pool {
@@ -76,7 +76,7 @@
     }
 
     /// A request was answered.
-    pub fn finish(&mut self, id: u64, end: End, now: Duration) -> Vec<Move> {
+    pub fn finish(&mut self, id: u64, end: Completion, now: Duration) -> Vec<Move> {
         match self {
             Host::Gate(gate) => moves(gate.finish(id, end, now)),
             Host::Pool { free, .. } => {
@@ -127,11 +127,11 @@
     }
 }
 
-fn moves(next: Vec<Next>) -> Vec<Move> {
+fn moves(next: Vec<Admission>) -> Vec<Move> {
     next.into_iter()
         .map(|next| match next {
-            Next::Start(id) => Move::Send(id),
-            Next::Refuse(id, _) => Move::Refuse(id),
+            Admission::Start(id) => Move::Send(id),
+            Admission::Refuse(id, _) => Move::Refuse(id),
         })
         .collect()
 }
--- a/crates/load/src/reads.rs
+++ b/crates/load/src/reads.rs
@@ -9,8 +9,8 @@
 use flamingopost_core::directory::Directory;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
-use flamingopost_core::route::server::{Facts, Fresh, Status};
-use flamingopost_core::route::{Ask, Part, Route, Table};
+use flamingopost_core::route::server::{Freshness, ServerSettings, Status};
+use flamingopost_core::route::{ReadRequest, Route, Table, TargetRole};
 use flamingopost_core::session::need::Need;
 use flamingopost_core::term::Term;
 use flamingopost_core::view::{Service, State};
@@ -123,7 +123,7 @@
         let [primary, near, far] = ["a", "b", "c"].map(|server| names.servers.intern(server));
         let facts = [primary, near, far].into_iter().zip(zones);
         let facts = facts.map(|(server, zone)| {
-            let facts = Facts {
+            let facts = ServerSettings {
                 zone,
                 slots: 3,
                 distance: FAR_TRIP - NEAR_TRIP,
@@ -138,7 +138,7 @@
             primary,
         };
         table.adopt(Service::new(open), Duration::ZERO);
-        table.lease(TERM, run.length * 2);
+        table.extend_lease(TERM, run.length * 2);
         Model {
             run,
             random: ChaCha8Rng::seed_from_u64(run.seed),
@@ -236,10 +236,10 @@
             position: self.at(read.log),
             max_age: None,
         };
-        let ask = Ask {
+        let ask = ReadRequest {
             need,
-            patience: self.run.patience.saturating_sub(waited),
-            dice: self.random.random(),
+            max_wait: self.run.patience.saturating_sub(waited),
+            random_bits: self.random.random(),
         };
         match self.table.read(&ask, self.now) {
             Route::Go { server, part } => {
@@ -254,14 +254,14 @@
         }
     }
 
-    fn serve(&mut self, server: ServerKey, part: Part, read: Read) {
+    fn serve(&mut self, server: ServerKey, part: TargetRole, read: Read) {
         let waited = self.now.saturating_sub(read.arrived);
         let place = self
             .replicas
             .iter()
             .position(|known| known.server == server);
         let trip = match (part, place) {
-            (Part::Replica, Some(place)) => {
+            (TargetRole::Replica, Some(place)) => {
                 let replica = &self.replicas[place];
                 let (applied, trip) = (replica.applied, replica.trip);
                 self.tally.stale += u64::from(applied < read.log);
@@ -282,7 +282,7 @@
         age: Option<Duration>,
         trip: Duration,
     ) {
-        let fresh = age.map(|age| Fresh { term: TERM, age });
+        let fresh = age.map(|age| Freshness { term: TERM, age });
         let word = Word {
             server,
             status: Status { position, fresh },
--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -158,7 +158,7 @@
 
     /// Another host has read a change at `newest`.
     pub fn told(&self, newest: u64, now: Duration) {
-        self.feed.borrow_mut().told(newest, now);
+        self.feed.borrow_mut().record_peer_read(newest, now);
     }
 
     /// Whether another host has read a change that this one has not.
@@ -175,7 +175,7 @@
         }
         let mut feed = self.feed.borrow_mut();
         if feed.is_stuck(now) {
-            feed.ask_again(now);
+            feed.record_retry(now);
             self.behind.notify_one();
         }
     }
--- a/crates/proxy/src/session/place.rs
+++ b/crates/proxy/src/session/place.rs
@@ -106,7 +106,7 @@
         plan: &Plan,
         prepared: Option<(&Shape, &Bytes)>,
     ) -> Served<C> {
-        self.retries.fill();
+        self.retries.record_request();
         let mut avoid = None;
         let mut count = 0;
         loop {
@@ -116,7 +116,7 @@
                 Tried::Failed(failed) => failed,
             };
             let now = self.context.site.now();
-            let retry::Next::Again(wait) = self.again(plan, count, &failed, now) else {
+            let retry::RetryDecision::Retry(wait) = self.again(plan, count, &failed, now) else {
                 return self.given_up(query, plan, failed);
             };
             self.context.site.log(&Event::Retried {
@@ -239,7 +239,7 @@
     fn limit(&self, plan: &Plan, repeatable: bool, average: Duration, sent: Duration) -> Duration {
         let left = plan.deadline.saturating_sub(sent);
         let patience = overdue(average);
-        match repeatable && patience < left / 2 && !self.retries.is_spent() {
+        match repeatable && patience < left / 2 && !self.retries.is_exhausted() {
             true => patience,
             false => left,
         }
@@ -361,11 +361,17 @@
         }
     }
 
-    fn again(&mut self, plan: &Plan, count: u8, failed: &Failed<C>, now: Duration) -> retry::Next {
+    fn again(
+        &mut self,
+        plan: &Plan,
+        count: u8,
+        failed: &Failed<C>,
+        now: Duration,
+    ) -> retry::RetryDecision {
         let failure = match failed.code {
-            Code::Malformed | Code::NoDatabase | Code::Misrouted => retry::Failure::Always,
-            Code::Busy => retry::Failure::Everywhere,
-            _ => retry::Failure::Here,
+            Code::Malformed | Code::NoDatabase | Code::Misrouted => retry::Failure::Permanent,
+            Code::Busy => retry::Failure::AllServers,
+            _ => retry::Failure::ThisServer,
         };
         let ran = match (failed.run, failed.repeatable) {
             // A read that ran and failed may be asked of another server.
@@ -380,7 +386,7 @@
             retries: RETRIES,
             deadline: plan.deadline,
             expected: Duration::ZERO,
-            dice: rand::random(),
+            random_bits: rand::random(),
         };
         match failed.code {
             // Where to send it was not known well enough: that costs a server nothing.
