--- a/crates/core/tests/suspicion.rs
+++ b/crates/core/tests/suspicion.rs
@@ -55,7 +55,7 @@
     Report {
         failures: 4,
         broken: 4,
-        silent: Some(timing::SUSPICION),
+        silent: Some(timing::SUSPICION_TIMEOUT),
     }
 }
 
@@ -131,7 +131,7 @@
         fleet.report(host, broken(), soon);
     }
     assert_eq!(fleet.verdict(soon), Reachability::Reachable);
-    let later = secs(10) + timing::ONE_ZONE;
+    let later = secs(10) + timing::SINGLE_ZONE_WAIT;
     for host in [0, 3] {
         fleet.report(host, broken(), later);
     }
@@ -144,7 +144,7 @@
     let mut fleet = fleet();
     (0..6).for_each(|host| fleet.report(host, broken(), secs(10)));
     assert_eq!(
-        fleet.verdict(secs(10) + timing::REPORT),
+        fleet.verdict(secs(10) + timing::REPORT_MAX_AGE),
         Reachability::Reachable
     );
 }
--- a/crates/proxy/src/session/placement.rs
+++ b/crates/proxy/src/session/placement.rs
@@ -109,7 +109,7 @@
         plan: &Plan,
         prepared: Option<(&Shape, &Bytes)>,
     ) -> StatementResult<C> {
-        self.retry_budget.fill();
+        self.retry_budget.record_request();
         let mut avoid = None;
         let mut count = 0;
         loop {
@@ -119,7 +119,8 @@
                 AttemptResult::Failed(failed) => failed,
             };
             let now = self.context.site.now();
-            let retry::Next::Again(wait) = self.decide_retry(plan, count, &failed, now) else {
+            let retry::RetryDecision::Retry(wait) = self.decide_retry(plan, count, &failed, now)
+            else {
                 return self.give_up(query, plan, failed);
             };
             self.context.site.log(&Event::Retried {
@@ -254,7 +255,7 @@
     ) -> Duration {
         let left = plan.deadline.saturating_sub(sent);
         let patience = overdue_after(average);
-        match repeatable && patience < left / 2 && !self.retry_budget.is_spent() {
+        match repeatable && patience < left / 2 && !self.retry_budget.is_exhausted() {
             true => patience,
             false => left,
         }
@@ -387,11 +388,11 @@
         count: u8,
         failed: &FailedAttempt<C>,
         now: Duration,
-    ) -> retry::Next {
+    ) -> retry::RetryDecision {
         let failure = match failed.code {
-            Code::Malformed | Code::NoDatabase | Code::Misrouted => retry::Failure::Always,
-            Code::Busy => retry::Failure::Everywhere,
-            _ => retry::Failure::Here,
+            Code::Malformed | Code::NoDatabase | Code::Misrouted => retry::Failure::Permanent,
+            Code::Busy => retry::Failure::AllServers,
+            _ => retry::Failure::ThisServer,
         };
         let ran = match (failed.run, failed.repeatable) {
             // A read that ran and failed may be sent to another server.
@@ -406,7 +407,7 @@
             retries: MAX_RETRIES,
             deadline: plan.deadline,
             expected: Duration::ZERO,
-            dice: rand::random(),
+            random_bits: rand::random(),
         };
         match failed.code {
             // The routing information was outdated. Such a refusal costs a server nothing, so it is
