--- a/crates/proxy/src/event.rs
+++ b/crates/proxy/src/event.rs
@@ -1,5 +1,5 @@
-//! What the pooled data path logs. Numbers: 5000-5099 platform, configuration and lists,
-//! 5100-5199 servers and leadership, 5200-5299 requests, 5300-5399 stop and settings.
+//! Log events of the pooled data path. Numbers: 5000-5099 platform, configuration and lists,
+//! 5100-5199 servers and leadership, 5200-5299 requests, 5300-5399 shutdown and settings.
 
 flamingopost_daemon::events! {
     /// Events of the pooled data path.
@@ -95,11 +95,11 @@
     }
 }
 
-/// Lines of one event that are written within a second; what is more is counted. Bounds what
-/// logging costs while everything fails at once.
+/// Maximum number of lines per second of one event. Further ones are only counted. This limits the
+/// cost of logging while everything fails at once.
 const MAX_LINES_PER_SECOND: u64 = 20;
 
-/// Keeps the volume of repeated events bounded.
+/// Limits the volume of repeated events.
 #[derive(Debug, Default)]
 pub struct LogLimit {
     second: std::cell::Cell<u64>,
@@ -107,7 +107,7 @@
 }
 
 impl LogLimit {
-    /// Writes `event`, unless too many of its kind were written within the second of `now`.
+    /// Writes `event`, unless too many events of its kind were written in the second of `now`.
     pub fn log(&self, event: &Event, now: std::time::Duration) {
         use flamingopost_daemon::event::Event as _;
         if self.second.replace(now.as_secs()) != now.as_secs() {
--- a/crates/proxy/src/fault.rs
+++ b/crates/proxy/src/fault.rs
@@ -1,10 +1,10 @@
-//! What is wrong with an entry that cannot be used.
+//! Faults of entries that cannot be used.
 
-/// Longest quotation from an entry, in characters. Entries have up to 64 KiB, and a log line that
-/// quotes one has to stay readable.
+/// Maximum length of a quotation from an entry, in characters. Entries have up to 64 KiB, and a log
+/// line that quotes one has to stay readable.
 const MAX_QUOTED_CHARS: usize = 80;
 
-/// What is wrong with an entry of the platform's store.
+/// Fault of an entry in the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Fault {
     /// its bytes are not encoded as they should be
@@ -32,7 +32,7 @@
 }
 
 impl Fault {
-    /// Its name among the values of a metric's label.
+    /// Returns the fault's value of a metric label.
     ///
     /// ```
     /// use flamingopost_proxy::fault::Fault;
@@ -56,7 +56,7 @@
     }
 }
 
-/// The beginning of `text`, which somebody else has written, fit for a log line.
+/// Returns the beginning of `text`, which another writer wrote, escaped for a log line.
 ///
 /// ```
 /// use flamingopost_proxy::fault::quote;
--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -1,4 +1,4 @@
-//! The platform's feeds, as this host follows them.
+//! The platform's feeds, as followed by this host.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -9,18 +9,18 @@
 
 use crate::platform::{Read, Revision};
 
-/// How far the platform's feeds have been read.
+/// The platform's feeds.
 #[derive(Debug)]
 pub struct Feeds {
-    /// The configuration; numbers are its versions.
+    /// The configuration. Its positions are configuration versions.
     pub configuration: Follower,
-    /// The list of backend servers; numbers are places in the platform's history.
+    /// The list of backend servers. Its positions are revisions.
     pub backends: Follower,
-    /// The list of entry hosts; nobody is told how far it has been read.
+    /// The list of entry hosts. Hosts do not report to each other how far they have read it.
     pub peers: Follower,
 }
 
-/// One feed.
+/// Read progress of one feed, and the signals that cancel a call waiting for its changes.
 #[derive(Debug)]
 pub struct Follower {
     feed: RefCell<Feed>,
@@ -30,20 +30,20 @@
     restored: Notify,
     possibly_stale: Notify,
     wait: Duration,
-    /// Who looks after the call that was made last.
+    /// Who monitors the most recent call.
     stuck_detection: Cell<StuckDetection>,
 }
 
-/// Who notices that a feed is stuck.
+/// Who detects that a feed is stuck.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StuckDetection {
-    /// This host, for itself and for those that it tells.
+    /// This host itself, which also notifies others.
     Local,
-    /// Others, who tell this host.
+    /// Other hosts, which notify this host.
     ByPeers,
 }
 
-/// Why a call that waits may wait for nothing.
+/// Reason for which a call that waits for changes may never receive one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum CancelReason {
     /// others have read more
@@ -60,40 +60,40 @@
     FormerEpoch,
 }
 
-/// How a call that waits for changes has ended.
+/// Outcome of a call that waits for changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitOutcome<T> {
-    /// With this.
+    /// The call returned this.
     Answered(T),
-    /// It was given up.
+    /// The call was cancelled.
     Cancelled(CancelReason),
 }
 
 impl Feeds {
-    /// How long a call for the configuration may wait. Callers count on each acknowledged version
-    /// from 4 s after the end of an outage on, the shortest time that the platform's settings give.
-    /// A call that is lost in an outage's last moment may use up this wait, 1.2 s for its answer
-    /// and 0.2 s of pause; where others are told, they know 0.65 s later.
+    /// Maximum wait of a call for the configuration. Callers rely on each acknowledged version from
+    /// 4 s after the end of an outage, the shortest time that the platform's settings allow. A call
+    /// that is lost in the last moment of an outage may use up this wait, 1.2 s for its answer and
+    /// 0.2 s of backoff. Hosts that rely on others are notified 0.65 s later.
     pub const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_800);
 
-    /// How long a call for the list of servers may wait: a server that leaves may be used for 7 s
-    /// after it said so, the shortest time that the platform's settings give.
+    /// Maximum wait of a call for the list of servers. A leaving server may be used for 7 s after
+    /// its announcement, the shortest time that the platform's settings allow.
     pub const BACKENDS_WAIT: Duration = Duration::from_secs(5);
 
-    /// How long a call for the list of entry hosts may wait: they change rarely, and the platform's
+    /// Maximum wait of a call for the list of entry hosts. They change rarely, and the platform's
     /// limit is 30 s.
     pub const PEERS_WAIT: Duration = Duration::from_secs(25);
 
-    /// The store was restored from a copy: calls that wait were made for what it had before. Those
-    /// that are made next find out by themselves.
+    /// Cancels all waiting calls after the store was restored from a backup, since they were made
+    /// for its previous state. Later calls detect the restore by themselves.
     pub fn cancel_after_restore(&self) {
         for follower in [&self.configuration, &self.backends, &self.peers] {
             follower.restored.notify_waiters();
         }
     }
 
-    /// The platform answers again after a call was lost. What waits was asked before, and may wait
-    /// for nothing: lost calls and answers come together.
+    /// Cancels all waiting calls after an outage. They were made before it ended and may wait in
+    /// vain, because calls and answers are lost together.
     pub fn cancel_after_outage(&self) {
         for follower in [&self.configuration, &self.backends, &self.peers] {
             follower.outage.notify_waiters();
@@ -112,7 +112,8 @@
 }
 
 impl Follower {
-    /// One whose calls wait at most `wait` where nobody else notices that they are stuck.
+    /// Creates a follower whose calls wait at most `wait` if no other host detects that they are
+    /// stuck.
     fn new(wait: Duration) -> Follower {
         Follower {
             feed: RefCell::default(),
@@ -126,12 +127,13 @@
         }
     }
 
-    /// What was read may be that of a copy: all of it is read once more.
+    /// Requests another read of the whole list, because the last one may have returned a backup's
+    /// state.
     pub fn request_full_read(&self) {
         self.possibly_stale.notify_one();
     }
 
-    /// How long a call that is made now may wait for a change.
+    /// Returns how long a call made now may wait for a change.
     pub fn max_wait(&self, detection: StuckDetection) -> Duration {
         self.stuck_detection.set(detection);
         match detection {
@@ -140,34 +142,34 @@
         }
     }
 
-    /// Everything up to `revision` was read.
+    /// Records that everything up to `revision` was read.
     pub fn record_read(&self, revision: u64, newest: Option<u64>) {
         self.feed.borrow_mut().read(revision, newest);
     }
 
-    /// Takes in how far `read` goes.
+    /// Records how far `read` reaches.
     pub fn record<T>(&self, read: &Read<T>) {
         let newest = read.newest.map(|Revision(newest)| newest);
         self.record_read(read.revision.0, newest);
     }
 
-    /// The newest change that was read.
+    /// Returns the newest change that was read.
     pub fn newest(&self) -> u64 {
         self.feed.borrow().newest()
     }
 
-    /// Another host has read a change at `newest`.
+    /// Records that another host has read a change at `newest`.
     pub fn record_peer_read(&self, newest: u64, now: Duration) {
         self.feed.borrow_mut().told(newest, now);
     }
 
-    /// Whether another host has read a change that this one has not.
+    /// Reports whether another host has read a change that this one has not.
     pub fn is_behind(&self) -> bool {
         self.feed.borrow().is_behind()
     }
 
-    /// Has the call that waits given up if it is stuck, or if it was made while others would have
-    /// told that, and they no longer can.
+    /// Cancels the waiting call if it is stuck, or if it relies on other hosts that no longer
+    /// monitor it.
     pub fn check_stuck(&self, detection: StuckDetection, now: Duration) {
         if (self.stuck_detection.get(), detection)
             == (StuckDetection::ByPeers, StuckDetection::Local)
@@ -182,7 +184,7 @@
         }
     }
 
-    /// What `call` gives, unless there is a doubt whether it ever gives anything.
+    /// Returns the result of `call`, unless it is cancelled because it may never return.
     pub async fn run_cancellable<T>(&self, call: impl Future<Output = T>) -> WaitOutcome<T> {
         tokio::select! {
             biased;
@@ -197,7 +199,7 @@
 }
 
 impl StuckDetection {
-    /// How long a call may wait whose host is told when it is stuck: the platform's limit is 30 s.
-    /// With 5 s for all, 65 hosts made 3,200 calls a minute, more than any other call.
+    /// Maximum wait of a call that other hosts monitor. The platform's limit is 30 s. With 5 s for
+    /// all hosts, 65 of them made 3,200 calls a minute, more than all other calls.
     const BY_PEERS_WAIT: Duration = Duration::from_secs(25);
 }
--- a/crates/proxy/src/host.rs
+++ b/crates/proxy/src/host.rs
@@ -1,4 +1,4 @@
-//! One entry host: its listeners, its tasks, and its end.
+//! One entry host: its listeners, its tasks and its shutdown.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -28,62 +28,63 @@
 use crate::socket;
 use crate::watch::Watch;
 
-/// What the process is called in logs.
+/// Name of the process in logs.
 const NAME: &str = "flamingopost";
 
-/// Time between two looks at what is due by time alone.
+/// Interval between checks for work that is due by time alone.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a caller that stops reading or is cut off keeps its session.
+/// How long the session of a caller that stops reading or is unreachable is kept.
 const CALLER_SILENCE: Duration = Duration::from_secs(8);
 
-/// New callers still come for this long after the host says that it is not ready: the balancer
-/// asks once a second and believes the second refusal.
+/// How long new callers still arrive after the host reports that it is not ready. The balancer
+/// probes once a second and acts on the second failure.
 const BALANCER_ROTATION: Duration = Duration::from_millis(2_300);
 
-/// A host that misses a primary which others reach says that it is not ready after this long: a
-/// moment's disagreement is no reason to move callers.
+/// How long this host may be unable to reach a primary that others reach before it reports that it
+/// is not ready. A momentary disagreement is no reason to move callers.
 const UNREADY_DELAY: Duration = Duration::from_millis(200);
 
-/// What a host is told by its settings.
+/// Settings of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// Name of the host.
     pub host: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// The address callers connect to.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// The address the balancer probes for readiness.
     pub probe: SocketAddr,
-    /// Where it listens for other hosts.
+    /// The address for messages and connections from other hosts.
     pub peers: SocketAddr,
-    /// Where other hosts reach it, if not at `peers`: behind address translation.
+    /// The address where other hosts reach this one if it differs from `peers`, such as behind
+    /// address translation.
     pub announced: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// The address that serves metrics.
     pub metrics: SocketAddr,
-    /// How long the platform takes at the least to make a server the primary.
+    /// Shortest time that the platform takes to promote a server.
     pub promotion: Duration,
-    /// How long the host may take to end.
+    /// How long the shutdown of the host may take.
     pub grace: Duration,
-    /// Sessions that callers may have open at once.
+    /// Maximum number of open caller sessions.
     pub sessions: usize,
 }
 
-/// How far the host is on its way out.
+/// Phase of a host's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// The host serves.
     Running,
-    /// It says that it is not ready, and serves.
+    /// The host reports that it is not ready, and still serves.
     Unready,
     /// Sessions without a transaction end.
     Closing,
-    /// Transactions end too.
+    /// Transactions end as well.
     Ending,
 }
 
-/// Tells all of a host's sessions how far it is on its way out.
+/// Notifies all sessions of a host of the shutdown phase.
 #[derive(Debug)]
 pub struct Stop {
     phase: watch::Sender<Phase>,
@@ -100,28 +101,28 @@
 }
 
 impl Stop {
-    /// The phase now.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Moves on to `phase`.
+    /// Advances to `phase`.
     pub fn advance(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Ends all sessions that are open now, each as soon as it has no transaction: their callers
-    /// are served better by other hosts.
+    /// Ends all sessions that are open now, each as soon as it has no transaction, because other
+    /// hosts serve their callers better.
     pub fn move_sessions(&self) {
         self.moves.send_modify(|moves| *moves += 1);
     }
 
-    /// How often sessions were asked to move.
+    /// Returns how often sessions were asked to move.
     pub fn moves(&self) -> u64 {
         *self.moves.borrow()
     }
 
-    /// Returns when a session without a transaction, which began after `moves` moves, has to end.
+    /// Waits until a session that began after `moves` moves has to end once it has no transaction.
     pub async fn sessions_must_end(&self, moves: u64) {
         let mut moved = self.moves.subscribe();
         tokio::select! {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Returns when transactions have to end.
+    /// Waits until transactions have to end.
     pub async fn transactions_must_end(&self) {
         self.wait_for_phase(Phase::Ending).await;
     }
@@ -143,10 +144,10 @@
     }
 }
 
-/// Runs an entry host until `ended` returns and all sessions are over, or its grace is.
+/// Runs an entry host until `ended` returns and then all sessions are over or the grace has passed.
 ///
 /// # Errors
-/// A listener cannot be opened.
+/// Returns an error if a listener cannot be opened.
 pub async fn run<C: Codec, P: Platform>(
     settings: Settings,
     platform: P,
@@ -246,8 +247,8 @@
     Ok(())
 }
 
-/// Ends all sessions in an order that callers do not notice: first the balancer sends nobody
-/// new, then idle sessions end, and transactions get half of the grace to end by themselves.
+/// Ends all sessions in an order that callers do not notice: first the balancer stops sending new
+/// callers, then idle sessions end, and transactions get half of the grace to finish.
 async fn drain(stop: &Stop, open: &Cell<usize>, grace: Duration) {
     stop.advance(Phase::Unready);
     let rotation = BALANCER_ROTATION.min(grace / 3);
@@ -269,11 +270,11 @@
     tokio::time::timeout(limit, over).await.is_ok()
 }
 
-/// Has callers move to other hosts while this one misses a primary that others reach, once the
+/// Moves callers to other hosts while this one cannot reach a primary that others reach, once the
 /// balancer sends them there.
 ///
-/// Callers in a zone that is cut off reach its hosts only by the balancer's choice: while none of
-/// a zone's hosts is ready, it uses those of other zones. Open sessions stay until they are ended.
+/// Callers in a partitioned zone depend on the balancer's choice of host: it uses hosts of other
+/// zones only while none of the zone's own hosts is ready. Open sessions stay until they are ended.
 async fn move_sessions_when_outvoted<C: Codec, P: Platform>(
     election: Rc<Election<C, P>>,
     stop: Rc<Stop>,
@@ -313,12 +314,12 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors or memory for a moment: callers wait in the queue meanwhile.
+            // Out of file descriptors or memory for the moment. Callers wait in the accept queue.
             tokio::time::sleep(TICK_INTERVAL).await;
             continue;
         };
         if open.get() >= max_sessions {
-            // Closed before anything was read: the caller knows that nothing has run.
+            // Closed before anything was read, so the caller knows that nothing was run.
             drop(stream);
             continue;
         }
@@ -337,7 +338,7 @@
         return;
     }
     let served = Session::serve(context, Front::new(stream), place).await;
-    // A caller that went away is no event; one that cannot be understood is.
+    // A caller that disconnects is not logged, but one that sends undecodable data is.
     if let Err(front::Error::Codec(error)) = served {
         site.log(&Event::BadCaller {
             error: error.to_string(),
@@ -355,7 +356,7 @@
             }));
         }
         Err(error) => {
-            // Requests are served without metrics rather than not at all.
+            // Serving requests without metrics is better than not serving them.
             let error = format!("no metrics on {address}: {error}");
             Daemon::Failed {
                 daemon: NAME,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,12 +1,13 @@
 //! Pooled data path of an entry host.
 //!
 //! Callers' sessions share a few connections to each backend server, transaction by transaction.
-//! The flow of a request - route, wait for a connection, carry the session's state over, run,
-//! retry what did not run, settle what is in doubt - is written once here and knows no protocol:
-//! a [`codec::Codec`] speaks to callers and servers, a [`platform::Platform`] to the platform.
+//! The flow of a request is implemented here once, independent of any protocol: route it, wait for
+//! a connection, restore the session's state there, run it, retry what did not run, and resolve
+//! what is in doubt. A [`codec::Codec`] communicates with callers and servers, a
+//! [`platform::Platform`] with the platform.
 //!
-//! Everything of one host runs on one thread. Hosts have a fraction of a processor core, so
-//! threads would only add switches and locks.
+//! Each host runs on one thread. Hosts have a fraction of a processor core, so threads would only
+//! add context switches and locks.
 
 pub mod attempt;
 pub mod back;
--- a/crates/proxy/src/meter.rs
+++ b/crates/proxy/src/meter.rs
@@ -4,18 +4,18 @@
 
 use crate::message::Code;
 
-/// How a statement ended.
+/// Outcome of a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatementEnd {
-    /// With success, at the primary.
+    /// Success at the primary.
     Primary,
-    /// With success, at a replica.
+    /// Success at a replica.
     Replica,
-    /// With an error.
+    /// An error.
     Error(Code),
 }
 
-/// Counts one statement of `database` and how long it took.
+/// Counts one statement on `database` and records its duration.
 pub fn statement(database: &str, end: StatementEnd, took: Duration) {
     let outcome = match end {
         StatementEnd::Primary => "primary",
@@ -35,13 +35,13 @@
         .increment(1);
 }
 
-/// Counts an entry of `table` that cannot be used, once for each fault that it has.
+/// Counts an unusable entry of `table`, once for each of its faults.
 pub fn unusable_entry(table: &'static str, fault: &'static str) {
     metrics::counter!("flamingopost_unusable_entries_total", "table" => table, "fault" => fault)
         .increment(1);
 }
 
-/// Counts a return of the platform's store from a copy.
+/// Counts a restore of the platform's store from a backup.
 pub fn store_restored() {
     metrics::counter!("flamingopost_store_restores_total").increment(1);
 }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -1,4 +1,5 @@
-//! What the platform offers, in this project's words. An adapter implements [`Platform`].
+//! The platform that an entry host runs on, in terms of this project. An adapter implements
+//! [`Platform`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -12,7 +13,7 @@
 use crate::route::Route;
 use crate::unusable::UnusableEntry;
 
-/// Why a call to the platform has no result.
+/// Reason for which a call to the platform has no result.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// no answer: {0}; the call may have taken effect
@@ -27,13 +28,15 @@
 
 impl std::error::Error for Error {}
 
-/// Bits of a [`Revision`] that count transactions: 10 years of 3,000 a second. Those above are of
-/// the epoch; the first 8,000 of them leave the number exact as a floating-point number as well.
+/// Number of low bits of a [`Revision`] that count transactions, enough for 10 years of 3,000 a
+/// second. The bits above hold the epoch. The number is exact as a floating-point number for the
+/// first 8,000 epochs.
 const COUNT_BITS: u32 = 40;
 
-/// A place in the platform's history of changes: the epoch of its store, and the count of
-/// transactions in it, in one number. A store that is restored from a copy gives counts out again;
-/// places of a later epoch are after all places of earlier ones.
+/// A position in the platform's history of changes: the epoch of its store and the count of
+/// transactions in that epoch, combined in one number. A store that is restored from a backup
+/// reuses counts, and every revision of a later epoch is greater than all revisions of earlier
+/// ones.
 ///
 /// ```
 /// use flamingopost_core::epoch::Epoch;
@@ -48,18 +51,18 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Transaction `count` of `epoch`.
+    /// Creates the revision of transaction `count` in `epoch`.
     pub fn new(epoch: Epoch, count: u64) -> Revision {
         let max_count = (1 << COUNT_BITS) - 1;
         Revision(epoch.0 << COUNT_BITS | count.min(max_count))
     }
 
-    /// The epoch of the store.
+    /// Returns the epoch of the store.
     pub fn epoch(self) -> Epoch {
         Epoch(self.0 >> COUNT_BITS)
     }
 
-    /// The count of transactions in it.
+    /// Returns the count of transactions in the epoch.
     pub fn count(self) -> u64 {
         self.0 & ((1 << COUNT_BITS) - 1)
     }
@@ -71,19 +74,19 @@
     }
 }
 
-/// Something read, and the place in history as of which it was read.
+/// A value read from the store, and the revision as of which it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Read<T> {
-    /// What was read.
+    /// The value.
     pub value: T,
-    /// As of when.
+    /// The revision as of which it was read.
     pub revision: Revision,
-    /// The newest change in what was read, if anything was.
+    /// Revision of the newest change in what was read, if there is any.
     pub newest: Option<Revision>,
 }
 
 impl<T> Read<T> {
-    /// The same with what `change` makes of the value.
+    /// Applies `change` to the value.
     pub fn map<U>(self, change: impl FnOnce(T) -> U) -> Read<U> {
         Read {
             value: change(self.value),
@@ -92,7 +95,7 @@
         }
     }
 
-    /// The same with `value`, which was made of what was read.
+    /// Replaces the value by one derived from it.
     pub fn with<U>(&self, value: U) -> Read<U> {
         Read {
             value,
@@ -105,9 +108,9 @@
 /// The operators' configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Configuration {
-    /// It only grows.
+    /// The version, which only increases.
     pub version: u64,
-    /// Routes by the name of the database that callers ask for.
+    /// Routes by the database name that callers ask for.
     pub routes: BTreeMap<String, Route>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
@@ -116,7 +119,8 @@
 }
 
 impl Configuration {
-    /// Whether it knows the service `name`: it is listed, or a route leads to it.
+    /// Reports whether the configuration contains the service `name`, in its services or as the
+    /// target of a route.
     ///
     /// ```
     /// use std::collections::BTreeMap;
@@ -144,44 +148,44 @@
 pub struct Service {
     /// Connections that each of its servers accepts from all hosts together.
     pub connections: u16,
-    /// Whether its primary acknowledges a commit only when a replica has received it.
+    /// Whether its primary acknowledges a commit only after a replica has received it.
     pub synchronous: bool,
 }
 
 /// A backend server in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// Its name, which it keeps when it starts again.
+    /// Id of the server, which is the same after a restart.
     pub id: String,
-    /// Which of its starts the entry speaks of.
+    /// The incarnation that the entry describes.
     pub incarnation: Incarnation,
     /// Its service.
     pub service: String,
-    /// Where it listens; the address may be used again after it has gone.
+    /// The address it listens on, which may be reused after the server has left.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u16,
-    /// Whether it is about to leave.
+    /// Whether it has announced that it is leaving.
     pub leaving: bool,
-    /// How it sees its own role.
+    /// Its role, as reported by itself.
     pub role: Role,
-    /// Its entry was last changed here.
+    /// Revision of the newest change to the entry.
     pub revision: Revision,
 }
 
-/// An entry as it was read, which somebody else may have written.
+/// An entry read from the store. Any writer of the store may have written it.
 pub type Entry<T> = Result<T, UnusableEntry>;
 
-/// A change of the platform's list.
+/// A change of one of the platform's lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change<T> {
-    /// The entry of `id` is new or has changed.
+    /// An entry is new or has changed.
     Put(T),
-    /// An entry is new or has changed, and cannot be used as it is now.
+    /// An entry is new or has changed and cannot be used in its present form.
     Unusable(UnusableEntry),
-    /// The entry of this id is gone.
+    /// The entry with this id was removed.
     Removed(String),
 }
 
@@ -201,17 +205,17 @@
     pub host: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where it answers other hosts' questions.
+    /// The address where it receives messages from other hosts.
     pub address: SocketAddr,
 }
 
-/// A number that the platform compares when a primary is to be changed: a call with a lower
-/// one than it has seen for the service is refused.
+/// A fencing token. The platform refuses an order to change a primary if its token is lower than
+/// one already seen for the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(pub u64);
 
 impl Token {
-    /// The place in the platform's history that it stands for.
+    /// Returns the revision that the token corresponds to.
     pub fn revision(self) -> Revision {
         Revision(self.0)
     }
@@ -223,82 +227,84 @@
     }
 }
 
-/// Whether a claim was won.
+/// Outcome of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// It was; the token is newer than any that was given out before.
+    /// The claim was won. The token is newer than any issued before.
     Won(Token),
-    /// Somebody else holds it.
+    /// Another host holds the claim.
     Held {
-        /// Who; nobody where the claim cannot be read.
+        /// Name of the holder, empty if the claim cannot be read.
         by: String,
-        /// What to name to take it over, once its holder is known not to act on it.
+        /// Revision to pass in order to take the claim over, once its holder is known not to act on
+        /// it.
         revision: Revision,
     },
 }
 
-/// Whether a record of a service that was written to is new.
+/// Outcome of recording that a service was written to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recorded {
-    /// The store did not have it.
+    /// The record was created.
     New,
-    /// It was there.
+    /// The store already had the record.
     AlreadyPresent,
 }
 
-/// How an order to change a primary ended.
+/// Outcome of an order to change a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Promotion {
-    /// The server leads soon, or leads already.
+    /// The server leads already or will soon.
     Accepted,
-    /// A newer token was seen, or the server does not run.
+    /// A newer token was seen, or the server is not running.
     Refused,
 }
 
-/// How long a call may take, beside what it waits: the platform needs milliseconds, and some
-/// hundreds of them while it is slow.
+/// Timeout of a call, in addition to the time it waits for changes. The platform needs
+/// milliseconds, or a few hundred of them while it is slow.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The platform, as an entry host uses it. Calls end within [`CALL_TIMEOUT`], those that wait for changes
-/// within their wait and [`CALL_TIMEOUT`].
+/// The platform, as used by an entry host. Calls end within [`CALL_TIMEOUT`], and those that wait
+/// for changes within their wait plus [`CALL_TIMEOUT`].
 pub trait Platform: 'static {
-    /// The configuration that the store holds, if there is one.
+    /// Reads the configuration in the store, if there is one.
     fn configuration(&self)
     -> impl Future<Output = Result<Read<Vec<Entry<Configuration>>>, Error>>;
 
-    /// Waits at most `wait` for configurations newer than `after`, in the order of their writing.
+    /// Waits up to `wait` for configurations newer than `after`, in the order in which they were
+    /// written.
     fn next_configuration(
         &self,
         after: Revision,
         wait: Duration,
     ) -> impl Future<Output = Result<Read<Vec<Entry<Configuration>>>, Error>>;
 
-    /// All entries of backend servers.
+    /// Reads all entries of backend servers.
     fn backends(&self) -> impl Future<Output = Result<Read<Vec<Entry<Backend>>>, Error>>;
 
-    /// Waits at most `wait` for changes of the list of backend servers after `after`.
+    /// Waits up to `wait` for changes to the list of backend servers after `after`.
     fn next_backends(
         &self,
         after: Revision,
         wait: Duration,
     ) -> impl Future<Output = Result<Read<Vec<Change<Backend>>>, Error>>;
 
-    /// The entries of all entry hosts that have announced themselves.
+    /// Reads the entries of all entry hosts that have announced themselves.
     fn peers(&self) -> impl Future<Output = Result<Read<Vec<Entry<Peer>>>, Error>>;
 
-    /// Waits at most `wait` for changes among entry hosts after `after`.
+    /// Waits up to `wait` for changes to the list of entry hosts after `after`.
     fn next_peers(
         &self,
         after: Revision,
         wait: Duration,
     ) -> impl Future<Output = Result<Read<Vec<Change<Peer>>>, Error>>;
 
-    /// Announces this host to others. The token is newer than any that was given out before.
+    /// Announces this host to the others. The token is newer than any issued before.
     fn announce(&self, peer: &Peer) -> impl Future<Output = Result<Token, Error>>;
 
-    /// Claims the change of primary number `attempt` of `service` for `host`, or takes the claim
-    /// over from a holder that is known not to act on it. A claim as it was in an earlier epoch may
-    /// only be named for a store that is still in it.
+    /// Claims change `attempt` of the primary of `service` for `host`, or takes the claim over from
+    /// a holder that is known not to act on it. A claim read in an earlier epoch may only be taken
+    /// over while the store is still in that epoch.
     fn claim(
         &self,
         service: &str,
@@ -307,13 +313,13 @@
         take_over: Option<Revision>,
     ) -> impl Future<Output = Result<Claim, Error>>;
 
-    /// All claims that can be read: the service and the number of the change.
+    /// Reads all readable claims, as pairs of service and change number.
     fn claims(&self) -> impl Future<Output = Result<Read<BTreeSet<(String, u64)>>, Error>>;
 
-    /// Services to which something was written at some time, as far as hosts have recorded it.
+    /// Reads the services that hosts have recorded as written to.
     fn written_services(&self) -> impl Future<Output = Result<Read<BTreeSet<String>>, Error>>;
 
-    /// Records that something was written to `service`, unless that is recorded already.
+    /// Records that `service` was written to, unless that is recorded already.
     fn record_written(
         &self,
         service: &str,
--- a/crates/proxy/src/poll_state.rs
+++ b/crates/proxy/src/poll_state.rs
@@ -1,29 +1,30 @@
-//! How one of the platform's tables is followed: what to ask next, and how outages begin and end.
+//! Polling state of one of the platform's tables: the next request, the backoff, and outages.
 
 use std::time::Duration;
 
 use crate::feeds::CancelReason;
 use crate::platform::{Error, Revision};
 
-/// Wait after the first call that failed; doubled up to [`MAX_BACKOFF`]. Calls to the platform are
-/// charged for, refused ones too.
+/// Backoff after the first failed call, doubled up to [`MAX_BACKOFF`]. The platform charges for
+/// every call, including refused ones.
 pub const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest such wait: an outage may end at any moment, and what was missed counts from then.
+/// Maximum backoff. An outage may end at any moment, and changes missed during it have to be read
+/// soon after that.
 pub const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Time between two losses of a table's history within which the second waits [`MIN_BACKOFF`]. Guards
-/// against a storm: a store that keeps hardly any history refuses each feed as soon as the table
-/// has been read, and a host that reads it again at once made 1,900 calls a second to a stand-in
-/// store. The first loss waits for nothing, since what was missed counts.
+/// Interval within which a second loss of a table's history waits [`MIN_BACKOFF`]. Guards against a
+/// storm of calls: a store that keeps hardly any history refuses each feed right after the table
+/// was read, and a host that read it again immediately made 1,900 calls a second to a stand-in
+/// store. The first loss does not wait, since changes may have been missed.
 const HISTORY_LOSS_WINDOW: Duration = Duration::from_secs(1);
 
-/// How one of the platform's tables is followed.
+/// Polling state of one of the platform's tables.
 ///
-/// A call that waits for changes and is lost hangs for its whole wait, and hides the end of an
-/// outage for that long: changes are then missed which the platform has acknowledged. So a call
-/// waits only if the one before it was answered. After one that was not, calls ask for what there
-/// is, and the first of them that is answered ends the outage.
+/// A lost call that waits for changes hangs for its whole wait and hides the end of an outage, so
+/// that changes which the platform has acknowledged are missed. Therefore a call waits only if the
+/// previous one was answered. After a failed call, requests return immediately with what has
+/// changed, and the first answer ends the outage.
 ///
 /// ```
 /// use std::time::Duration;
@@ -44,51 +45,51 @@
 #[derive(Debug)]
 pub struct PollState {
     what: &'static str,
-    /// Everything up to here has been read; nothing if all is to be read.
+    /// Revision up to which everything was read, or `None` if the whole table has to be read.
     read_up_to: Option<Revision>,
-    /// Whether the platform answers as far as is known, so that a call may wait.
+    /// Whether the last call was answered, so that the next one may wait.
     may_wait: bool,
     last_call_at: Duration,
     last_answer_at: Duration,
     outage: Option<OngoingOutage>,
     next_pause: Duration,
-    /// When its history was last gone.
+    /// When the table's history was last lost.
     history_lost_at: Option<Duration>,
 }
 
-/// An outage that goes on.
+/// An outage that has not ended.
 #[derive(Debug, Clone, Copy)]
 struct OngoingOutage {
     since: Duration,
     failed_calls: u32,
 }
 
-/// What to ask next.
+/// The next request to make.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollRequest {
-    /// For everything.
+    /// Read the whole table.
     All,
-    /// For what has changed since, without waiting.
+    /// Read the changes since this revision, without waiting.
     Changes(Revision),
-    /// For what has changed since, waiting if there is nothing.
+    /// Read the changes since this revision, and wait if there are none.
     LongPoll(Revision),
 }
 
 /// An outage that has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Outage {
-    /// Time from its first failed call.
+    /// Time since its first failed call.
     pub duration: Duration,
-    /// Calls that failed.
+    /// Number of failed calls.
     pub failed_calls: u32,
 }
 
-/// What a failed call leads to.
+/// Consequence of a failed call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollFailure {
-    /// The changes since the last read are gone; everything is read.
+    /// The changes since the last read are lost, and the whole table has to be read.
     HistoryGone {
-        /// Wait before that; none unless they were gone a moment ago as well.
+        /// Wait before that read. Zero unless the history was lost a moment ago as well.
         pause: Duration,
     },
     /// An outage begins.
@@ -100,7 +101,7 @@
         /// Wait before the next call.
         pause: Duration,
     },
-    /// An outage goes on.
+    /// An outage continues.
     OutageContinues {
         /// Wait before the next call.
         pause: Duration,
@@ -108,7 +109,7 @@
 }
 
 impl PollState {
-    /// Nothing has been read yet.
+    /// Creates the state of a table that was not read yet.
     pub fn new(what: &'static str, now: Duration) -> PollState {
         PollState {
             what,
@@ -122,12 +123,12 @@
         }
     }
 
-    /// What the table holds.
+    /// Returns the name of the table.
     pub fn table(&self) -> &'static str {
         self.what
     }
 
-    /// What to ask; the call is made now.
+    /// Returns the next request. The caller makes it now.
     pub fn next_request(&mut self, now: Duration) -> PollRequest {
         self.last_call_at = now;
         match (self.read_up_to, self.may_wait) {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Everything up to `after` was read. Returns the outage that this ends.
+    /// Records that everything up to `after` was read. Returns the outage that this ends, if any.
     pub fn answered(&mut self, after: Revision, now: Duration) -> Option<Outage> {
         self.read_up_to = Some(after);
         self.may_wait = true;
@@ -150,7 +151,7 @@
         })
     }
 
-    /// A call that waited was given up because of `doubt`.
+    /// Records that a waiting call was cancelled because of `reason`.
     pub fn cancelled(&mut self, reason: CancelReason) {
         match reason {
             CancelReason::Behind
@@ -161,7 +162,7 @@
         }
     }
 
-    /// A call failed.
+    /// Records that a call failed.
     pub fn failed(&mut self, error: &Error, now: Duration) -> PollFailure {
         if *error == Error::HistoryGone {
             self.read_up_to = None;
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,7 +1,7 @@
-//! HTTP of an entry host: the balancer's question whether it is ready, and metrics.
+//! HTTP endpoints of an entry host: the balancer's readiness probe, and metrics.
 //!
-//! `hyper` serves them on the host's one thread; `actix-web` would start threads of its own,
-//! which cost memory on each host and take turns on a fraction of a core.
+//! `hyper` serves them on the host's only thread. `actix-web` would start its own threads, which
+//! cost memory on each host and compete for a fraction of a core.
 
 use std::convert::Infallible;
 use std::io;
@@ -14,10 +14,10 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// Answers every request on `listener` by `answer`, which gets the path.
+/// Answers every request on `listener` by calling `answer` with its path.
 ///
 /// # Errors
-/// The listener is unusable.
+/// Returns an error if the listener is unusable.
 pub async fn serve(
     listener: TcpListener,
     answer: impl Fn(&str) -> (StatusCode, String) + 'static,
@@ -34,7 +34,7 @@
                 async move { Ok::<_, Infallible>(response) }
             });
             let server = hyper::server::conn::http1::Builder::new();
-            // A prober that goes away is its own affair: it counts that as a miss.
+            // A prober that disconnects counts the probe as failed by itself.
             let _ = server.serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/crates/proxy/src/reported_faults.rs
+++ b/crates/proxy/src/reported_faults.rs
@@ -1,27 +1,27 @@
-//! Which entries have been called unusable already.
+//! Remembers which unusable entries were already reported.
 
 use std::collections::BTreeMap;
 
 use crate::fault::Fault;
 use crate::unusable::UnusableEntry;
 
-/// Entries that are remembered. Another writer may put any number of them into a table; beyond
-/// this, all are forgotten, and told once more when they are read the next time.
+/// Maximum number of remembered entries. Any writer of the store may add any number of them. Beyond
+/// this, all are forgotten and reported again when they are next read.
 const MAX_REMEMBERED: usize = 1_024;
 
-/// Which entries have been called unusable, and why.
+/// Unusable entries that were already reported, with their faults.
 ///
-/// Guards against a line and a count for each reading: an entry that stays as it is comes again
-/// with each whole reading of its table, and one that somebody writes anew each second, with each
-/// of these changes. What is compared is the fault and the version that the entry gives itself,
-/// and not the content, which changes with every count in it.
+/// Guards against a log line and a count on every read. An unchanged entry is read again with each
+/// complete read of its table, and one that is rewritten every second with each of these changes.
+/// An entry is compared by its fault and its own version rather than by its content, which changes
+/// with every counter in it.
 #[derive(Debug, Default)]
 pub struct ReportedFaults {
     faults: BTreeMap<(&'static str, String), (Fault, Option<u64>)>,
 }
 
 impl ReportedFaults {
-    /// Whether it has not been told yet that entry `unusable` of `table` has this fault.
+    /// Records the fault of an entry of `table`. Returns whether it was not recorded before.
     ///
     /// ```
     /// use flamingopost_proxy::fault::Fault;
@@ -50,12 +50,12 @@
         true
     }
 
-    /// Entry `id` of `table` can be used: should it turn bad again, that is news.
+    /// Records that entry `id` of `table` is usable. A later fault is reported again.
     pub fn clear(&mut self, table: &'static str, id: &str) {
         self.faults.remove(&(table, id.to_owned()));
     }
 
-    /// The one entry of `table` can be used.
+    /// Records that the only entry of `table` is usable.
     pub fn clear_table(&mut self, table: &'static str) {
         self.faults.retain(|(of, _), _| *of != table);
     }
--- a/crates/proxy/src/site.rs
+++ b/crates/proxy/src/site.rs
@@ -1,4 +1,4 @@
-//! What all parts of a host share: who it is, its clock, its logs.
+//! State shared by all parts of a host: its identity, clock and log.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::event::{Event, LogLimit};
 
-/// What all of a host's parts share.
+/// State shared by all parts of a host.
 pub struct Site {
     /// Name of the host.
     pub host: String,
@@ -16,18 +16,18 @@
     pub zone: String,
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// Keeps logs bounded.
+    /// Limits the volume of logs.
     pub limit: LogLimit,
-    /// How long a promotion takes at the shortest, until one was measured.
+    /// Shortest duration of a promotion, until one was measured.
     assumed_promotion: Duration,
-    /// How long a promotion has taken at the shortest.
+    /// Shortest measured duration of a promotion.
     measured_promotion: Cell<Option<Duration>>,
     ids: Cell<u64>,
 }
 
 impl Site {
-    /// Host `host` in `zone`, on a platform where a promotion takes `promotion` until it is
-    /// measured.
+    /// Creates the state of host `host` in `zone`, on a platform where a promotion is assumed to
+    /// take at least `promotion` until it was measured.
     pub fn new(host: String, zone: String, promotion: Duration, clock: Arc<dyn Clock>) -> Site {
         Site {
             assumed_promotion: promotion,
@@ -40,34 +40,34 @@
         }
     }
 
-    /// The time.
+    /// Returns the current time.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Logs `event`, within bounds.
+    /// Logs `event`, within limits.
     pub fn log(&self, event: &Event) {
         self.limit.log(event, self.now());
     }
 
-    /// How long a promotion takes at the shortest.
+    /// Returns the shortest duration of a promotion.
     pub fn shortest_promotion(&self) -> Duration {
         self.measured_promotion
             .get()
             .unwrap_or(self.assumed_promotion)
     }
 
-    /// A server that was ordered to lead did not `took` after the order.
+    /// Records that a server ordered to lead did not lead yet `took` after the order.
     ///
-    /// A bound from below is what counts: taken for longer than it is, the primary before would
-    /// still be written to while its successor leads. When a change is seen is no such bound, since
-    /// the list of servers may be late by seconds.
+    /// Only a lower bound is safe: if promotions were assumed to take longer than they do, the
+    /// previous primary would still be written to while its successor leads. The time at which a
+    /// change is seen is no lower bound, since the list of servers may be seconds late.
     pub fn record_promotion_time(&self, took: Duration) {
         let shortest = self.measured_promotion.get().unwrap_or(took).min(took);
         self.measured_promotion.set(Some(shortest));
     }
 
-    /// A number that this process has not used.
+    /// Returns a number that this process has not used before.
     pub fn next_id(&self) -> u64 {
         let id = self.ids.get() + 1;
         self.ids.set(id);
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of TCP sockets that bound how long a silent peer goes unnoticed.
+//! TCP socket options that limit how long a silent peer stays undetected.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,19 +7,21 @@
 use rustix::net::sockopt;
 use tokio::net::TcpStream;
 
-/// First keep-alive probe of an idle connection after this long, and the time between probes.
+/// Idle time before the first keep-alive probe, and the interval between probes.
 ///
-/// A peer that lost power or is cut off closes nothing; only probes show it.
+/// A peer that lost power or is partitioned does not close its connections, and only probes detect
+/// it.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which a connection is over.
+/// Number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Connects to `address` within `limit`, and bounds how long data may stay unacknowledged by the
-/// peer's kernel to `silence`: a slow peer still acknowledges, a dead or cut-off one does not.
+/// Connects to `address` within `limit`, and closes the connection if sent data stays
+/// unacknowledged by the peer's kernel for `silence`. A slow peer still acknowledges data, while a
+/// dead or unreachable one does not.
 ///
 /// # Errors
-/// The peer refused, or there was no answer in time.
+/// Returns an error if the peer refuses the connection or does not answer in time.
 pub async fn connect(
     address: SocketAddr,
     limit: Duration,
@@ -33,10 +35,11 @@
     Ok(stream)
 }
 
-/// Sets the options of a connection: no delay, probes while idle, `silence` as in [`connect`].
+/// Sets the options of a connection: no delay, keep-alive probes while idle, and `silence` as in
+/// [`connect`].
 ///
 /// # Errors
-/// The system refuses an option.
+/// Returns an error if the system refuses an option.
 pub fn set_options(stream: &TcpStream, silence: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     sockopt::set_socket_keepalive(stream, true)?;
@@ -48,7 +51,7 @@
     Ok(())
 }
 
-/// Whether the peer has closed an idle connection, or sent something that nobody asked for.
+/// Reports whether the peer has closed an idle connection or sent unsolicited data.
 pub fn is_closed(stream: &TcpStream) -> bool {
     let mut byte = [0];
     match stream.try_read(&mut byte) {
--- a/crates/proxy/src/unusable.rs
+++ b/crates/proxy/src/unusable.rs
@@ -3,15 +3,15 @@
 use crate::fault::Fault;
 use crate::platform::Revision;
 
-/// An entry that names nothing which this host could use; the others of its table hold.
+/// An entry that this host cannot use. The other entries of its table stay valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnusableEntry {
-    /// Name of the entry.
+    /// Key of the entry.
     pub id: String,
     /// What is wrong with it.
     pub fault: Fault,
-    /// Version that the entry gives itself, where it has one that can be read.
+    /// The version in the entry, if it has one that can be read.
     pub version: Option<u64>,
-    /// It was last changed here.
+    /// Revision of the newest change to the entry.
     pub revision: Revision,
 }
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: configuration, backend servers, other entry hosts.
+//! Follows the lists in the platform's store: configuration, backend servers, other entry hosts.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,24 +16,25 @@
 use crate::poll_state::{MIN_BACKOFF, PollFailure, PollRequest, PollState};
 use crate::site::Site;
 
-/// How long after the last failed read the list of servers is not trusted to be complete.
+/// How long after a failed read the list of servers may be incomplete.
 const LIST_DISTRUST_AFTER_FAILURE: Duration = Duration::from_millis(1_500);
 
-/// Pause after changes of the list of servers in a large fleet: those of the next moments come with
-/// one call. While 24 servers started, 65 hosts made 24 calls each. Few hosts ask again at once.
+/// Delay after a change to the list of servers in a large fleet, so that one call returns all
+/// changes of that time. Without it, 65 hosts made 24 calls each while 24 servers started. A small
+/// fleet does not delay.
 const SERVER_CHANGE_DELAY: Duration = Duration::from_millis(600);
 
-/// Pause after changes among entry hosts in a large fleet: while 65 of them started, each made up
-/// to 40 calls within 200 ms. Few hosts ask again at once: one that does not know of the others
-/// yet would take itself for the majority.
+/// Delay after a change to the list of hosts in a large fleet. Without it, each of 65 hosts made up
+/// to 40 calls within 200 ms while they started. A small fleet does not delay, because a host that
+/// does not know of the others yet would consider itself the majority.
 const HOST_CHANGE_DELAY: Duration = Duration::from_millis(1_000);
 
-/// How long a host waits for the answer to its announcement before it reads the list of hosts: the
-/// store may tell of the others while it takes no writes, or answers none, and nothing is served
-/// before. Many times what a call takes.
+/// How long a host waits for its announcement before it reads the list of hosts. The store may
+/// return the list while it accepts no writes or does not answer them, and nothing is served before
+/// the list is known. This is many times the duration of a call.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Follows the platform's store.
+/// Follows the lists in the platform's store.
 pub struct Watch<C: Codec, P> {
     site: Rc<Site>,
     fleet: Rc<Fleet<C>>,
@@ -44,16 +45,16 @@
     announced: Cell<bool>,
 }
 
-/// What the store has told of one of its lists.
+/// The result of reading one of the lists.
 enum Batch<T> {
-    /// The whole list.
+    /// The complete list.
     Snapshot(Vec<Entry<T>>),
-    /// What has changed.
+    /// The changes since the last read.
     Changes(Vec<Change<T>>),
 }
 
 impl<C: Codec, P: Platform> Watch<C, P> {
-    /// Ready to run.
+    /// Creates a watch that has not started yet.
     pub fn new(
         site: Rc<Site>,
         fleet: Rc<Fleet<C>>,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether the list of servers may lack entries of living servers.
+    /// Reports whether the list of servers may lack entries of running servers.
     pub fn may_miss_servers(&self) -> bool {
         let now = self.site.now();
         self.servers_failed_at
@@ -78,7 +79,7 @@
             .is_some_and(|at| now < at + LIST_DISTRUST_AFTER_FAILURE)
     }
 
-    /// Follows the configuration, for ever.
+    /// Follows the configuration, forever.
     pub async fn follow_configuration(self: Rc<Self>) {
         let feed = &self.fleet.feeds.configuration;
         let mut poll = PollState::new("configuration", self.site.now());
@@ -102,8 +103,9 @@
                         continue;
                     }
                     self.apply_configurations(read.value, self.site.now().saturating_sub(asked));
-                    // The list of servers may have come first, and is answered next in seconds: until
-                    // then nobody would replace the primary of a service that is new here.
+                    // The list of servers may have arrived first, and its next answer may take
+                    // seconds. Until then no host would replace the primary of a service that is
+                    // new here.
                     self.election.start_new_services();
                     let version = self.fleet.version();
                     feed.record_read(version, Some(version));
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Follows the list of servers, for ever.
+    /// Follows the list of servers, forever.
     pub async fn follow_servers(self: Rc<Self>) {
         let feed = &self.fleet.feeds.backends;
         let mut poll = PollState::new("servers", self.site.now());
@@ -148,13 +150,13 @@
         }
     }
 
-    /// Announces this host and follows the list of others, for ever.
+    /// Announces this host and follows the list of other hosts, forever.
     pub async fn follow_hosts(self: Rc<Self>, own: Peer) {
         let feed = &self.fleet.feeds.peers;
         let mut poll = PollState::new("hosts", self.site.now());
         let (watch, announcing) = (Rc::clone(&self), own.clone());
         let announced = tokio::task::spawn_local(async move { watch.announce(&announcing).await });
-        // Where the store is well, one call then tells of this host as well.
+        // If the store is healthy, one call then returns this host's entry as well.
         let _ = tokio::time::timeout(ANNOUNCEMENT_TIMEOUT, announced).await;
         loop {
             let read = match poll.next_request(self.site.now()) {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Announces this host, as often as it takes.
+    /// Announces this host, and retries until it succeeds.
     async fn announce(&self, own: &Peer) {
         let mut poll = PollState::new("announcement", self.site.now());
         loop {
@@ -198,20 +200,21 @@
         }
     }
 
-    /// Pauses after a change, so that many hosts do not make a call for each of many changes.
+    /// Pauses after a change in a large fleet, so that many hosts do not make a call for each of
+    /// many changes.
     async fn delay_in_large_fleet(&self, pause: Duration) {
         if !self.fleet.is_small() {
             tokio::time::sleep(pause).await;
         }
     }
 
-    /// Reads the whole list of servers.
+    /// Reads the complete list of servers.
     async fn read_servers(&self) -> Result<Read<Batch<Backend>>, Error> {
         let read = self.platform.backends().await?;
         Ok(read.map(Batch::Snapshot))
     }
 
-    /// Reads changes of the list of servers after `after`, waiting for some at most `wait`.
+    /// Waits up to `wait` for changes to the list of servers after `after`.
     async fn read_server_changes(
         &self,
         after: Revision,
@@ -231,13 +234,13 @@
         }
     }
 
-    /// Reads the whole list of entry hosts.
+    /// Reads the complete list of entry hosts.
     async fn read_hosts(&self) -> Result<Read<Batch<Peer>>, Error> {
         let read = self.platform.peers().await?;
         Ok(read.map(Batch::Snapshot))
     }
 
-    /// Reads changes among entry hosts after `after`, waiting for some at most `wait`.
+    /// Waits up to `wait` for changes to the list of entry hosts after `after`.
     async fn read_host_changes(
         &self,
         after: Revision,
@@ -259,12 +262,12 @@
         }
     }
 
-    /// Announces this host once more: the store no longer has its entry.
+    /// Announces this host again, because the store no longer has its entry.
     ///
-    /// Guards against majorities that are counted without it by hosts that start later, after a store
-    /// was restored from a copy of before its announcement.
+    /// Guards against a majority that is counted without this host, by hosts that start after the
+    /// store was restored from a backup older than the announcement.
     fn announce_again(self: &Rc<Self>, own: &Peer) {
-        // The first announcement may still be on its way.
+        // The first announcement may still be in flight.
         if !self.announced.replace(false) {
             return;
         }
@@ -272,8 +275,9 @@
         tokio::task::spawn_local(async move { watch.announce(&own).await });
     }
 
-    /// Takes configurations in the order of their writing. One that cannot be read never replaces
-    /// one that can, and is passed over: to ask for it again would bring the same.
+    /// Applies configurations in the order in which they were written. A configuration that cannot
+    /// be read is skipped and never replaces a readable one. It is not requested again, since the
+    /// answer would be the same.
     fn apply_configurations(&self, configurations: Vec<Entry<Configuration>>, took: Duration) {
         for configuration in configurations {
             match configuration {
@@ -283,8 +287,8 @@
         }
     }
 
-    /// Everything up to `revision` was read. Returns whether that holds: it does not where the answer
-    /// is of an epoch that is over by now, after a pause before the next call.
+    /// Records that everything up to `revision` was read. Returns whether the answer is valid: it
+    /// is not if its epoch is over, and then this pauses before the next call.
     async fn record_answer(&self, poll: &mut PollState, revision: Revision) -> bool {
         let what = poll.table();
         meter::platform_call(what, true);
@@ -304,7 +308,7 @@
         true
     }
 
-    /// A call that waited for changes was given up.
+    /// Records that a call waiting for changes was cancelled.
     fn record_cancellation(&self, poll: &mut PollState, doubt: CancelReason) {
         let what = poll.table();
         match doubt {
--- a/crates/proxy/tests/feeds.rs
+++ b/crates/proxy/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! When a call that waits for changes is given up.
+//! Cancellation of calls that wait for changes.
 
 use std::future::{pending, ready};
 use std::time::Duration;
@@ -9,10 +9,10 @@
     Duration::from_millis(millis)
 }
 
-/// A host of a large fleet waits long, as others tell it when its call is stuck. An availability
-/// zone is cut off, it reads_change_at most of those no longer, and the answer to its call is lost: changes
-/// were missed for the rest of 26 s. Now the call is made anew, once, and waits as long as one that
-/// nobody else looks after.
+/// In a large fleet a host's call waits long, because other hosts notify it when the call is stuck.
+/// When an availability zone is partitioned, the host loses contact with most of them. If the
+/// answer to its call is lost as well, it missed changes for up to 26 s. The call has to be
+/// repeated once, and to wait only as long as a call that no other host monitors.
 #[tokio::test]
 async fn a_call_is_cancelled_when_no_peer_monitors_it_any_more() {
     let feeds = Feeds::default();
@@ -34,9 +34,9 @@
     assert_eq!(ended, WaitOutcome::Answered(()));
 }
 
-/// The store comes back after an outage, which one call shows. The others, made before, may have
-/// been lost as well, and servers that left meanwhile were used on. They are given up; calls that
-/// are made later are not.
+/// The end of an outage is detected by one call. Other calls made before it may have been lost as
+/// well, and servers that left meanwhile stayed in use. Such calls have to be cancelled, and later
+/// ones must not be.
 #[tokio::test]
 async fn calls_from_before_the_end_of_an_outage_are_cancelled() {
     let feeds = Feeds::default();
--- a/crates/proxy/tests/poll_state.rs
+++ b/crates/proxy/tests/poll_state.rs
@@ -1,4 +1,4 @@
-//! What a host asks the platform next, and how soon it hears of changes after an outage.
+//! Requests to the platform, and how soon a host reads changes after an outage.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
     MAX_BACKOFF, MIN_BACKOFF, Outage, PollFailure, PollRequest, PollState,
 };
 
-/// From when on after an outage callers count on what was acknowledged.
+/// Time after the end of an outage from which callers rely on acknowledged changes.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(4);
 
-/// How long it takes to tell another host that it has missed something: a heartbeat (0.25 s) and
-/// the time for which it may be behind (0.4 s).
+/// Time to notify another host that it has missed a change: a heartbeat (0.25 s) and the time for
+/// which it may be behind (0.4 s).
 const PEER_NOTIFICATION_DELAY: Duration = Duration::from_millis(650);
 
 fn at(millis: u64) -> Duration {
@@ -23,7 +23,7 @@
     Error::Lost("no answer in time".to_owned())
 }
 
-/// An outage, and a call that is lost if it is open at any moment of it.
+/// An outage. A call is lost if it is open at any moment of it.
 #[derive(Debug, Clone, Copy)]
 struct LostInterval {
     from: Duration,
@@ -36,8 +36,8 @@
     }
 }
 
-/// When a host hears what was changed at the end of `away`, if it begins to ask at 0 and
-/// the platform is otherwise quiet.
+/// Returns when a host reads a change made at the end of `interval`, if it begins to poll at 0 and
+/// there are no other changes.
 fn reads_change_at(interval: LostInterval) -> Duration {
     let mut poll = PollState::new("configuration", at(0));
     let mut now = at(0);
@@ -66,10 +66,9 @@
     }
 }
 
-/// The store answers nobody for a while, and an operator's change right after it was served seconds
-/// too late: each host's call had been made within the outage and hung for its whole wait. However
-/// long an outage is and whenever it begins, hosts hear of the change in time, those that are told
-/// by others too.
+/// A change made right after an outage was served seconds too late, because each host's call had
+/// been made during the outage and hung for its whole wait. Whatever the start and length of an
+/// outage, hosts have to read the change in time, including those that are notified by others.
 #[test]
 fn a_change_after_an_outage_is_read_in_time() {
     for from in (0..4_000).step_by(50).map(at) {
@@ -87,8 +86,8 @@
     }
 }
 
-/// The store refuses everything for a minute. Each call is charged for, so they become fewer, up to
-/// the pause after which a change would be heard too late.
+/// The store refuses every call for a minute. Calls are charged for, so their number has to
+/// decrease, up to the backoff beyond which a change would be read too late.
 #[test]
 fn calls_back_off_while_an_outage_lasts() {
     let mut poll = PollState::new("servers", at(0));
@@ -125,8 +124,8 @@
     );
 }
 
-/// A host is told of a change that its own call has not brought: the feed may have missed it, so
-/// everything is read. If only another call was lost, what has changed is enough.
+/// A host that is notified of a change its own call has not returned reads everything, since the
+/// feed may have missed it. If only another call was lost, reading the changes is enough.
 #[test]
 fn a_cancelled_call_is_repeated() {
     let mut poll = PollState::new("servers", at(0));
@@ -148,8 +147,8 @@
     assert_eq!(poll.next_request(at(210)), PollRequest::All);
 }
 
-/// A store keeps hardly any history and refuses each feed as soon as the table has been read. A
-/// host that read it again at once would take all the calls that the store can answer.
+/// A store keeps hardly any history and refuses each feed right after the table was read. A host
+/// that read the table again immediately would use up all calls that the store can answer.
 #[test]
 fn a_repeated_loss_of_history_backs_off() {
     let mut poll = PollState::new("servers", at(0));
