--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -24,7 +24,7 @@
     /// The transaction in which it runs.
     pub frame: TransactionFrame,
     /// Position that the server's log must contain for the statement to run.
-    pub after: Option<Position>,
+    pub min_position: Option<Position>,
     /// Time at which a primary that answers is known to have been current.
     pub confirmed_at: Duration,
 }
@@ -107,8 +107,8 @@
     }
     *sent = true;
     connection.flush().await?;
-    let after = usize::from(job.frame == TransactionFrame::RolledBack);
-    drain_answers(connection, after + 1).await?;
+    let trailing = usize::from(job.frame == TransactionFrame::RolledBack);
+    drain_answers(connection, trailing + 1).await?;
     let outcome = connection.outcome().await?;
     if drain_answers(connection, 0).await.is_err() {
         // The caller's answer is complete, but the connection must not be reused.
@@ -140,11 +140,14 @@
         TransactionFrame::RolledBack => Access::Write,
         TransactionFrame::Opens(access) => access,
     };
-    let after = match access {
-        Access::Read => job.after,
+    let min_position = match access {
+        Access::Read => job.min_position,
         Access::Write => None,
     };
-    connection.push(&Command::Begin { access, after });
+    connection.push(&Command::Begin {
+        access,
+        min_position,
+    });
     let service = Rc::clone(connection.service());
     let sent = service.site.now();
     connection.flush().await?;
@@ -175,8 +178,8 @@
 }
 
 fn push_statement<C: Codec>(connection: &mut PooledConnection<C>, job: &Job<'_>) {
-    let after = match job.frame {
-        TransactionFrame::Bare => job.after,
+    let min_position = match job.frame {
+        TransactionFrame::Bare => job.min_position,
         TransactionFrame::RolledBack | TransactionFrame::Opens(_) => None,
     };
     let id = &job.query.id;
@@ -189,12 +192,12 @@
             id,
             name: &name,
             arguments,
-            after,
+            min_position,
         }),
         None => connection.push(&Command::Run {
             id,
             text: &job.query.text,
-            after,
+            min_position,
         }),
     }
 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -299,7 +299,7 @@
                 server,
                 millis: since.as_millis(),
             });
-            self.service(&service).unlisted(key);
+            self.service(&service).remove_server(key);
         }
     }
 
@@ -451,10 +451,10 @@
         });
         let service = self.service(&backend.service);
         let slots = service.slots();
-        service.listed(key, backend, start, source);
+        service.add_server(key, backend, start, source);
         // Which hosts serve it depends on what its servers run at once.
         if service.slots() != slots {
-            service.allot(self.allotment(&service.name));
+            service.set_allotment(self.allotment(&service.name));
         }
     }
 
@@ -463,7 +463,7 @@
             return service;
         }
         let service = Rc::new(Service::new(name.to_owned(), Rc::clone(&self.site)));
-        service.allot(self.allotment(name));
+        service.set_allotment(self.allotment(name));
         let mut services = self.services.borrow_mut();
         services.insert(name.to_owned(), Rc::clone(&service));
         service
--- a/crates/proxy/src/fleet/homes.rs
+++ b/crates/proxy/src/fleet/homes.rs
@@ -87,7 +87,7 @@
     /// Gives all services their connections anew.
     pub(super) fn allot(&self) {
         for service in self.services() {
-            service.allot(self.allotment(&service.name));
+            service.set_allotment(self.allotment(&service.name));
         }
     }
 
--- a/crates/proxy/src/fleet/starts.rs
+++ b/crates/proxy/src/fleet/starts.rs
@@ -41,7 +41,7 @@
         match self.sight(backend) {
             Sighting::Known(key) => Some((key, Start::Known)),
             Sighting::Newer { key, before } => {
-                self.service(&before.service).restarted(before.key);
+                self.service(&before.service).end_incarnation(before.key);
                 if backend.incarnation == before.incarnation {
                     return Some((key, Start::Known));
                 }
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -99,7 +99,7 @@
         /// The caller's text.
         text: &'a [u8],
         /// Position that the server's log must contain for the statement to run.
-        after: Option<Position>,
+        min_position: Option<Position>,
     },
     /// Runs a prepared statement for a caller.
     Execute {
@@ -110,14 +110,14 @@
         /// The caller's arguments.
         arguments: &'a [u8],
         /// Position that the server's log must contain for the statement to run.
-        after: Option<Position>,
+        min_position: Option<Position>,
     },
     /// Opens a transaction.
     Begin {
         /// Access of the transaction to data.
         access: Access,
         /// Position that the server's log must contain for the transaction to begin.
-        after: Option<Position>,
+        min_position: Option<Position>,
     },
     /// Rolls the open transaction back.
     Rollback,
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -97,7 +97,7 @@
             self.peer.push(&Command::Run {
                 id: &query.id,
                 text: &query.text,
-                after: None,
+                min_position: None,
             });
             let sent = self.context.site.now();
             let outcome = match self.outcome().await {
@@ -136,13 +136,13 @@
 
     async fn next_event(&mut self) -> Result<RelayEvent, caller_connection::Error> {
         let stop = Rc::clone(&self.context.stop);
-        let idle = self.transaction != Transaction::Open;
+        let is_idle = self.transaction != Transaction::Open;
         tokio::select! {
             biased;
             request = self.caller.request() => Ok(RelayEvent::Request(request?)),
             () = self.peer.wait_closed() => Ok(RelayEvent::End),
-            () = stop.sessions(self.moves), if idle => Ok(RelayEvent::End),
-            () = stop.transactions(), if !idle => Ok(RelayEvent::End),
+            () = stop.sessions(self.moves), if is_idle => Ok(RelayEvent::End),
+            () = stop.transactions(), if !is_idle => Ok(RelayEvent::End),
         }
     }
 }
--- a/crates/proxy/src/server_connection.rs
+++ b/crates/proxy/src/server_connection.rs
@@ -220,7 +220,7 @@
         };
         self.push(&Command::Begin {
             access: Access::Read,
-            after: Some(first),
+            min_position: Some(first),
         });
         self.flush().await?;
         let outcome = self.outcome().await?;
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -214,7 +214,7 @@
         server: ServerKey,
         position: Option<Position>,
         sent: Duration,
-        led: bool,
+        by_primary: bool,
     ) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
@@ -235,7 +235,7 @@
         }
         state.vouch.saw_term(position.term);
         state.leader.saw_term(server, position.term);
-        if led && !state.extent.lacks(position, sent) {
+        if by_primary && !state.extent.lacks(position, sent) {
             state.vouch.led(position, sent);
             state.leader.led(server, position.term);
             self.sample_arrived();
--- a/crates/proxy/src/service/confirm.rs
+++ b/crates/proxy/src/service/confirm.rs
@@ -47,20 +47,25 @@
     pub async fn confirm_primary(self: &Rc<Self>, since: Duration) -> Option<Duration> {
         loop {
             let now = self.site.now();
-            let (confirmed, begun, asking) = {
+            let (confirmed_at, round_started_at, in_progress) = {
                 let state = self.state.borrow();
-                let it = &state.confirmation;
-                (it.confirmed_at, it.round_started_at, it.in_progress)
+                let confirmation = &state.confirmation;
+                (
+                    confirmation.confirmed_at,
+                    confirmation.round_started_at,
+                    confirmation.in_progress,
+                )
             };
-            if confirmed >= Some(since) {
-                return confirmed;
+            if confirmed_at >= Some(since) {
+                return confirmed_at;
             }
-            if asking {
+            if in_progress {
                 self.confirmation_notify.notified().await;
-            } else if begun >= Some(since) {
+            } else if round_started_at >= Some(since) {
                 // A round was started after `since` and did not confirm the primary.
                 return None;
-            } else if let Some(pause) = begun.and_then(|it| (it + ROUND_INTERVAL).checked_sub(now))
+            } else if let Some(pause) =
+                round_started_at.and_then(|start| (start + ROUND_INTERVAL).checked_sub(now))
                 && !pause.is_zero()
             {
                 tokio::time::sleep(pause).await;
@@ -97,18 +102,18 @@
             return false;
         };
         let targets = self.targets().into_iter().map(|(target, _)| target);
-        let others: Vec<Target> = targets.filter(|it| it.server != leader).collect();
+        let others: Vec<Target> = targets.filter(|target| target.server != leader).collect();
         if others.is_empty() {
             return false;
         }
-        let questions = others.into_iter().map(|target| {
+        let queries = others.into_iter().map(|target| {
             let service = Rc::clone(self);
             tokio::task::spawn_local(async move { service.follows(target, asked).await })
         });
-        let questions: Vec<_> = questions.collect();
+        let queries: Vec<_> = queries.collect();
         let mut follow = true;
-        for question in questions {
-            follow &= question.await.unwrap_or(false);
+        for query in queries {
+            follow &= query.await.unwrap_or(false);
         }
         // The answers only apply to the primary that was current when the round started.
         follow && self.leader() == Some(leader)
--- a/crates/proxy/src/service/connect.rs
+++ b/crates/proxy/src/service/connect.rs
@@ -74,10 +74,10 @@
         target: &Target,
     ) -> Result<ServerConnection<C>, server_connection::Error> {
         let mut connection = ServerConnection::connect(id, target, &self.site.host).await?;
-        let start = connection
+        let term_start = connection
             .position
-            .filter(|it| it.log == 0 && self.has_seen_entries());
-        let Some(position) = start else {
+            .filter(|position| position.log == 0 && self.has_seen_entries());
+        let Some(position) = term_start else {
             return Ok(connection);
         };
         let asked = timeout(EXAMINATION_TIMEOUT, connection.has_entries()).await;
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -38,7 +38,7 @@
     hold_from: Duration,
     /// Time from which the primary's answers are ignored.
     ignore_from: Duration,
-    heard_at: Duration,
+    learned_at: Duration,
 }
 
 impl Replacement {
@@ -69,8 +69,8 @@
     /// that it was ordered to lead: it had already received more, and log numbers continue across
     /// terms.
     pub(super) fn is_behind_promotion(&self, position: Position) -> bool {
-        let ordered = position.term.number() == self.previous_term.number() + 1;
-        ordered && position.log > 0 && position.log <= self.received.log
+        let promoted = position.term.number() == self.previous_term.number() + 1;
+        promoted && position.log > 0 && position.log <= self.received.log
     }
 }
 
@@ -88,7 +88,7 @@
     /// reads. Otherwise a host that learns of an order before the check would read from a primary
     /// that may have lost its log.
     fn hold_for_successor(&mut self, from: Duration, until: Duration, now: Duration) {
-        let unchecked = self.check_hold.take().filter(|it| now < it.until);
+        let unchecked = self.check_hold.take().filter(|hold| now < hold.until);
         let from = unchecked.map_or(from, |unchecked| unchecked.from);
         let hold = dispatch::Hold { from, until };
         match unchecked {
@@ -121,8 +121,8 @@
         let newest = state
             .promotions
             .iter()
-            .max_by_key(|(_, it)| it.previous_term);
-        newest.map(|(id, it)| peer::TermStart::new(id.clone(), it.previous_term, it.received))
+            .max_by_key(|(_, promotion)| promotion.previous_term);
+        newest.map(|(id, at)| peer::TermStart::new(id.clone(), at.previous_term, at.received))
     }
 
     /// Returns for how long a primary that is alive and about to leave still serves if its
@@ -156,12 +156,14 @@
         let successor = self.resolve_listed(&ended.successor);
         let mut state = self.state.borrow_mut();
         let replacement = state.replacement.as_ref();
-        if replacement.is_some_and(|it| (it.ended_term, it.token) >= (ended.term(), ended.token)) {
+        if replacement
+            .is_some_and(|known| (known.ended_term, known.token) >= (ended.term(), ended.token))
+        {
             return false;
         }
-        let serves = ended.serves();
-        let hold_from = now + serves;
-        let ignore_from = match serves.is_zero() {
+        let serves_for = ended.serves();
+        let hold_from = now + serves_for;
+        let ignore_from = match serves_for.is_zero() {
             true => now,
             false => hold_from + HANDOVER_MARGIN,
         };
@@ -172,7 +174,7 @@
             successor_position: ended.had(),
             hold_from,
             ignore_from,
-            heard_at: now,
+            learned_at: now,
         });
         let id = ended.successor.id.clone();
         state.record_term_start(&peer::TermStart::new(id, ended.term(), ended.had()));
@@ -192,8 +194,8 @@
         let now = self.site.now();
         let state = self.state.borrow();
         let replacement = state.replacement.as_ref()?;
-        let serves = replacement.hold_from.saturating_sub(now);
-        (now <= replacement.heard_at + age).then(|| {
+        let serves_for = replacement.hold_from.saturating_sub(now);
+        (now <= replacement.learned_at + age).then(|| {
             let successor = (
                 replacement.successor.clone(),
                 replacement.successor_position,
@@ -203,7 +205,7 @@
                 replacement.ended_term,
                 replacement.token,
                 successor,
-                serves,
+                serves_for,
             )
         })
     }
@@ -257,7 +259,7 @@
         self.site.log(&Event::AcknowledgedDuring {
             service: self.name.clone(),
             id: String::from_utf8_lossy(id).into_owned(),
-            position: position.map_or_else(|| "-".to_owned(), |it| it.to_string()),
+            position: position.map_or_else(|| "-".to_owned(), |position| position.to_string()),
         });
     }
 
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -25,7 +25,7 @@
 impl<C: Codec> Service<C> {
     /// Records that the platform lists `backend` under `key`, which identifies one incarnation of
     /// the server.
-    pub fn listed(
+    pub fn add_server(
         self: &Rc<Self>,
         key: ServerKey,
         backend: &Backend,
@@ -80,18 +80,18 @@
 
     /// Records that the server under `key` has restarted: requests in flight to it will not be
     /// answered.
-    pub fn restarted(self: &Rc<Self>, key: ServerKey) {
+    pub fn end_incarnation(self: &Rc<Self>, key: ServerKey) {
         if let Some(entry) = self.state.borrow().servers.get(&key) {
             entry.restart_signal.raise();
         }
-        self.unlisted(key);
+        self.remove_server(key);
     }
 
     /// Records that the platform no longer lists the server.
     ///
     /// The server may still be running, cut off from the platform: answers to requests in flight
     /// are awaited, and open transactions continue to their end.
-    pub fn unlisted(self: &Rc<Self>, key: ServerKey) {
+    pub fn remove_server(self: &Rc<Self>, key: ServerKey) {
         let next = {
             let mut state = self.state.borrow_mut();
             state.leader.unlisted(key);
@@ -103,7 +103,7 @@
     }
 
     /// Updates the number of connections that this host may open.
-    pub fn allot(&self, allotment: Allotment) {
+    pub fn set_allotment(&self, allotment: Allotment) {
         let mut state = self.state.borrow_mut();
         state.allotment = allotment;
         let keys: Vec<ServerKey> = state.servers.keys().copied().collect();
--- a/crates/proxy/src/service/log_loss.rs
+++ b/crates/proxy/src/service/log_loss.rs
@@ -42,7 +42,7 @@
                     || state.lacks_received_entries(server, position))
         };
         if lost {
-            self.doubt_log(server, position);
+            self.report_lost_log(server, position);
             self.refresh_leader();
         }
         lost
@@ -74,13 +74,13 @@
             leads.then_some(Position { term, log: 0 })
         };
         if let Some(start) = start {
-            self.doubt_log(server, start);
+            self.report_lost_log(server, start);
             self.refresh_leader();
         }
     }
 
     /// Stops believing that `server` leads, because its log ends at `position`.
-    pub(super) fn doubt_log(&self, server: ServerKey, position: Position) {
+    pub(super) fn report_lost_log(&self, server: ServerKey, position: Position) {
         let now = self.site.now();
         let furthest = {
             let mut state = self.state.borrow_mut();
--- a/crates/proxy/src/service/log_proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -158,7 +158,7 @@
             MissingEvidence::Nothing
         } else if self.extent.is_written() {
             MissingEvidence::Proof
-        } else if self.lacks_witness() {
+        } else if self.may_have_unseen_entries() {
             MissingEvidence::Record
         } else {
             MissingEvidence::Nothing
@@ -184,7 +184,7 @@
     ///
     /// A server that has merely not answered yet is no reason to ask the store: while a whole fleet
     /// starts, that would be one call per host and service.
-    fn lacks_witness(&self) -> bool {
+    fn may_have_unseen_entries(&self) -> bool {
         let mut others = self.others().peekable();
         let is_alone = others.peek().is_none();
         is_alone
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -102,7 +102,7 @@
                 || state.may_have_lost_log(server, position))
         {
             drop(state);
-            self.doubt_log(server, position);
+            self.report_lost_log(server, position);
         } else if leads && position.log > 0 {
             state.record_own_write(server);
         }
@@ -209,7 +209,7 @@
 
 impl PrimaryCheck {
     /// Returns the check of a primary that is believed from `now` on.
-    pub(super) fn after(now: Duration) -> PrimaryCheck {
+    pub(super) fn due_after(now: Duration) -> PrimaryCheck {
         PrimaryCheck::Due(now + CHECK_DELAY)
     }
 }
@@ -261,7 +261,7 @@
     /// reads: they may only need the start of the primary's term, which servers assume to be in
     /// every log.
     pub(super) fn schedule_leader_check(&mut self, now: Duration) {
-        self.check = PrimaryCheck::after(now);
+        self.check = PrimaryCheck::due_after(now);
         self.primary_position = None;
         self.servers
             .values_mut()
@@ -303,7 +303,9 @@
             return false;
         };
         let replacement = self.replacement.as_ref();
-        proven == leader || replacement.is_some_and(|it| self.is_same_start(leader, it.successor()))
+        proven == leader
+            || replacement
+                .is_some_and(|replacement| self.is_same_start(leader, replacement.successor()))
     }
 
     /// Reports whether `key` stands for the incarnation of a server that `server` names.
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -158,14 +158,14 @@
 
     async fn run(mut self) -> Result<(), caller_connection::Error> {
         loop {
-            let incoming = match self.next_event().await {
-                Ok(incoming) => incoming,
+            let event = match self.next_event().await {
+                Ok(event) => event,
                 Err(error) => {
                     self.abandon();
                     return self.caller.reject(error).await;
                 }
             };
-            let flow = match incoming {
+            let flow = match event {
                 SessionEvent::Request(Some(Request::Query(query))) => self.query(&query).await?,
                 SessionEvent::Request(Some(Request::Startup { .. })) => {
                     self.refuse(Code::Malformed, b"the session has started already");
@@ -194,13 +194,13 @@
             TransactionState::Idle | TransactionState::Failed => false,
             TransactionState::Begun(_) | TransactionState::Open(_) => true,
         };
-        let idle = self.context.fleet.configuration();
-        let idle = idle.map_or(Duration::MAX, |it| it.transaction_idle);
+        let configuration = self.context.fleet.configuration();
+        let idle_limit = configuration.map_or(Duration::MAX, |config| config.transaction_idle);
         if open {
             return tokio::select! {
                 biased;
                 request = self.caller.request() => Ok(SessionEvent::Request(request?)),
-                () = tokio::time::sleep(idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
+                () = tokio::time::sleep(idle_limit.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
                     Ok(SessionEvent::Idle)
                 }
                 () = stop.transactions() => Ok(SessionEvent::Stop),
--- a/crates/proxy/src/session/placement.rs
+++ b/crates/proxy/src/session/placement.rs
@@ -79,7 +79,7 @@
 impl Plan {
     /// Reports whether this is a write outside of any transaction, which is permanent as soon as it
     /// has run.
-    fn writes_alone(&self) -> bool {
+    fn is_single_write(&self) -> bool {
         self.access == Access::Write && self.frame == TransactionFrame::Bare
     }
 }
@@ -167,7 +167,7 @@
             caller_state: &self.caller_state,
             prepared: prepared.map(|(shape, arguments)| (shape, &arguments[..])),
             frame,
-            after: required_position(need),
+            min_position: required_position(need),
             confirmed_at,
         };
         let sent = self.context.site.now();
@@ -291,7 +291,7 @@
                     by_primary && !refuted && code.is_none(),
                 );
                 if code.is_none()
-                    && plan.writes_alone()
+                    && plan.is_single_write()
                     && let Some(reason) = self
                         .reason_to_withhold(&service, server)
                         .or(refuted.then_some(LOG_LOST))
--- a/crates/proxy/src/session/transaction.rs
+++ b/crates/proxy/src/session/transaction.rs
@@ -118,7 +118,7 @@
             caller_state: &self.caller_state,
             prepared: prepared.map(|(shape, arguments)| (shape, &arguments[..])),
             frame: TransactionFrame::Bare,
-            after: None,
+            min_position: None,
             confirmed_at: arrived,
         };
         let holds_lease = self.context.fleet.holds_lease(&open.service);
@@ -180,7 +180,7 @@
             caller_state: &self.caller_state,
             prepared: None,
             frame: TransactionFrame::Bare,
-            after: None,
+            min_position: None,
             confirmed_at: arrived,
         };
         open.connection.set_idle_in_transaction(false);
