--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -122,7 +122,7 @@
             .promotions
             .iter()
             .max_by_key(|(_, promotion)| promotion.previous_term);
-        newest.map(|(id, at)| peer::TermStart::new(id.clone(), at.previous_term, at.received))
+        newest.map(|(id, last)| peer::TermStart::new(id.clone(), last.previous_term, last.received))
     }
 
     /// Returns for how long a primary that is alive and about to leave still serves if its
--- a/crates/proxy/src/service/restart_signal.rs
+++ b/crates/proxy/src/service/restart_signal.rs
@@ -35,9 +35,9 @@
 
     /// Waits until the signal is raised.
     pub async fn raised(&self) {
-        let ended = self.state.notify.notified();
+        let notified = self.state.notify.notified();
         if !self.is_raised() {
-            ended.await;
+            notified.await;
         }
     }
 }
