--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -205,7 +205,7 @@
 }
 
 impl Code {
-    /// Reports whether the code guarantees that the statement did not run, so that it can be retried.
+    /// Reports whether the statement certainly did not run, so that it can be retried.
     ///
     /// ```
     /// use flamingopost_proxy::message::Code;
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,8 +1,9 @@
 //! Relays a session to another host of the availability zone, which serves it.
 //!
-//! If there are more hosts than a server can accept connections from, a few hosts of each zone serve
-//! a service on behalf of all. The others relay their callers' statements one after the other, over
-//! one connection per caller, so that the serving host holds the complete session state.
+//! If there are more hosts than a server can accept connections from, a few hosts of each zone
+//! serve a service on behalf of all. The others relay their callers' statements one after the
+//! other, over one connection per caller, so that the serving host holds the complete session
+//! state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -50,8 +50,9 @@
 }
 
 /// Latest time after which a newly believed primary is asked for its status. The check is made
-/// earlier if every other server has shown its position on a new connection. That takes a few round
-/// trips between zones, plus the tens of milliseconds that a server needs for a new connection.
+/// earlier, once every other server has shown its position on a connection to it. That takes a few
+/// round trips between zones, plus the tens of milliseconds that a server needs for a new
+/// connection.
 const CHECK_DELAY: Duration = Duration::from_millis(150);
 
 /// Longest time that a host sends nothing to a believed but unchecked primary: the delay until the
@@ -384,8 +385,8 @@
     /// led before.
     ///
     /// Guards against writes to a primary that restarts with its log after its successor has been
-    /// ordered: the successor lacks what it acknowledges until the successor leads. The server list
-    /// shows it as the primary during that time, so held statements stay held.
+    /// ordered: the successor lacks what the old primary acknowledges until the successor leads.
+    /// The server list shows it as the primary during that time, so held statements stay held.
     ///
     /// Also guards against sending held statements to a primary that was replaced long before,
     /// while no other server seems to lead for a moment. This host refuses to rely on it, so
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -28,7 +28,8 @@
 use transaction::OpenTransaction;
 
 /// Reason given while this host is out of contact with most other hosts: the primary could be
-/// replaced without this host's knowledge, and writes that it then acknowledges would be lost.
+/// replaced without this host's knowledge, and writes that the old primary then acknowledges would
+/// be lost.
 const OUT_OF_TOUCH: &str = "this host is out of touch with most others";
 
 /// Reason given when a write was answered by a primary whose successor may already lead.
@@ -60,7 +61,8 @@
     seen_positions: BTreeMap<String, Position>,
     transaction: TransactionState<C>,
     retry_budget: Budget,
-    /// Number of requests to move that sessions had received when this session began.
+    /// Value of the host's move counter when this session began. Outside of a transaction, the
+    /// session ends once the counter is higher.
     moves: u64,
 }
 
