--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -197,12 +197,12 @@
             TransactionState::Begun(_) | TransactionState::Open(_) => true,
         };
         let configuration = self.context.fleet.configuration();
-        let idle_limit = configuration.map_or(Duration::MAX, |config| config.transaction_idle);
+        let max_idle = configuration.map_or(Duration::MAX, |config| config.transaction_idle);
         if open {
             return tokio::select! {
                 biased;
                 request = self.caller.request() => Ok(SessionEvent::Request(request?)),
-                () = tokio::time::sleep(idle_limit.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
+                () = tokio::time::sleep(max_idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
                     Ok(SessionEvent::Idle)
                 }
                 () = stop.transactions() => Ok(SessionEvent::Stop),
