--- a/crates/proxy/src/caller_state.rs
+++ b/crates/proxy/src/caller_state.rs
@@ -71,7 +71,7 @@
 pub struct ConnectionState {
     values: BTreeMap<Bytes, Bytes>,
     prepared: BTreeMap<Shape, u32>,
-    next: u32,
+    last_number: u32,
 }
 
 impl ConnectionState {
@@ -93,9 +93,9 @@
         if let Some(shape) = shape
             && !self.prepared.contains_key(shape)
         {
-            self.next += 1;
-            self.prepared.insert(shape.clone(), self.next);
-            steps.push(Step::Prepare(name_of(self.next), shape.clone()));
+            self.last_number += 1;
+            self.prepared.insert(shape.clone(), self.last_number);
+            steps.push(Step::Prepare(name_of(self.last_number), shape.clone()));
         }
         steps
     }
