--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -205,8 +205,8 @@
 /// Reads answers until `left` are outstanding.
 ///
 /// # Errors
-/// The connection is lost, or a command that precedes the statement failed: its state then differs
-/// from the recorded one.
+/// The connection is lost, or a command that precedes the statement failed. The connection's state
+/// then differs from the recorded one.
 async fn drain_answers<C: Codec>(
     connection: &mut PooledConnection<C>,
     left: usize,
