--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -202,9 +202,8 @@
             return tokio::select! {
                 biased;
                 request = self.caller.request() => Ok(SessionEvent::Request(request?)),
-                () = tokio::time::sleep(max_idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
-                    Ok(SessionEvent::Idle)
-                }
+                () = tokio::time::sleep(max_idle.min(caller_connection::MAX_TRANSACTION_IDLE)) =>
+                    Ok(SessionEvent::Idle),
                 () = stop.transactions() => Ok(SessionEvent::Stop),
             };
         }
