--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -302,7 +302,7 @@
                 server,
                 millis: since.as_millis(),
             });
-            self.service_or_new(&service).unlisted(key);
+            self.service_or_new(&service).remove_server(key);
         }
     }
 
@@ -461,10 +461,10 @@
         });
         let service = self.service_or_new(&backend.service);
         let slots = service.slots();
-        service.listed(key, backend, start, source);
+        service.add_server(key, backend, start, source);
         // The set of serving hosts depends on the number of request slots.
         if service.slots() != slots {
-            service.allot(self.allotment(&service.name));
+            service.set_allotment(self.allotment(&service.name));
         }
     }
 
@@ -473,7 +473,7 @@
             return service;
         }
         let service = Rc::new(Service::new(name.to_owned(), Rc::clone(&self.site)));
-        service.allot(self.allotment(name));
+        service.set_allotment(self.allotment(name));
         let mut services = self.services.borrow_mut();
         services.insert(name.to_owned(), Rc::clone(&service));
         service
--- a/crates/proxy/src/fleet/incarnations.rs
+++ b/crates/proxy/src/fleet/incarnations.rs
@@ -45,7 +45,8 @@
         match self.match_incarnation(backend) {
             IncarnationMatch::Known(key) => Some((key, Start::Known)),
             IncarnationMatch::Newer { key, before } => {
-                self.service_or_new(&before.service).restarted(before.key);
+                self.service_or_new(&before.service)
+                    .end_incarnation(before.key);
                 if backend.incarnation == before.incarnation {
                     return Some((key, Start::Known));
                 }
--- a/crates/proxy/src/fleet/placement.rs
+++ b/crates/proxy/src/fleet/placement.rs
@@ -100,7 +100,7 @@
     /// Recomputes the connection allotment of all services.
     pub(super) fn allot_connections(&self) {
         for service in self.services() {
-            service.allot(self.allotment(&service.name));
+            service.set_allotment(self.allotment(&service.name));
         }
     }
 
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,8 +1,9 @@
 //! Relays a session to another host of the availability zone, which serves it.
 //!
-//! If there are more hosts than a server can accept connections from, a few hosts of each zone serve
-//! a service on behalf of all. The others relay their callers' statements one after the other, over
-//! one connection per caller, so that the serving host holds the complete session state.
+//! If there are more hosts than a server can accept connections from, a few hosts of each zone
+//! serve a service on behalf of all. The others relay their callers' statements one after the
+//! other, over one connection per caller, so that the serving host holds the complete session
+//! state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -97,7 +98,7 @@
             self.peer.push(&Command::Run {
                 id: &query.id,
                 text: &query.text,
-                after: None,
+                min_position: None,
             });
             let sent = self.context.site.now();
             let outcome = match self.outcome().await {
@@ -136,13 +137,13 @@
 
     async fn next_event(&mut self) -> Result<RelayEvent, caller_connection::Error> {
         let stop = Rc::clone(&self.context.stop);
-        let idle = self.transaction != Transaction::Open;
+        let is_idle = self.transaction != Transaction::Open;
         tokio::select! {
             biased;
             request = self.caller.request() => Ok(RelayEvent::Request(request?)),
             () = self.peer.wait_closed() => Ok(RelayEvent::End),
-            () = stop.sessions_must_end(self.moves), if idle => Ok(RelayEvent::End),
-            () = stop.transactions_must_end(), if !idle => Ok(RelayEvent::End),
+            () = stop.sessions_must_end(self.moves), if is_idle => Ok(RelayEvent::End),
+            () = stop.transactions_must_end(), if !is_idle => Ok(RelayEvent::End),
         }
     }
 }
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -214,7 +214,7 @@
         server: ServerKey,
         position: Option<Position>,
         sent: Duration,
-        led: bool,
+        by_primary: bool,
     ) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
@@ -235,7 +235,7 @@
         }
         state.vouch.record_term(position.term);
         state.leader.record_log_term(server, position.term);
-        if led && !state.extent.lacks(position, sent) {
+        if by_primary && !state.extent.lacks(position, sent) {
             state.vouch.add_sample(position, sent);
             state.leader.record_term_led(server, position.term);
             self.sample_arrived();
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -50,8 +50,9 @@
 }
 
 /// Latest time after which a newly believed primary is asked for its status. The check is made
-/// earlier if every other server has shown its position on a new connection. That takes a few round
-/// trips between zones, plus the tens of milliseconds that a server needs for a new connection.
+/// earlier, once every other server has shown its position on a connection to it. That takes a few
+/// round trips between zones, plus the tens of milliseconds that a server needs for a new
+/// connection.
 const CHECK_DELAY: Duration = Duration::from_millis(150);
 
 /// Longest time that a host sends nothing to a believed but unchecked primary: the delay until the
@@ -102,7 +103,7 @@
                 || state.may_have_lost_log(server, position))
         {
             drop(state);
-            self.doubt_log(server, position);
+            self.report_lost_log(server, position);
         } else if leads && position.log > 0 {
             state.record_own_write(server);
         }
@@ -210,7 +211,7 @@
 
 impl PrimaryCheck {
     /// Returns the check of a primary that is believed from `now` on.
-    pub(super) fn after(now: Duration) -> PrimaryCheck {
+    pub(super) fn due_after(now: Duration) -> PrimaryCheck {
         PrimaryCheck::Due(now + CHECK_DELAY)
     }
 }
@@ -262,7 +263,7 @@
     /// reads: they may only need the start of the primary's term, which servers assume to be in
     /// every log.
     pub(super) fn schedule_leader_check(&mut self, now: Duration) {
-        self.check = PrimaryCheck::after(now);
+        self.check = PrimaryCheck::due_after(now);
         self.primary_position = None;
         self.servers
             .values_mut()
@@ -304,7 +305,9 @@
             return false;
         };
         let replacement = self.replacement.as_ref();
-        proven == leader || replacement.is_some_and(|it| self.is_same_start(leader, it.successor()))
+        proven == leader
+            || replacement
+                .is_some_and(|replacement| self.is_same_start(leader, replacement.successor()))
     }
 
     /// Reports whether `key` stands for the incarnation of a server that `server` names.
@@ -384,8 +387,8 @@
     /// led before.
     ///
     /// Guards against writes to a primary that restarts with its log after its successor has been
-    /// ordered: the successor lacks what it acknowledges until the successor leads. The server list
-    /// shows it as the primary during that time, so held statements stay held.
+    /// ordered: the successor lacks what the old primary acknowledges until the successor leads.
+    /// The server list shows it as the primary during that time, so held statements stay held.
     ///
     /// Also guards against sending held statements to a primary that was replaced long before,
     /// while no other server seems to lead for a moment. This host refuses to rely on it, so
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -28,7 +28,8 @@
 use transaction::OpenTransaction;
 
 /// Reason given while this host is out of contact with most other hosts: the primary could be
-/// replaced without this host's knowledge, and writes that it then acknowledges would be lost.
+/// replaced without this host's knowledge, and writes that the old primary then acknowledges would
+/// be lost.
 const OUT_OF_TOUCH: &str = "this host is out of touch with most others";
 
 /// Reason given when a write was answered by a primary whose successor may already lead.
@@ -60,7 +61,8 @@
     seen_positions: BTreeMap<String, Position>,
     transaction: TransactionState<C>,
     retry_budget: Budget,
-    /// Number of requests to move that sessions had received when this session began.
+    /// Value of the host's move counter when this session began. Outside of a transaction, the
+    /// session ends once the counter is higher.
     moves: u64,
 }
 
@@ -158,14 +160,14 @@
 
     async fn run(mut self) -> Result<(), caller_connection::Error> {
         loop {
-            let incoming = match self.next_event().await {
-                Ok(incoming) => incoming,
+            let event = match self.next_event().await {
+                Ok(event) => event,
                 Err(error) => {
                     self.abandon();
                     return self.caller.reject(error).await;
                 }
             };
-            let flow = match incoming {
+            let flow = match event {
                 SessionEvent::Request(Some(Request::Query(query))) => self.query(&query).await?,
                 SessionEvent::Request(Some(Request::Startup { .. })) => {
                     self.refuse(Code::Malformed, b"the session has started already");
@@ -194,15 +196,14 @@
             TransactionState::Idle | TransactionState::Failed => false,
             TransactionState::Begun(_) | TransactionState::Open(_) => true,
         };
-        let idle = self.context.fleet.configuration();
-        let idle = idle.map_or(Duration::MAX, |it| it.transaction_idle);
+        let configuration = self.context.fleet.configuration();
+        let max_idle = configuration.map_or(Duration::MAX, |config| config.transaction_idle);
         if open {
             return tokio::select! {
                 biased;
                 request = self.caller.request() => Ok(SessionEvent::Request(request?)),
-                () = tokio::time::sleep(idle.min(caller_connection::MAX_TRANSACTION_IDLE)) => {
-                    Ok(SessionEvent::Idle)
-                }
+                () = tokio::time::sleep(max_idle.min(caller_connection::MAX_TRANSACTION_IDLE)) =>
+                    Ok(SessionEvent::Idle),
                 () = stop.transactions_must_end() => Ok(SessionEvent::Stop),
             };
         }
