--- a/crates/proxy/src/event.rs
+++ b/crates/proxy/src/event.rs
@@ -6,21 +6,21 @@
     pub enum Event {
         /// configuration version {version} in force after {before}, {routes} routes, read in {millis} ms
         5000 Info Adopted { version: u64, before: u64, routes: usize, millis: u128 },
-        /// platform does not answer for {what}: {error}; called {called} ms ago, last answer {silent} ms ago
+        /// platform unavailable for {what}: {error}; called {called} ms ago, last answer {silent} ms ago
         5001 Warn StoreLost { what: &'static str, error: String, called: u128, silent: u128 },
-        /// platform answers again for {what} after {millis} ms, {calls} calls failed
+        /// platform available again for {what} after {millis} ms, {calls} calls failed
         5002 Info StoreBack { what: &'static str, millis: u128, calls: u32 },
-        /// platform dropped the history of {what}, reading all of it
+        /// platform no longer has the change history of {what}, reading all of it
         5003 Info HistoryGone { what: &'static str },
-        /// other hosts have read changes of {what} that this one waits for, reading all of it
+        /// feed of {what} is stuck: other hosts have read newer changes, reading all of it
         5004 Warn FeedStuck { what: &'static str },
-        /// asking anew for changes of {what}: {doubt}
+        /// call waiting for changes of {what} cancelled and repeated: {doubt}
         5005 Info FeedDoubted { what: &'static str, doubt: String },
         /// platform's store restored from a copy, epoch {epoch} after {before}; known here: configuration version {version}, {servers} servers, {hosts} other hosts
         5006 Warn StoreRestored { before: u64, epoch: u64, version: u64, servers: usize, hosts: usize },
-        /// {service}: server {server} is in the restored list and had gone before: ignored until it writes its entry anew
+        /// {service}: server {server} is in the restored list but was dropped before: ignored until it rewrites its entry
         5007 Warn CopyIgnored { service: String, server: String },
-        /// claim of change {attempt} of {service} written anew after a restore: {outcome}
+        /// claim of change {attempt} of {service} rewritten after a restore: {outcome}
         5008 Info ClaimRewritten { service: String, attempt: u64, outcome: String },
         /// {service}: server {server} listed at {address} as {role:?}, leaving: {leaving}, revision {revision}
         5010 Info Listed { service: String, server: String, address: std::net::SocketAddr, role: flamingopost_core::leader::Role, leaving: bool, revision: crate::platform::Revision },
@@ -32,65 +32,65 @@
         5013 Info PeerGone { host: String },
         /// this host is announced, token {token}
         5014 Info Announced { token: u64 },
-        /// entry {id} of {table} is not used: {fault}; revision {revision}
+        /// entry {id} of {table} cannot be used: {fault}; revision {revision}
         5015 Warn Spoilt { table: &'static str, id: String, fault: String, revision: crate::platform::Revision },
         /// configuration version {version} is refused and version {kept} stays in force: {fault}; revision {revision}
         5016 Error ConfigurationRefused { version: String, kept: u64, fault: String, revision: crate::platform::Revision },
-        /// {service}: server {server} has started again, at {after} after {before} (Unix ms): what was known of it is dropped
+        /// {service}: server {server} restarted, at {after} after {before} (Unix ms): its former state is dropped
         5017 Warn Restarted { service: String, server: String, before: u64, after: u64 },
-        /// {service}: entry of a former start of server {server} ignored, of {former}, the newest is of {newest} (Unix ms)
+        /// {service}: entry of a former incarnation of server {server} ignored: started at {former}, the newest at {newest} (Unix ms)
         5018 Warn FormerStart { service: String, server: String, former: u64, newest: u64 },
-        /// {service}: {after} leads after {before}, which was so for {millis} ms
+        /// {service}: {after} leads after {before}; the previous state lasted {millis} ms
         5100 Info Leads { service: String, after: String, before: String, millis: u128 },
-        /// {service}: server {server} cannot be connected to: {error}; {connections} connections to it here, {waiting} requests wait
+        /// {service}: cannot connect to server {server}: {error}; {connections} connections open on this host, {waiting} requests waiting
         5101 Warn Unconnected { service: String, server: String, error: String, connections: u16, waiting: usize },
-        /// {service}: server {server} claims to lead and shows {position}, while the log was seen to reach {furthest}: not believed
+        /// {service}: server {server} claims to be primary at {position}, but the log was seen to reach {furthest}: not trusted
         5102 Warn LogLost { service: String, server: String, position: flamingopost_core::position::Position, furthest: flamingopost_core::position::Position },
-        /// {service}: server {server} claims to lead at {position} with an empty log, while {evidence}: not believed
+        /// {service}: server {server} claims to be primary at {position} with an empty log, but {evidence}: not trusted
         5103 Warn LogEmpty { service: String, server: String, position: flamingopost_core::position::Position, evidence: &'static str },
-        /// {service}: primary in trouble ({trouble:?}), asking {hosts} hosts and {servers} servers
+        /// {service}: primary suspected ({trouble:?}), querying {hosts} hosts and {servers} servers
         5110 Warn Suspected { service: String, trouble: flamingopost_core::succession::Trouble, hosts: usize, servers: usize },
         /// {service}: claim of change {attempt}: {outcome}
         5111 Info Claimed { service: String, attempt: u64, outcome: String },
         /// {service}: ordered {server} to lead under token {token}: {outcome}, {millis} ms
         5112 Warn Ordered { service: String, server: String, token: u64, outcome: String, millis: u128 },
-        /// {service}: host {host} says that it changes the primary
+        /// {service}: host {host} reports that it replaces the primary
         5113 Info OtherActs { service: String, host: String },
-        /// {service}: {server} is to lead, on the word of {hosts}
+        /// {service}: promoting {server}, based on the state of hosts {hosts}
         5114 Info Rests { service: String, server: String, hosts: String },
-        /// {service}: statements for the primary are held no longer after {millis} ms: {why}
+        /// {service}: statements for the primary are no longer held after {millis} ms: {why}
         5115 Info HoldEnded { service: String, why: &'static str, millis: u128 },
         /// {service}: write {id} was acknowledged at {position} while the primary is being replaced
         5116 Warn AcknowledgedDuring { service: String, id: String, position: String },
-        /// {service}: server {server} was told that term {term} is not its own, and is {role:?} now
+        /// {service}: server {server} was told to step down for term {term} and is now {role:?}
         5117 Info SteppedDown { service: String, server: String, term: i64, role: flamingopost_core::leader::Role },
-        /// this host has its lease {outcome}, the state before lasted {millis} ms; in touch with {heard} of {hosts} hosts
+        /// this host's lease is {outcome}, the previous state lasted {millis} ms; in contact with {heard} of {hosts} hosts
         5118 Warn Lease { outcome: &'static str, millis: u128, heard: usize, hosts: usize },
-        /// {service}: order of {server} under token {token} is not given: another host announces one under a higher token
+        /// {service}: order of {server} under token {token} withheld: another host announces one with a higher token
         5119 Info TurnGivenUp { service: String, server: String, token: u64 },
-        /// {service}: recorded in the platform's store that something was written: {outcome}
+        /// {service}: recorded in the platform's store as written to: {outcome}
         5120 Info Recorded { service: String, outcome: String },
-        /// {service}: the change of the primary of term {term} is claimed, and no host has told of its order: what needs the primary is held
+        /// {service}: the change of the primary of term {term} is claimed, and no host has reported its order: requests for the primary are held
         5121 Warn OrderUnheard { service: String, term: i64 },
         /// request {id} for {database} answered with {reason}, waited {millis} ms, leader {leader}, version {version}
         5200 Warn Refused { id: String, database: String, reason: String, millis: u128, leader: String, version: u64 },
-        /// request {id} for {database} tried again: {reason} at {server}, attempt {attempt} after {millis} ms
+        /// request {id} for {database} retried: {reason} at {server}, attempt {attempt} after {millis} ms
         5201 Info Retried { id: String, database: String, reason: String, server: String, attempt: u8, millis: u128 },
         /// request {id} for {database} in doubt: {reason} at {server} after {millis} ms
         5202 Error InDoubt { id: String, database: String, reason: String, server: String, millis: u128 },
         /// request {id} for {database}: its transaction at {server} is lost: {reason}
         5203 Warn TransactionLost { id: String, database: String, server: String, reason: String },
-        /// caller sent what cannot be understood: {error}
+        /// caller sent a message that cannot be decoded: {error}
         5204 Warn BadCaller { error: String },
-        /// request {id} for {database} ends without an answer from the host that serves it: {error} after {millis} ms
+        /// request {id} for {database} got no answer from the host that serves it: {error} after {millis} ms
         5205 Warn RelayLost { id: String, database: String, error: String, millis: u128 },
-        /// request {id} for {database} read at {server} without a lease: the other servers, asked {millis} ms before, follow it
+        /// request {id} for {database} read at {server} without a lease: all other servers, queried {millis} ms before, follow it
         5206 Info ReadConfirmed { id: String, database: String, server: String, millis: u128 },
-        /// {count} more lines of event {event} were left out within a second
+        /// {count} more lines of event {event} suppressed within a second
         5290 Warn Suppressed { event: u16, count: u64 },
         /// settings file changed: {outcome}
         5300 Info Reloaded { outcome: String },
-        /// {sessions} sessions are cut off at the end
+        /// {sessions} sessions cut off at shutdown
         5301 Info Ended { sessions: usize },
     }
 }
--- a/crates/proxy/src/fault.rs
+++ b/crates/proxy/src/fault.rs
@@ -7,27 +7,27 @@
 /// Fault of an entry in the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Fault {
-    /// its bytes are not encoded as they should be
+    /// its bytes are not correctly encoded
     Encoding,
-    /// it is no document that can be read
+    /// it is not a readable document
     Syntax,
-    /// a field is missing or of another type: {0}
+    /// a field is missing or has the wrong type: {0}
     Field(String),
     /// its name `{0}` cannot be sent to a server
     Name(String),
-    /// `{0}` is no address
+    /// `{0}` is not an address
     Address(String),
     /// `{0}` is out of range
     Number(String),
-    /// `{0}` is no state
+    /// `{0}` is not a known state
     State(String),
-    /// `{0}` is no role
+    /// `{0}` is not a known role
     Role(String),
-    /// `{0}` is no kind of route
+    /// `{0}` is not a known kind of route
     Kind(String),
-    /// no configuration names the service `{0}`
+    /// the configuration has no service `{0}`
     Service(String),
-    /// it does not tell when the server started
+    /// the start time of the server is missing
     Start,
 }
 
--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -46,17 +46,17 @@
 /// Reason for which a call that waits for changes may never receive one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum CancelReason {
-    /// others have read more
+    /// other hosts have read newer changes
     Behind,
     /// another call was lost before the platform answered again
     Outage,
-    /// the hosts that would tell of changes are no longer heard
+    /// the hosts that monitor the feed are no longer in contact
     PeersLost,
     /// the store was restored from a copy
     Restored,
-    /// what was read then may have been outdated
+    /// the last read may have been outdated
     PossiblyStale,
-    /// the answer is of before the store was restored
+    /// the answer is from before the store was restored
     FormerEpoch,
 }
 
