--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -272,20 +272,20 @@
         answered: &BTreeSet<HostKey>,
     ) {
         let electors = self.fleet.electors();
-        let words = electors.iter().map(|(key, peer)| {
-            let said = match answered.contains(key) {
+        let contacts = electors.iter().map(|(key, peer)| {
+            let state = match answered.contains(key) {
                 true => "answered",
                 false => "silent",
             };
             let age = self.fleet.with_quorum(|quorum, now| quorum.age(*key, now));
             let millis = age.unwrap_or_default().as_millis();
-            format!("{} ({said}, heard {millis} ms ago)", peer.host)
+            format!("{} ({state}, heard {millis} ms ago)", peer.host)
         });
-        let words: Vec<String> = words.collect();
+        let contacts: Vec<String> = contacts.collect();
         self.site.log(&Event::Rests {
             service: service.name.clone(),
             server: service.name_of(Some(server)),
-            hosts: words.join(", "),
+            hosts: contacts.join(", "),
         });
     }
 
--- a/crates/proxy/src/election/messaging.rs
+++ b/crates/proxy/src/election/messaging.rs
@@ -192,8 +192,8 @@
 
     /// Logs that this host has lost or regained its lease.
     fn log_lease_change(&self, holds: bool, now: Duration) {
-        let (held, since) = self.lease_state.get();
-        if held == holds {
+        let (held_before, since) = self.lease_state.get();
+        if held_before == holds {
             return;
         }
         self.lease_state.set((holds, now));
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -280,18 +280,23 @@
             } = &mut *servers;
             dropped.retain(|_, (_, at)| now < *at + DROPPED_RETENTION);
             by_id.retain(|id, entry| {
-                let Some(gone) = &mut entry.missing_since else {
+                let Some(missing_since) = &mut entry.missing_since else {
                     return true;
                 };
                 if list_unreadable {
-                    *gone = now;
+                    *missing_since = now;
                     return true;
                 }
-                if now < *gone + UNLISTED_GRACE {
+                if now < *missing_since + UNLISTED_GRACE {
                     return true;
                 }
                 keys.remove(entry.key);
-                lapsed.push((id.clone(), entry.key, entry.service.clone(), now - *gone));
+                lapsed.push((
+                    id.clone(),
+                    entry.key,
+                    entry.service.clone(),
+                    now - *missing_since,
+                ));
                 dropped.insert(id.clone(), (entry.incarnation, now));
                 false
             });
@@ -346,9 +351,9 @@
     /// other host monitors any more.
     pub fn check_feeds(&self) {
         let now = self.site.now();
-        let patience = self.stuck_detection();
-        self.feeds.configuration.check_stuck(patience, now);
-        self.feeds.backends.check_stuck(patience, now);
+        let detection = self.stuck_detection();
+        self.feeds.configuration.check_stuck(detection, now);
+        self.feeds.backends.check_stuck(detection, now);
     }
 
     /// Reports whether the fleet is small enough for all hosts to exchange heartbeats.
@@ -363,8 +368,8 @@
     /// them.
     pub fn stuck_detection(&self) -> StuckDetection {
         let quorum = self.quorum.borrow();
-        let is_told = !quorum.takes_part() && quorum.holds_lease(self.site.now());
-        match is_told && !self.is_small() {
+        let is_notified = !quorum.takes_part() && quorum.holds_lease(self.site.now());
+        match is_notified && !self.is_small() {
             true => StuckDetection::ByPeers,
             false => StuckDetection::Local,
         }
