--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -164,6 +164,8 @@
         }
     }
 
+    /// Runs the failover of one service, forever: observes it, advances its state machine, and
+    /// performs the resulting actions.
     async fn run_service(
         self: Rc<Self>,
         service: Rc<Service<C>>,
@@ -235,6 +237,7 @@
         });
     }
 
+    /// Performs one action that the state machine asks for.
     fn perform(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
@@ -289,6 +292,7 @@
         });
     }
 
+    /// Asks the electors whether they reach the primary.
     fn ask_hosts(&self, service: &Rc<Service<C>>, view: &View) {
         if let Some(trouble) = view.trouble {
             self.site.log(&Event::Suspected {
@@ -310,6 +314,8 @@
         }
     }
 
+    /// Queries the status of all serving servers. For a service with synchronous commits, the other
+    /// servers are queried as well, since any of them may be the only one that holds a commit.
     fn ask_servers(
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
@@ -371,6 +377,7 @@
         }
     }
 
+    /// Announces the end of the current term to the other hosts, then orders `server` to lead.
     async fn promote(
         self: Rc<Self>,
         service: Rc<Service<C>>,
@@ -457,6 +464,7 @@
         service.newest_order().is_none_or(|newest| newest <= grant)
     }
 
+    /// Collects what this host knows of a service, as input of its state machine.
     fn view(&self, service: &Rc<Service<C>>, succession: &Rc<RefCell<Succession>>) -> View {
         let answered = succession.borrow().answered();
         let trouble = self.trouble(service);
@@ -520,6 +528,7 @@
     }
 }
 
+/// Returns how to reach the server with `key`, if it is listed.
 fn target<C: Codec>(service: &Rc<Service<C>>, key: ServerKey) -> Option<Target> {
     let targets = service.targets();
     let found = targets.into_iter().find(|(target, _)| target.server == key);
--- a/crates/proxy/src/election/claims.rs
+++ b/crates/proxy/src/election/claims.rs
@@ -151,6 +151,7 @@
         }
     }
 
+    /// Passes on to all services what is known of orders given before this host started.
     fn update_all_known_orders(&self) {
         for service in self.fleet.services() {
             self.update_known_orders(&service);
@@ -176,6 +177,7 @@
         self.record_change(service, attempt, false);
     }
 
+    /// Records a change of primary, and forgets those older than [`CHANGE_RETENTION`].
     fn record_change(&self, service: &str, attempt: u64, own: bool) {
         let at = self.site.now();
         let mut changes = self.changes.borrow_mut();
@@ -205,6 +207,7 @@
         }
     }
 
+    /// Rewrites the claim of one change, and logs whether the store lacked it.
     fn rewrite_claim(self: &Rc<Self>, service: String, attempt: u64) {
         let election = Rc::clone(self);
         tokio::task::spawn_local(async move {
--- a/crates/proxy/src/election/empty_log.rs
+++ b/crates/proxy/src/election/empty_log.rs
@@ -116,12 +116,14 @@
         }
     }
 
+    /// Asks a server on a separate connection whether its log has entries.
     async fn has_entries(&self, target: &Target) -> Result<bool, back::Error> {
         let id = self.site.next_id();
         let mut back = Back::<C>::connect(id, target, &self.site.host).await?;
         back.has_entries().await
     }
 
+    /// Passes on to `service` whether the store records it as written to.
     async fn read_record(&self, service: &Rc<Service<C>>) {
         // If the store does not answer, its list of servers is no newer than the last read either.
         if let Ok(Some(is_written)) = timeout(CLAIM_TIMEOUT, self.is_recorded(&service.name)).await
@@ -163,6 +165,7 @@
         tokio::task::spawn_local(async move { election.write_record(name, epoch).await });
     }
 
+    /// Records in the store that `service` was written to.
     async fn write_record(&self, service: String, epoch: Epoch) {
         let host = &self.site.host;
         let recorded = in_time(self.platform.record_written(&service, host)).await;
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -97,6 +97,7 @@
         }
     }
 
+    /// Notifies the other hosts that `server` leads `term`, and how long its promotion took.
     fn announce_lead(
         &self,
         service: &Rc<Service<C>>,
@@ -153,6 +154,7 @@
         });
     }
 
+    /// Connects to a primary immediately and sends it the request to step down at `at`.
     async fn send_step_down(
         &self,
         target: &Target,
--- a/crates/proxy/src/election/messaging.rs
+++ b/crates/proxy/src/election/messaging.rs
@@ -302,6 +302,8 @@
         });
     }
 
+    /// Handles one message. Any message from a listed host counts as contact with it. Heartbeats
+    /// and acknowledgements from hosts that are not listed are ignored.
     fn handle(self: &Rc<Self>, message: Message, from: SocketAddr) {
         if let Some(host) = self.fleet.peer(&message.host) {
             self.fleet
@@ -466,10 +468,12 @@
         }
     }
 
+    /// Sends a message about `service`.
     pub(super) fn send(&self, service: &Rc<Service<C>>, payload: Payload, to: SocketAddr) {
         self.send_message(service.name.clone(), payload, to);
     }
 
+    /// Sends a message about the service named `service`, or about none if the name is empty.
     pub(super) fn send_message(&self, service: String, payload: Payload, to: SocketAddr) {
         let host = self.site.host.clone();
         let message = Message {
@@ -491,6 +495,7 @@
     }
 }
 
+/// Converts a time to the microseconds sent in heartbeats.
 fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/proxy/src/event.rs
+++ b/crates/proxy/src/event.rs
@@ -122,6 +122,7 @@
         }
     }
 
+    /// Logs how many lines of each event were suppressed in the past second.
     fn log_suppressed(&self) {
         use flamingopost_daemon::event::Event as _;
         let counts = std::mem::take(&mut *self.counts.borrow_mut());
--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -24,11 +24,13 @@
 #[derive(Debug)]
 pub struct Follower {
     feed: RefCell<Feed>,
+    // Each of these cancels the waiting call for the reason of the same name.
     behind: Notify,
     outage: Notify,
     peers_lost: Notify,
     restored: Notify,
     possibly_stale: Notify,
+    /// Maximum wait of a call that this host monitors itself.
     wait: Duration,
     /// Who monitors the most recent call.
     stuck_detection: Cell<StuckDetection>,
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -66,9 +66,11 @@
     pub contact_due: Notify,
     /// How far the platform's feeds have been read.
     pub feeds: Rc<Feeds>,
+    /// Whether the list of servers was read at least once.
     server_list_read: Cell<bool>,
 }
 
+/// The list of servers.
 #[derive(Default)]
 struct Servers {
     keys: SlotMap<ServerKey, String>,
@@ -79,6 +81,7 @@
     dropped: BTreeMap<String, (Incarnation, Duration)>,
 }
 
+/// A server in the list.
 struct ListedServer {
     /// Identifies one incarnation of the server. State that is kept by this key is dropped with it.
     key: ServerKey,
@@ -90,6 +93,7 @@
     leaving: bool,
 }
 
+/// The list of other hosts.
 #[derive(Default)]
 struct Peers {
     keys: SlotMap<HostKey, ()>,
@@ -447,6 +451,7 @@
         configuration.as_ref()?.services.get(service).copied()
     }
 
+    /// Adds a server to the list, or updates it, unless the entry is of a former incarnation.
     fn put_server(&self, backend: &Backend, source: Source) {
         self.reported_faults
             .borrow_mut()
@@ -473,6 +478,7 @@
         }
     }
 
+    /// Returns the service called `name`, and creates it if it had no servers.
     fn service_or_new(&self, name: &str) -> Rc<Service<C>> {
         if let Some(service) = self.find_service(name) {
             return service;
--- a/crates/proxy/src/fleet/incarnations.rs
+++ b/crates/proxy/src/fleet/incarnations.rs
@@ -69,6 +69,7 @@
         }
     }
 
+    /// Compares `backend` to the list, and lists its incarnation unless it is a former one.
     fn match_incarnation(&self, backend: &Backend) -> IncarnationMatch {
         let mut servers = self.servers.borrow_mut();
         let Servers { keys, by_id, .. } = &mut *servers;
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -63,6 +63,7 @@
         self.allot_connections();
     }
 
+    /// Applies one change of the list of hosts.
     fn apply_host_change(&self, change: Change<Peer>) {
         match change {
             Change::Put(peer) if peer.host == self.site.host => {}
--- a/crates/proxy/src/fleet/unusable_entries.rs
+++ b/crates/proxy/src/fleet/unusable_entries.rs
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Records and counts the fault of an entry. Returns whether it was not recorded before.
     fn record_fault(&self, table: &'static str, unusable: &UnusableEntry) -> bool {
         let is_new = self.reported_faults.borrow_mut().record(table, unusable);
         if is_new {
--- a/crates/proxy/src/host.rs
+++ b/crates/proxy/src/host.rs
@@ -137,6 +137,7 @@
         self.wait_for_phase(Phase::Ending).await;
     }
 
+    /// Waits until the shutdown has reached `phase`.
     async fn wait_for_phase(&self, phase: Phase) {
         let mut receiver = self.phase.subscribe();
         // The sender lives in `self`, so waiting cannot fail.
@@ -261,6 +262,7 @@
     wait_for_sessions(open, grace / 3).await;
 }
 
+/// Waits up to `limit` until no session is open. Returns whether that is so.
 async fn wait_for_sessions(open: &Cell<usize>, limit: Duration) -> bool {
     let over = async {
         while open.get() > 0 {
@@ -293,6 +295,7 @@
     }
 }
 
+/// Performs periodic work, forever: drops missing servers and advances the timers of services.
 async fn tick<C: Codec, P: Platform>(fleet: Rc<Fleet<C>>, watch: Rc<Watch<C, P>>) {
     let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -305,6 +308,7 @@
     }
 }
 
+/// Accepts connections and runs a session on each, up to `max_sessions` at once.
 async fn accept<C: Codec>(
     listener: TcpListener,
     context: Rc<Context<C>>,
@@ -332,6 +336,7 @@
     }
 }
 
+/// Runs one session until it ends.
 async fn session<C: Codec>(context: Rc<Context<C>>, stream: TcpStream, place: Place) {
     let site = Rc::clone(&context.site);
     if socket::set_options(&stream, CALLER_SILENCE).is_err() {
@@ -346,6 +351,7 @@
     }
 }
 
+/// Serves metrics on `address`, or logs why that is not possible.
 async fn serve_metrics(address: SocketAddr) {
     match TcpListener::bind(address).await {
         Ok(listener) => {
--- a/crates/proxy/src/meter.rs
+++ b/crates/proxy/src/meter.rs
@@ -53,6 +53,7 @@
         .increment(1);
 }
 
+/// Returns the metric label of an error code.
 fn error_label(code: Code) -> &'static str {
     match code {
         Code::Busy => "busy",
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -40,6 +40,7 @@
     fleet: Rc<Fleet<C>>,
     platform: Rc<P>,
     election: Rc<Election<C, P>>,
+    /// When the list of servers last could not be read.
     servers_failed_at: Cell<Option<Duration>>,
     /// Whether the store has acknowledged this host's entry.
     announced: Cell<bool>,
@@ -224,6 +225,7 @@
         Ok(read.map(Batch::Changes))
     }
 
+    /// Applies what was read of the list of servers.
     fn apply_servers(&self, read: Read<Batch<Backend>>) {
         self.fleet.feeds.backends.record(&read);
         match read.value {
@@ -250,6 +252,7 @@
         Ok(read.map(Batch::Changes))
     }
 
+    /// Applies what was read of the list of hosts, and announces this host again if it is missing.
     fn apply_hosts(self: &Rc<Self>, read: Read<Batch<Peer>>, own: &Peer) {
         match read.value {
             Batch::Snapshot(entries) => {
@@ -325,6 +328,7 @@
         poll.cancelled(doubt);
     }
 
+    /// Records and logs a failed call, then pauses before the next one.
     async fn record_failure(&self, poll: &mut PollState, error: &Error) {
         let what = poll.table();
         meter::platform_call(what, false);
