--- a/crates/proxy/src/poll_state.rs
+++ b/crates/proxy/src/poll_state.rs
@@ -44,7 +44,7 @@
 /// ```
 #[derive(Debug)]
 pub struct PollState {
-    what: &'static str,
+    table: &'static str,
     /// Revision up to which everything was read, or `None` if the whole table has to be read.
     read_up_to: Option<Revision>,
     /// Whether the last call was answered, so that the next one may wait.
@@ -110,9 +110,9 @@
 
 impl PollState {
     /// Creates the state of a table that was not read yet.
-    pub fn new(what: &'static str, now: Duration) -> PollState {
+    pub fn new(table: &'static str, now: Duration) -> PollState {
         PollState {
-            what,
+            table,
             read_up_to: None,
             may_wait: false,
             last_call_at: now,
@@ -125,7 +125,7 @@
 
     /// Returns the name of the table.
     pub fn table(&self) -> &'static str {
-        self.what
+        self.table
     }
 
     /// Returns the next request. The caller makes it now.
--- a/crates/proxy/tests/poll_state.rs
+++ b/crates/proxy/tests/poll_state.rs
@@ -25,12 +25,12 @@
 
 /// An outage. A call is lost if it is open at any moment of it.
 #[derive(Debug, Clone, Copy)]
-struct LostInterval {
+struct OutageInterval {
     from: Duration,
     until: Duration,
 }
 
-impl LostInterval {
+impl OutageInterval {
     fn loses(&self, made: Duration, due: Duration) -> bool {
         made < self.until && due >= self.from
     }
@@ -38,7 +38,7 @@
 
 /// Returns when a host reads a change made at the end of `interval`, if it begins to poll at 0 and
 /// there are no other changes.
-fn reads_change_at(interval: LostInterval) -> Duration {
+fn reads_change_at(interval: OutageInterval) -> Duration {
     let mut poll = PollState::new("configuration", at(0));
     let mut now = at(0);
     loop {
@@ -73,7 +73,7 @@
 fn a_change_after_an_outage_is_read_in_time() {
     for from in (0..4_000).step_by(50).map(at) {
         for length in (50..10_000).step_by(50).map(at) {
-            let interval = LostInterval {
+            let interval = OutageInterval {
                 from,
                 until: from + length,
             };
