--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -19,9 +19,9 @@
 use crate::platform::Platform;
 use crate::service::Service;
 
-/// How long after the last write a leaving primary is told to step down, so that its replicas
-/// receive what it has acknowledged. This is half of the time left until the earliest moment at
-/// which the successor leads.
+/// How long after the last write was sent to it a leaving primary is told to step down, so that its
+/// replicas receive what it has acknowledged. This is half of the time left until the earliest
+/// moment at which the successor leads.
 const REPLICATION_GRACE: Duration = Duration::from_millis(30);
 
 /// Number of attempts to tell a replaced primary to step down. It may be partitioned for a moment,
@@ -29,8 +29,7 @@
 const STEP_DOWN_ATTEMPTS: u32 = 8;
 
 /// Returns when to tell a primary to step down whose successor was ordered at `ordered`:
-/// immediately, or [`REPLICATION_GRACE`] after the remaining time `serves` for which it still
-/// serves.
+/// immediately, or, if it still serves for `serves` after that, [`REPLICATION_GRACE`] later.
 pub(super) fn step_down_at(ordered: Duration, serves: Duration) -> Duration {
     match serves.is_zero() {
         true => ordered,
--- a/crates/proxy/src/poll_state.rs
+++ b/crates/proxy/src/poll_state.rs
@@ -78,7 +78,7 @@
 /// An outage that has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Outage {
-    /// Time since its first failed call.
+    /// Time from its first failed call to its end.
     pub duration: Duration,
     /// Number of failed calls.
     pub failed_calls: u32,
