--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -66,9 +66,11 @@
     pub contact_due: Notify,
     /// How far the platform's feeds have been read.
     pub feeds: Rc<Feeds>,
+    /// Whether the list of servers was read at least once.
     server_list_read: Cell<bool>,
 }
 
+/// The list of servers.
 #[derive(Default)]
 struct Servers {
     keys: SlotMap<ServerKey, String>,
@@ -79,6 +81,7 @@
     dropped: BTreeMap<String, (Incarnation, Duration)>,
 }
 
+/// A server in the list.
 struct ListedServer {
     /// Identifies one incarnation of the server. State that is kept by this key is dropped with it.
     key: ServerKey,
@@ -90,6 +93,7 @@
     leaving: bool,
 }
 
+/// The list of other hosts.
 #[derive(Default)]
 struct Peers {
     keys: SlotMap<HostKey, ()>,
@@ -280,18 +284,23 @@
             } = &mut *servers;
             dropped.retain(|_, (_, at)| now < *at + DROPPED_RETENTION);
             by_id.retain(|id, entry| {
-                let Some(gone) = &mut entry.missing_since else {
+                let Some(missing_since) = &mut entry.missing_since else {
                     return true;
                 };
                 if list_unreadable {
-                    *gone = now;
+                    *missing_since = now;
                     return true;
                 }
-                if now < *gone + UNLISTED_GRACE {
+                if now < *missing_since + UNLISTED_GRACE {
                     return true;
                 }
                 keys.remove(entry.key);
-                lapsed.push((id.clone(), entry.key, entry.service.clone(), now - *gone));
+                lapsed.push((
+                    id.clone(),
+                    entry.key,
+                    entry.service.clone(),
+                    now - *missing_since,
+                ));
                 dropped.insert(id.clone(), (entry.incarnation, now));
                 false
             });
@@ -346,9 +355,9 @@
     /// other host monitors any more.
     pub fn check_feeds(&self) {
         let now = self.site.now();
-        let patience = self.stuck_detection();
-        self.feeds.configuration.check_stuck(patience, now);
-        self.feeds.backends.check_stuck(patience, now);
+        let detection = self.stuck_detection();
+        self.feeds.configuration.check_stuck(detection, now);
+        self.feeds.backends.check_stuck(detection, now);
     }
 
     /// Reports whether the fleet is small enough for all hosts to exchange heartbeats.
@@ -363,8 +372,8 @@
     /// them.
     pub fn stuck_detection(&self) -> StuckDetection {
         let quorum = self.quorum.borrow();
-        let is_told = !quorum.is_elector() && quorum.holds_lease(self.site.now());
-        match is_told && !self.is_small() {
+        let is_notified = !quorum.is_elector() && quorum.holds_lease(self.site.now());
+        match is_notified && !self.is_small() {
             true => StuckDetection::ByPeers,
             false => StuckDetection::Local,
         }
@@ -442,6 +451,7 @@
         configuration.as_ref()?.services.get(service).copied()
     }
 
+    /// Adds a server to the list, or updates it, unless the entry is of a former incarnation.
     fn put_server(&self, backend: &Backend, source: Source) {
         self.reported_faults
             .borrow_mut()
@@ -468,6 +478,7 @@
         }
     }
 
+    /// Returns the service called `name`, and creates it if it had no servers.
     fn service_or_new(&self, name: &str) -> Rc<Service<C>> {
         if let Some(service) = self.find_service(name) {
             return service;
