--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,8 +1,9 @@
-//! Which pooled connection runs a request: one service's servers, connections and queue.
+//! Connection pools and the request queue of one service on one entry host.
 //!
-//! Servers have few slots and few connections, and each entry host may open its share of them.
-//! A request waits here, by priority and age, until a connection to a server that may answer it
-//! is free. No input or output: each call returns what to do next.
+//! Backend servers have few slots and few connections, and each entry host may open its share of
+//! them. A request waits here, ordered by priority and age, until a connection to a server that
+//! may answer it is free. The module performs no input or output: each call returns the actions
+//! that the caller has to carry out.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,27 +22,31 @@
 use ticket::QueueOrder;
 pub use ticket::{Need, Ticket};
 
-/// Extra cost of a server in another availability zone: a round trip, and bytes between zones
-/// are charged for, so a local server wins until it is this much slower.
+/// Extra cost of a server in another availability zone.
+///
+/// It stands for the longer round trip and for traffic between zones, which is charged for. A local
+/// server is preferred until it is slower by this much.
 const REMOTE_COST: Duration = Duration::from_millis(12);
 
-/// Extra cost of a read at the primary, whose slots writes cannot do without.
+/// Extra cost of a read at the primary, because writes can use no other server's slots.
 const PRIMARY_COST: Duration = Duration::from_millis(16);
 
-/// An idle connection above the base share goes back after this long, for other hosts to use.
+/// Time after which an idle connection above `base_connections` is closed, so that other hosts can
+/// use it.
 const SURPLUS_IDLE: Duration = Duration::from_millis(400);
 
-/// A queue that has not emptied for so long comes from too much work, not from a burst: several
-/// times what a request takes.
+/// Time without an empty queue after which the service counts as overloaded.
+///
+/// It is several times the latency of a request, so that a burst does not count as overload.
 const OVERLOAD_AFTER: Duration = Duration::from_millis(150);
 
-/// First wait after a failed connect; doubled up to [`BACKOFF_MAX`].
+/// Backoff after the first failed connect; it doubles up to [`BACKOFF_MAX`].
 const BACKOFF_MIN: Duration = Duration::from_millis(40);
 
-/// Longest wait between two attempts to connect.
+/// Longest backoff between two attempts to connect.
 const BACKOFF_MAX: Duration = Duration::from_millis(500);
 
-/// The connections and the queue of one service on one entry host.
+/// Dispatches the requests of one service on one entry host to pooled connections.
 ///
 /// ```
 /// use std::time::Duration;
@@ -72,15 +77,15 @@
     servers: BTreeMap<ServerKey, Server>,
     leader: Option<ServerKey>,
     hold: Option<Hold>,
-    /// Whether reads of some age are held as well.
+    /// Whether `hold` also stops reads with bounded staleness from using the primary.
     holds_reads: bool,
     waiting: Vec<Ticket>,
-    /// Since when the queue has not been empty.
+    /// The time since which the queue has not been empty.
     queued_since: Option<Duration>,
 }
 
 impl Dispatch {
-    /// Adds `server`, or brings what is known of it up to date.
+    /// Adds `server`, or updates its settings if it is already known.
     pub fn insert(&mut self, key: ServerKey, server: Server) {
         match self.servers.get_mut(&key) {
             Some(known) => known.update(&server),
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Forgets `server`; its idle connections are to be closed.
+    /// Removes `server` and returns the actions that close its idle connections.
     pub fn remove(&mut self, key: ServerKey) -> Vec<Action> {
         if self.leader == Some(key) {
             self.leader = None;
@@ -106,50 +111,57 @@
         idle.into_iter().map(close).collect()
     }
 
-    /// The servers.
+    /// Returns the servers of the service.
     pub fn servers(&self) -> &BTreeMap<ServerKey, Server> {
         &self.servers
     }
 
-    /// What is known of one server.
+    /// Returns one server for an update.
     pub fn server_mut(&mut self, key: ServerKey) -> Option<&mut Server> {
         self.servers.get_mut(&key)
     }
 
-    /// The server that leads, as far as this host knows.
+    /// Returns the primary that this host knows of, if any.
     pub fn leader(&self) -> Option<ServerKey> {
         self.leader
     }
 
-    /// `server` leads from now on, or nobody is known to.
+    /// Sets the primary, or records that none is known, and ends the current hold.
     pub fn set_leader(&mut self, server: Option<ServerKey>) {
         self.leader = server;
         self.hold = None;
     }
 
-    /// The primary is being replaced: what it acknowledges from some moment on is lost with it,
-    /// so requests that need it wait for its successor.
+    /// Holds back requests that need the primary while it is being replaced.
+    ///
+    /// Writes that the old primary acknowledges from some moment on are lost in the promotion, so
+    /// these requests wait for its successor.
     pub fn hold(&mut self, hold: Hold) {
         self.hold = Some(hold);
         self.holds_reads = false;
     }
 
-    /// The same for a primary that may lack the service's log: reads of some age are not sent there for
-    /// its lead either. Servers that are known to have what those need go on answering them.
+    /// Holds back requests that need the primary, for a primary that may lack the service's log.
+    ///
+    /// Unlike [`Dispatch::hold`], it also stops reads with bounded staleness from going to a server
+    /// merely because it is the primary. Servers that are known to have the required position
+    /// still answer them.
     pub fn hold_with_reads(&mut self, hold: Hold) {
         self.hold = Some(hold);
         self.holds_reads = true;
     }
 
-    /// `hold` is over. One that was put in its place since stays: released with it, writes would
-    /// go to a primary whose successor is ordered.
+    /// Ends `hold`, unless another hold has replaced it.
+    ///
+    /// A newer hold has to stay: without it, writes would go to a primary whose successor is
+    /// already being promoted.
     pub fn release(&mut self, hold: Hold) {
         if self.hold == Some(hold) {
             self.hold = None;
         }
     }
 
-    /// What was held when the primary's replacement was last heard of.
+    /// Returns the hold that was set last, if it has not been released. It may have expired.
     pub fn current_hold(&self) -> Option<Hold> {
         self.hold
     }
@@ -159,23 +171,23 @@
             .is_some_and(|hold| hold.from <= now && now < hold.until)
     }
 
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// A request asks for a connection.
+    /// Adds a request to the queue.
     pub fn arrive(&mut self, ticket: Ticket, now: Duration) -> Vec<Action> {
         self.waiting.push(ticket);
         self.run(now)
     }
 
-    /// A request no longer waits.
+    /// Removes a request that no longer waits from the queue.
     pub fn cancel(&mut self, ticket: u64) {
         self.waiting.retain(|other| other.id != ticket);
     }
 
-    /// A new connection to `server` is ready.
+    /// Adds a newly opened connection to a server.
     pub fn connection_opened(
         &mut self,
         key: ServerKey,
@@ -192,7 +204,7 @@
         self.run(now)
     }
 
-    /// No connection to `server` could be opened.
+    /// Records that opening a connection to a server failed.
     pub fn connect_failed(
         &mut self,
         key: ServerKey,
@@ -205,7 +217,7 @@
         self.run(now)
     }
 
-    /// A lent connection comes back in order.
+    /// Takes back a usable connection after its request has ended.
     pub fn connection_returned(
         &mut self,
         key: ServerKey,
@@ -226,7 +238,7 @@
         actions
     }
 
-    /// A lent connection rests inside a transaction while its caller thinks, or does so no more.
+    /// Records whether a connection in use is idle inside a transaction, waiting for its caller.
     pub fn set_idle_in_transaction(
         &mut self,
         key: ServerKey,
@@ -242,21 +254,21 @@
         }
     }
 
-    /// A transaction that was lent a connection for it has ended.
+    /// Records the end of a transaction whose ticket had `opens_transaction` set.
     pub fn transaction_ended(&mut self, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.count_transaction(false);
         }
     }
 
-    /// A server's queue was full.
+    /// Records that a server refused a request because its queue was full.
     pub fn queue_full(&mut self, key: ServerKey, now: Duration) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.shrink_window(now);
         }
     }
 
-    /// A lent connection is gone.
+    /// Records that a connection broke while it was in use.
     pub fn connection_lost(&mut self, key: ServerKey, now: Duration) -> Vec<Action> {
         if let Some(server) = self.servers.get_mut(&key) {
             server.connection_lost();
@@ -264,21 +276,23 @@
         self.run(now)
     }
 
-    /// An idle connection has ended.
+    /// Records that an idle connection was closed by the server.
     pub fn idle_connection_closed(&mut self, key: ServerKey, connection: u64) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.remove_idle(connection);
         }
     }
 
-    /// A replica refused a read because its log lacks a position that a primary had at `at`.
+    /// Records that a replica refused a read because its log lacks a position that a primary had at
+    /// time `at`.
     pub fn replica_lagging(&mut self, key: ServerKey, at: Duration, now: Duration) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.replica_lagging(at, now);
         }
     }
 
-    /// Requests whose time is over are refused, and connections nobody needs are given back.
+    /// Refuses requests whose deadline has passed, closes surplus idle connections, assigns free
+    /// connections and opens missing ones.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         for (key, server) in &mut self.servers {
@@ -293,8 +307,9 @@
         actions
     }
 
-    /// Opens the base share of connections ahead of need: a request that has to wait for a
-    /// connect pays tens of milliseconds, most of an objective.
+    /// Opens base connections before a request needs them.
+    ///
+    /// A request that waits for a connect loses tens of milliseconds, most of its latency goal.
     fn warm(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         for (key, server) in &mut self.servers {
@@ -306,11 +321,12 @@
         actions
     }
 
+    /// Assigns free connections to waiting requests and refuses those whose deadline has passed.
     fn run(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         let mut waiting = std::mem::take(&mut self.waiting);
-        // Those that can still be in time go first: served strictly by age, a queue that has
-        // once grown past the goal answers everybody late.
+        // Requests that can still meet their goal go first: served strictly by age, a queue that
+        // has once grown past the goal would answer every request late.
         let order = self.order(now);
         waiting.sort_by_key(|ticket| ticket.queue_key(order, now));
         let mut wanted: BTreeMap<ServerKey, u16> = BTreeMap::new();
@@ -345,13 +361,14 @@
         actions
     }
 
-    /// Who goes first.
+    /// Returns the order of requests of equal rank: oldest first, or newest first under overload
+    /// (adaptive LIFO).
     ///
-    /// More work than servers bear leaves a queue that never empties. Served by age, all requests
-    /// in it wait until just before their goal and are answered just after it; served by the
-    /// newest, as many as servers bear are in time, and the others would have been late anyhow
-    /// (adaptive LIFO). In a model with a quarter too much work, 46 of 250 requests were in time
-    /// before and more than 70% since.
+    /// Under overload the queue never empties. Served oldest first, every request waits until just
+    /// before its goal and is answered just after it. Served newest first, as many requests as the
+    /// servers can handle are in time, and the others would have been late in any case. In a model
+    /// with 25% more work than capacity, 46 of 250 requests were in time with the oldest first,
+    /// and more than 70% with the newest first.
     fn order(&self, now: Duration) -> QueueOrder {
         match self.queued_since {
             Some(since) if now >= since + OVERLOAD_AFTER => QueueOrder::NewestFirst,
@@ -359,6 +376,7 @@
         }
     }
 
+    /// Returns why no connection was assigned to `ticket` before its deadline.
     fn unserved(&self, ticket: &Ticket, now: Duration) -> Unserved {
         let is_servable = self
             .servers
@@ -371,6 +389,10 @@
         }
     }
 
+    /// Picks the cheapest server that may answer `ticket` and has an idle connection.
+    ///
+    /// Without an idle connection, it opens one to the cheapest server that may answer, unless
+    /// enough are being opened for the tickets that `wanted` counts.
     fn placement(
         &mut self,
         ticket: &Ticket,
@@ -426,7 +448,7 @@
         }
         let leads = self.leader == Some(key);
         if ticket.need == Need::Leader {
-            // A primary that is leaving serves until another server leads.
+            // A leaving primary serves writes until another server is the primary.
             return leads && !self.is_on_hold(now);
         }
         if server.state != ServerState::Serving || ticket.avoid == Some(key) {
@@ -453,8 +475,12 @@
     }
 }
 
+/// What happens to one waiting request.
 enum Placement {
+    /// It runs on this idle connection.
     Assign(ServerKey, u64),
+    /// It waits, and a connection to this server is opened.
     Open(ServerKey),
+    /// It waits.
     Wait,
 }
--- a/crates/core/src/dispatch/action.rs
+++ b/crates/core/src/dispatch/action.rs
@@ -1,8 +1,8 @@
-//! What a [`Dispatch`](super::Dispatch) wants done.
+//! Actions that a [`Dispatch`](super::Dispatch) asks its caller to carry out.
 
 use crate::key::ServerKey;
 
-/// What to do next.
+/// One action to carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Run the request of `ticket` on `connection`.
@@ -14,7 +14,7 @@
         /// The connection to it.
         connection: u64,
     },
-    /// Open a connection to `server`, then call `opened` or `failed`.
+    /// Open a connection to `server`, then call `connection_opened` or `connect_failed`.
     Open {
         /// The server.
         server: ServerKey,
@@ -40,8 +40,8 @@
 pub enum Unserved {
     /// All connections that could serve it were busy for too long.
     Busy,
-    /// Nobody leads the service.
+    /// The service has no primary that takes requests.
     NoPrimary,
-    /// No reachable server has data as new as it has to see.
+    /// No reachable server has reached the position that the request needs.
     Lagging,
 }
--- a/crates/core/src/dispatch/hold.rs
+++ b/crates/core/src/dispatch/hold.rs
@@ -1,12 +1,12 @@
-//! A pause before a change of primary.
+//! A pause of requests to the primary while it is being replaced.
 
 use std::time::Duration;
 
-/// When nothing is sent to a primary that is being replaced.
+/// The period in which requests that need the primary are held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
-    /// From when on.
+    /// Start of the period.
     pub from: Duration,
-    /// Until when, if no other server leads before.
+    /// End of the period, unless a new primary is known earlier.
     pub until: Duration,
 }
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -7,43 +7,44 @@
 use super::window::Window;
 use super::{BACKOFF_MAX, BACKOFF_MIN};
 
-/// What a server is assumed to take until it was measured.
+/// Assumed latency of a server before the first measurement.
 pub(super) const INITIAL_LATENCY: Duration = Duration::from_millis(15);
 
-/// Part of a new measurement in the average, as a divisor.
+/// Divisor of the weight of a new measurement in the moving average.
 const SMOOTHING_DIVISOR: u32 = 8;
 
-/// A replica that seems too far behind is tried again after this long: it says itself whether it
-/// has what the read needs, for the price of one round trip.
+/// Time after which a replica that seems to lag too far is tried again. The replica itself refuses
+/// a read that it cannot answer, at the cost of one round trip.
 const LAG_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What a replica is taken to be behind until it was measured.
+/// Assumed replication lag of a server before the first measurement.
 const INITIAL_LAG: Duration = Duration::from_millis(100);
 
-/// Added to a measured lag, which moves with each write.
+/// Margin added to a measured lag, which changes with each write.
 const LAG_MARGIN: Duration = Duration::from_millis(15);
 
-/// How long a host keeps to its part after another one has asked for connections.
+/// How long a host keeps to its fair share after another host has reported a lack of connections.
 const FAIR_SHARE_DURATION: Duration = Duration::from_millis(1_000);
 
-/// How long a server at its limit of connections is not asked for another.
+/// Pause before the next connect to a server that has reached its connection limit.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Whether a server takes requests.
+/// Whether a server takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does.
+    /// It takes new requests.
     Serving,
-    /// It is leaving: what runs there goes on, nothing new is sent.
+    /// It is leaving: running requests go on, and no new reads are sent to it. As the primary it
+    /// still takes writes.
     Leaving,
 }
 
-/// Why no connection could be opened.
+/// Why a connection could not be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The server has no connections left for anybody.
+    /// The server has reached its connection limit.
     Full,
-    /// It refused, or there was no answer.
+    /// The server refused for another reason, or did not answer.
     Unreachable,
 }
 
@@ -52,31 +53,42 @@
 pub struct Server {
     /// Whether it is in the availability zone of this host.
     pub local: bool,
-    /// Whether it takes requests.
+    /// Whether it takes new requests.
     pub state: ServerState,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u16,
-    /// Connections that this host keeps open.
+    /// Number of connections that this host keeps open.
     pub base_connections: u16,
-    /// Connections that this host may have while nobody lacks one.
+    /// Number of connections that this host may have while no other host lacks any.
     pub max_connections: u16,
-    /// Connections that this host may have in any case: its part of the server's limit.
+    /// Number of connections that this host may always have: its fair share of the server's limit.
     pub fair_connections: u16,
-    /// The latest position that its data are known to have reached.
+    /// Replication position that it last reported.
     pub applied: Position,
+    /// Number of connections that are being opened.
     pub(super) opening: u16,
+    /// Estimated replication lag.
     lag: Duration,
     lag_measured_at: Duration,
+    /// Time before which reads that the server may lack the position for are not sent there.
     lag_retry_at: Duration,
+    /// Idle connections; the one that has been idle longest is first.
     idle: Vec<Idle>,
+    /// Number of connections in use.
     busy: u16,
     average_latency: Duration,
+    /// Time before which no connect is tried, after one failed.
     retry_at: Duration,
+    /// Current backoff between connects; zero after a success.
     backoff: Duration,
+    /// Time until which the server counts as being at its connection limit.
     full_until: Duration,
+    /// Time until which this host keeps to `fair_connections`.
     fair_share_until: Duration,
     window: Window,
+    /// Number of connections in use that are idle inside a transaction.
     idle_in_transaction: u16,
+    /// Number of open transactions.
     transactions: u16,
 }
 
@@ -87,7 +99,7 @@
 }
 
 impl Server {
-    /// A server to which there is no connection yet.
+    /// Returns a server without connections.
     pub fn new(
         local: bool,
         slots: u16,
@@ -120,11 +132,11 @@
         }
     }
 
-    /// The server said that its data reach `position`; primaries had got further than that by
-    /// `passed`, if that is known.
+    /// Records the replication position that the server reported. `passed_at` is the time at which
+    /// a primary was known to be past that position, if any.
     ///
-    /// The last word counts, also when it is lower: a server may come back from a restart with
-    /// less, and a promotion rolls those back that were ahead.
+    /// The newest report replaces the older one even when it is lower: a server may have less data
+    /// after a restart, and a promotion rolls back servers that were ahead.
     pub fn record_position(
         &mut self,
         position: Position,
@@ -140,37 +152,38 @@
         self.lag_measured_at = now;
     }
 
-    /// The server lacked a position that a primary had at `at`.
+    /// Records that the server lacked a position that a primary had at time `at`.
     pub(super) fn replica_lagging(&mut self, at: Duration, now: Duration) {
         self.lag = self.lag.max(now.saturating_sub(at));
         self.lag_measured_at = now;
         self.lag_retry_at = now + LAG_RETRY_AFTER;
     }
 
-    /// How far the server's data are behind, as a time.
+    /// Returns the estimated replication lag.
     pub fn lag(&self) -> Duration {
         self.lag
     }
 
-    /// A request took `took` there.
+    /// Records the latency of one request.
     pub fn record_latency(&mut self, took: Duration, now: Duration) {
         self.average_latency =
             (self.average_latency * (SMOOTHING_DIVISOR - 1) + took) / SMOOTHING_DIVISOR;
         self.window.record_latency(took, self.max_connections, now);
     }
 
-    /// How long a request took there lately.
+    /// Returns the moving average of the latency.
     pub fn average_latency(&self) -> Duration {
         self.average_latency
     }
 
-    /// Connections that are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn connections(&self) -> u16 {
         let idle = u16::try_from(self.idle.len()).unwrap_or(u16::MAX);
         self.busy.saturating_add(idle).saturating_add(self.opening)
     }
 
-    /// Whether connecting failed and the wait before the next attempt is not over.
+    /// Returns whether the last connect failed, no connection is idle and the server has not been
+    /// reached again for the time of the longest backoff.
     pub fn is_broken(&self, now: Duration) -> bool {
         self.backoff > Duration::ZERO && self.idle.is_empty() && now < self.retry_at + BACKOFF_MAX
     }
@@ -184,12 +197,13 @@
         self.fair_connections = newer.fair_connections;
     }
 
-    /// The server's queue was full.
+    /// Shrinks the window after the server refused a request because its queue was full.
     pub fn shrink_window(&mut self, now: Duration) {
         self.window.queue_full(now);
     }
 
-    /// A connection rests inside a transaction, or does so no more: it takes no slot meanwhile.
+    /// Counts a connection that is idle inside a transaction, or no longer is. An idle transaction
+    /// takes no slot.
     pub(super) fn set_idle_in_transaction(&mut self, is_idle: bool) {
         self.idle_in_transaction = match is_idle {
             true => self.idle_in_transaction.saturating_add(1),
@@ -197,13 +211,15 @@
         };
     }
 
-    /// Whether one more transaction may be opened there. One connection stays for single
-    /// statements: with all of them kept by transactions, those wait for as long as callers think.
+    /// Returns whether one more transaction may be opened.
+    ///
+    /// One connection is reserved for single statements. If transactions used all of them, single
+    /// statements would wait for as long as the callers keep their transactions open.
     pub(super) fn accepts_transaction(&self, now: Duration) -> bool {
         self.transactions + 1 < self.connection_limit(now).max(2)
     }
 
-    /// A transaction is opened there, or one has ended.
+    /// Counts a transaction that was opened, or one that has ended.
     pub(super) fn count_transaction(&mut self, opened: bool) {
         self.transactions = match opened {
             true => self.transactions.saturating_add(1),
@@ -211,26 +227,28 @@
         };
     }
 
-    /// Whether one more request may run there beside `others` that do not run yet.
+    /// Returns whether the window admits one more request besides those running and `planned`
+    /// ones that do not run yet.
     ///
-    /// A request that waits for the window gets nothing from another connection, while opening it
-    /// takes a slot of the crowded server for longer than a read does: hosts opened 486 connections
-    /// a second, which kept more slots busy than a server has, until it refused connections too.
+    /// Another connection does not help a request that waits for the window, and opening one takes
+    /// a slot of the overloaded server for longer than a read does. Without this check, hosts
+    /// opened 486 connections a second. That kept more slots busy than the server has, until it
+    /// refused connections as well.
     pub(super) fn has_room(&self, planned: u16) -> bool {
         self.busy.saturating_sub(self.idle_in_transaction) + planned < self.window.size()
     }
 
-    /// Another host lacks connections to the server: those above this host's part are given
-    /// back as they become free.
+    /// Limits this host to its fair share for a while, because another host lacks connections.
+    /// Connections above the share are closed as they become idle.
     ///
-    /// Without it, hosts that came first keep what they have while the server is at its limit,
-    /// and one that has a single connection serves a queue of a hundred with it.
+    /// Without it, the hosts that connected first keep their connections while the server is at its
+    /// limit, and a host with a single connection has to serve a queue of a hundred with it.
     pub fn limit_to_fair_share(&mut self, now: Duration) {
         self.fair_share_until = now + FAIR_SHARE_DURATION;
     }
 
-    /// Whether this host has less than its part of the server's connections; those that are only
-    /// being opened may be refused as well.
+    /// Returns whether this host has fewer connections than its fair share. Connections that are
+    /// being opened do not count, because the server may still refuse them.
     pub fn is_below_fair_share(&self) -> bool {
         self.connections().saturating_sub(self.opening) < self.fair_connections
     }
@@ -319,8 +337,8 @@
         if self.applied >= position {
             return true;
         }
-        // Every log counts as having the start of a term, also one that has not got there yet:
-        // a server cannot refuse by it, so it has to have shown that it is there.
+        // Servers treat every log as containing the start of a term, even one that has not reached
+        // it, and cannot refuse the read. So the server must already have reported this position.
         if position.log == 0 {
             return false;
         }
@@ -335,7 +353,7 @@
     pub(super) fn take_surplus(&mut self, now: Duration, max_idle: Duration) -> Vec<u64> {
         let mut surplus = Vec::new();
         let leaving = self.state == ServerState::Leaving;
-        // The longest idle stand first: lending takes from the other end.
+        // The connections that have been idle longest come first: `check_out` takes the last one.
         while let Some(first) = self.idle.first() {
             let idle = self.connections() > self.base_connections && now >= first.since + max_idle;
             let over = idle || self.connections() > self.connection_limit(now);
--- a/crates/core/src/dispatch/ticket.rs
+++ b/crates/core/src/dispatch/ticket.rs
@@ -8,33 +8,33 @@
 /// Which servers may answer a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Need {
-    /// Only the one that leads.
+    /// Only the primary.
     Leader,
-    /// Any whose log contains the position.
+    /// Any server whose log contains the position.
     Position {
         /// The position.
         position: Position,
-        /// When the primary was asked that answered there: how far replicas are behind in time
-        /// tells which of them have it.
+        /// Time of the request that the primary answered with this position. Together with a
+        /// replica's lag it tells whether the replica should have reached the position.
         at: Duration,
     },
 }
 
-/// Who goes first among requests that are alike otherwise.
+/// Order of requests that are equal in urgency, priority and kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueueOrder {
-    /// The one that has waited longest.
+    /// The request that has waited longest goes first.
     OldestFirst,
-    /// The one that came last.
+    /// The request that arrived last goes first.
     NewestFirst,
 }
 
 /// A request that waits for a connection.
 #[derive(Debug, Clone)]
 pub struct Ticket {
-    /// Its number, unique within the process.
+    /// Identifier, unique within the process.
     pub id: u64,
-    /// Who may answer it.
+    /// Servers that may answer it.
     pub need: Need,
     /// Requests with a lower number go first.
     pub priority: u8,
@@ -42,19 +42,19 @@
     pub opens_transaction: bool,
     /// When the caller sent it.
     pub arrived: Duration,
-    /// When it should be answered.
+    /// Time by which it should be answered.
     pub goal: Duration,
-    /// Until when it may wait here.
+    /// Time at which it is refused if it still waits.
     pub deadline: Duration,
-    /// A server that has just failed it.
+    /// Server on which it has just failed; another one is used, unless it needs the primary.
     pub avoid: Option<ServerKey>,
 }
 
 impl Ticket {
-    /// Where it stands in the queue.
+    /// Returns the sort key of this ticket; the least key is served first.
     ///
-    /// Transactions wait behind single statements of their priority: while connections are
-    /// short, one of them takes the time of dozens of the others.
+    /// Transactions wait behind single statements of the same priority: while connections are
+    /// scarce, one transaction takes the time of dozens of statements.
     pub(super) fn queue_key(&self, order: QueueOrder, now: Duration) -> (bool, u8, bool, Duration) {
         let age_rank = match order {
             QueueOrder::OldestFirst => self.arrived,
--- a/crates/core/src/dispatch/window.rs
+++ b/crates/core/src/dispatch/window.rs
@@ -1,55 +1,55 @@
-//! How many requests a host may have running at a server at once.
+//! Congestion window: how many requests a host may have running at a server at once.
 //!
-//! Hosts share a server's slots and its queue without seeing each other. Each finds its part by what
-//! comes back: additive increase, multiplicative decrease (as TCP does), on a full queue and on
-//! times that grow.
+//! Hosts share a server's slots and its queue without seeing each other. Each host finds its share
+//! from the server's answers, by additive increase and multiplicative decrease (AIMD, as in TCP).
+//! The window decreases when the server's queue is full and when latency grows.
 
 use std::time::Duration;
 
 use super::server::INITIAL_LATENCY;
 
-/// Requests that a host has running on a server before it knows what the server bears.
+/// Initial size of the window, in requests, before the capacity of the server is known.
 const INITIAL_SIZE: f64 = 2.0;
 
-/// What one answer adds to the window, divided by the window.
+/// Growth of the window for each answer, divided by the size of the window.
 const GROWTH: f64 = 0.1;
 
-/// Part of a new measurement in the trend, as a divisor: work differs tenfold from one request to
-/// the next, and the trend must not.
+/// Divisor of the weight of a new measurement in the trend. It is large because latency differs
+/// tenfold from one request to the next, and the trend must not.
 const TREND_SMOOTHING_DIVISOR: u32 = 32;
 
-/// How much of itself the time of an unloaded server is taken to grow in a second, at most: it is
-/// the lowest trend of some half minute.
+/// Growth of the baseline in a second, as a fraction of itself. With it, the baseline is the lowest
+/// trend of about half a minute.
 const BASELINE_DRIFT_PER_SECOND: f64 = 0.02;
 
-/// A server whose requests take this many times as long as when it was not loaded has a queue. It is
-/// the bound of a window without end; see [`Window::is_congested`].
+/// Ratio of trend to baseline above which a server counts as congested, for an infinitely large
+/// window; see [`Window::is_congested`].
 const CONGESTION_RATIO: f64 = 1.25;
 
-/// How much higher the bound of a window of one request is than that of a window without end, as a
-/// part of it.
+/// How much higher the bound is for a window of one request than for an infinitely large one, as a
+/// multiple of [`CONGESTION_RATIO`].
 const SMALL_WINDOW_ALLOWANCE: f64 = 4.0;
 
-/// What such a queue leaves of the window.
+/// Factor by which the window shrinks when the server is congested.
 const CONGESTION_DECREASE: f64 = 0.9;
 
-/// Shortest time between two such steps: the trend must follow.
+/// Shortest time between two decreases for congestion, so that the trend can follow the first.
 const CONGESTION_DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a full queue leaves of the window.
+/// Factor by which the window shrinks when the server's queue is full.
 const QUEUE_FULL_DECREASE: f64 = 0.7;
 
-/// Shortest time between two such steps: the first must show its effect.
+/// Shortest time between two decreases for a full queue, so that the first can take effect.
 const QUEUE_FULL_DECREASE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How many requests a host may have running at a server at once.
+/// Limits the requests that a host has running at a server at once.
 #[derive(Debug)]
 pub(super) struct Window {
     size: f64,
     decreased_at: Duration,
-    /// How long requests take there, slowly averaged.
+    /// Slow moving average of the latency at the server.
     trend: Duration,
-    /// The same when it was not loaded.
+    /// Estimate of the latency while the server was not loaded.
     baseline: Duration,
     baseline_at: Duration,
 }
@@ -67,15 +67,17 @@
 }
 
 impl Window {
-    /// How many; at least one.
+    /// Returns the size of the window in requests, at least one.
     pub(super) fn size(&self) -> u16 {
-        // It is bounded by a number of connections.
+        // The cast cannot overflow: the size is bounded by a number of connections.
         self.size.max(1.0) as u16
     }
 
-    /// A request was answered after `took`: a little more may run at once, up to `most`, unless
-    /// requests take so long that they wait in the server's queue. That one may be long enough to
-    /// never overflow, and adds its whole length to each request.
+    /// Records the latency of one answer and adjusts the window.
+    ///
+    /// The window grows up to `max_size`, unless the latency shows that requests wait in the
+    /// server's queue. That queue may be long enough to never overflow, and it delays each request
+    /// by its whole length.
     pub(super) fn record_latency(&mut self, took: Duration, max_size: u16, now: Duration) {
         self.trend = (self.trend * (TREND_SMOOTHING_DIVISOR - 1) + took) / TREND_SMOOTHING_DIVISOR;
         let drift = now.saturating_sub(self.baseline_at).as_secs_f64() * BASELINE_DRIFT_PER_SECOND;
@@ -89,26 +91,28 @@
         }
     }
 
-    /// Whether requests wait in the server's queue for longer than a window of this size may make
-    /// them.
+    /// Returns whether requests wait in the server's queue for longer than a window of this size
+    /// allows.
     ///
-    /// The narrower the window, the longer: all hosts measure the same queue, and with one bound
-    /// for all windows those that measure a little more would narrow down to one request each,
-    /// while the queue is what the windows of the others make it. Of two hosts before a crowded
-    /// server one then has a third of the requests of the other. With a bound that falls with the
-    /// size, windows meet where the bound is what is measured, so they are of like size.
+    /// A smaller window allows a longer queue. All hosts measure the same queue. With one bound for
+    /// all windows, hosts that measure slightly more would shrink to one request each, while the
+    /// windows of the other hosts keep the queue as it is: of two hosts at a congested server, one
+    /// got a third of the requests of the other. With a bound that falls as the window grows, all
+    /// windows converge to the size whose bound equals the measured latency.
     fn is_congested(&self) -> bool {
         let bound = CONGESTION_RATIO * (1.0 + SMALL_WINDOW_ALLOWANCE / self.size);
         self.trend > self.baseline.mul_f64(bound)
     }
 
-    /// The server's queue was full. Without a narrower window the refused requests come back at
-    /// once, each refusal costs a round trip, and the server answers hardly anything else.
+    /// Shrinks the window after the server refused a request because its queue was full.
+    ///
+    /// With an unchanged window, refused requests would come back at once. Each refusal costs a
+    /// round trip, and the server would answer hardly anything else.
     pub(super) fn queue_full(&mut self, now: Duration) {
         self.decrease(QUEUE_FULL_DECREASE, QUEUE_FULL_DECREASE_INTERVAL, now);
     }
 
-    /// Leaves `part` of the window, unless it was narrowed within the last `rest`.
+    /// Multiplies the window by `factor`, unless it was decreased less than `interval` ago.
     fn decrease(&mut self, factor: f64, interval: Duration, now: Duration) {
         if now < self.decreased_at + interval {
             return;
--- a/crates/core/tests/dispatch/crowd.rs
+++ b/crates/core/tests/dispatch/crowd.rs
@@ -1,4 +1,4 @@
-//! Several hosts before the same server, which has more work than it bears.
+//! Several hosts that share one overloaded server.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 
 use super::{keys, ms, ticket};
 
-/// Requests that the server runs at once.
+/// Number of requests that the server runs at once.
 const SLOTS: usize = 2;
 
-/// Mean work of a request, in milliseconds.
+/// Mean service time of a request, in milliseconds.
 const WORK: f64 = 9.0;
 
-/// Connections that a host may have.
+/// Number of connections that a host may have.
 const MOST: u16 = 6;
 
-/// How long the server has little work, so that hosts learn what it takes then; how long hosts
-/// have to find their parts once it has too much; how long they are counted. In milliseconds.
+/// Duration of three phases, in milliseconds: low load, in which hosts learn the baseline latency;
+/// overload, in which the windows converge; and overload in which the answers are counted.
 const CALM: u64 = 4_000;
 const SETTLING: u64 = 8_000;
 const COUNTED: u64 = 10_000;
 
-/// Two hosts serve a service for all others of their zone, and its primary has more work than it
-/// bears. Callers of one host are answered as usual, those of the other are refused after the whole
-/// time that they may wait, beside idle connections. Each host narrows its window while requests
-/// take long, whoever's requests the primary is busy with; once the times hover where windows
-/// narrow, a host that measures a little more narrows down to one request, and the times stay as
-/// they are by the work of the other.
+/// Guards against an uneven split of an overloaded primary between two hosts of a zone.
+///
+/// Each host shrinks its window while latency is high, no matter whose requests cause it. With one
+/// bound for all windows, a host that measures slightly more shrinks to one request, and the other
+/// host's work keeps the latency high. Callers of the first host were refused at their deadline
+/// although it had idle connections, while callers of the second were answered as usual.
 #[test]
 fn hosts_share_a_congested_server_evenly() {
     for hosts in [2, 5] {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Hosts, and the server that all of them use.
+/// Simulation of the hosts and of the server that they share.
 struct Crowd {
     rng: ChaCha8Rng,
     server: ServerKey,
@@ -63,7 +63,7 @@
     opening: u64,
 }
 
-/// A request that was sent.
+/// A request that was sent to the server.
 #[derive(Debug, Clone, Copy)]
 struct Job {
     host: usize,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Requests that each host had served, once all had found their parts.
+    /// Returns the number of requests answered for each host in the counted phase.
     fn play(mut self) -> Vec<u64> {
         let start = self.now;
         for tick in 0..CALM + SETTLING + COUNTED {
@@ -104,7 +104,7 @@
             }
             self.now = start + ms(tick);
             self.finish();
-            // A third of what the server can run, then half as much again as that.
+            // 30% of the server's capacity, then 150% of it.
             let load = if tick < CALM { 0.3 } else { 1.5 };
             for host in 0..self.hosts.len() {
                 self.step(host, load);
@@ -114,7 +114,7 @@
         self.hosts.iter().map(|host| host.served).collect()
     }
 
-    /// What opens is open, callers ask, and time passes.
+    /// Completes pending connects, adds new requests and advances the time of one host.
     fn step(&mut self, host: usize, load: f64) {
         let (server, now) = (self.server, self.now);
         for _ in 0..std::mem::take(&mut self.hosts[host].opening) {
@@ -135,7 +135,7 @@
         self.apply(host, actions);
     }
 
-    /// The server answers what it has run.
+    /// Answers the requests that the server has completed.
     fn finish(&mut self) {
         let now = self.now;
         let done: Vec<Job> = self
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The server runs what its slots take, in the order of arrival.
+    /// Starts queued requests on free slots, in order of arrival.
     fn begin(&mut self) {
         while self.running.len() < SLOTS
             && let Some(job) = self.queue.pop_front()
--- a/crates/core/tests/dispatch/load.rs
+++ b/crates/core/tests/dispatch/load.rs
@@ -1,4 +1,4 @@
-//! What runs at a server at once, and who waits, while there is more work than it bears.
+//! The congestion window and the queue under overload.
 
 use std::time::Duration;
 
@@ -7,8 +7,9 @@
 
 use super::{assigned, dispatch, ms, ticket};
 
-/// A server refuses because its queue is full. Sent again at once, the refused requests keep the
-/// queue full and nothing else gets through: the window narrows, and widens with answers.
+/// A server refuses requests because its queue is full. If they were sent again at once, they would
+/// keep the queue full and nothing else would get through. The window shrinks, and grows with
+/// answers.
 #[test]
 fn a_full_queue_shrinks_the_window() {
     let now = ms(5_000);
@@ -26,10 +27,12 @@
     assert!(assigned(&dispatch.tick(now + ms(50))).is_some());
 }
 
-/// Replicas fell behind for six seconds, and the primary's queue filled up. Hosts whose window had
-/// become narrow opened further connections for the requests that waited for the window. Each took
-/// a slot for 27 ms, and closed again soon after: the primary did little else for the rest of the
-/// day, and one request in eight of its service was refused.
+/// Guards against a storm of connections to an overloaded primary.
+///
+/// Replicas lagged for six seconds, and the primary's queue filled up. Hosts with a small window
+/// opened connections for requests that waited for the window. Each connect took a slot for 27 ms,
+/// and the connection was closed soon after. The primary did little else for the rest of the day,
+/// and one request in eight of its service was refused.
 #[test]
 fn a_full_window_opens_no_connections() {
     let now = ms(1_000);
@@ -44,10 +47,12 @@
     assert_eq!(assigned(&actions), Some(keys[0]), "the next one runs");
 }
 
-/// Both replicas of a service were behind for half a minute, and its primary got a sixth more work
-/// than it has slots for. Its long queue never overflowed, so nothing told hosts to send less: every
-/// request waited there for most of its goal, and three in five were answered late. Hosts that see
-/// requests take several times as long as before send less, and the queue stays with them.
+/// Guards against a long queue at the server that never overflows.
+///
+/// Both replicas of a service lagged for half a minute, and its primary got a sixth more work than
+/// its slots can handle. Its queue never overflowed, so hosts did not send less: every request
+/// waited there for most of its goal, and three in five were answered late. Hosts shrink their
+/// windows when latency is several times the baseline, and the queue stays at the hosts.
 #[test]
 fn growing_latency_shrinks_the_window() {
     let (mut dispatch, keys) = dispatch(ms(0));
@@ -68,7 +73,7 @@
     assert_eq!(calm, 4, "it widens again");
 }
 
-/// How many requests run at `server` at once, of as many as the host has connections for.
+/// Returns how many requests run at `server` at once when the host has enough connections.
 fn window(dispatch: &mut Dispatch, server: ServerKey, now: Duration) -> usize {
     for connection in 100..103 {
         dispatch.connection_opened(server, connection, now);
@@ -94,8 +99,8 @@
     count
 }
 
-/// A caller thinks inside its transaction. Its connection takes no slot meanwhile, so another
-/// request may run beside it.
+/// A caller leaves its transaction idle. The connection takes no slot meanwhile, so another request
+/// may run.
 #[test]
 fn a_connection_idle_in_a_transaction_takes_no_slot() {
     let now = ms(5_000);
@@ -114,9 +119,11 @@
     );
 }
 
-/// A primary got a sixth more work than it bears. Served by age, each bid waited until just before
-/// its goal and was answered just after it: half of them were late although the primary could have
-/// answered four in five in time. Served by the newest, those are.
+/// Guards against overload that makes most requests late.
+///
+/// A primary got a sixth more work than it can handle. Served oldest first, each bid waited until
+/// just before its goal and was answered just after it: half of them were late, although the
+/// primary could have answered four in five in time. Served newest first, it does.
 #[test]
 fn overload_makes_only_a_few_requests_late() {
     let now = ms(1_000);
@@ -124,7 +131,7 @@
     let (mut running, mut in_time, mut asked) = (Vec::new(), 0, 0);
     for tick in 0..2_000 {
         let now = now + ms(tick);
-        // One connection, 10 ms a request, one request each 8 ms, a goal of 100 ms.
+        // One connection, a service time of 10 ms, one request every 8 ms, a goal of 100 ms.
         let mut actions = Vec::new();
         if tick % 8 == 0 {
             asked += 1;
--- a/crates/core/tests/dispatch/main.rs
+++ b/crates/core/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Which pooled connection runs a request.
+//! Assignment of requests to pooled connections.
 
 mod crowd;
 mod load;
@@ -50,8 +50,8 @@
     }
 }
 
-/// A primary and two replicas, the first of them in this host's zone, with one idle connection to
-/// each.
+/// Returns a dispatcher for a primary and two replicas, the first of them in this host's zone, with
+/// one idle connection to each.
 fn dispatch(now: Duration) -> (Dispatch, [ServerKey; 3]) {
     let keys = keys();
     let mut dispatch = Dispatch::default();
@@ -77,8 +77,8 @@
     })
 }
 
-/// A lot view accepts data of a second ago. The replica next door has them; asking the primary in
-/// another zone would cost a slot that bids need, and bytes between zones.
+/// A lot view accepts data that are a second old. The replica in the host's zone has them. A read at
+/// the primary in another zone would take a slot that bids need, and cause traffic between zones.
 #[test]
 fn a_read_goes_to_the_replica_in_the_same_zone() {
     let now = ms(5_000);
@@ -91,9 +91,11 @@
     assert_eq!(assigned(&actions), Some(keys[1]));
 }
 
-/// Right after a promotion a read asks for the start of the new term, and servers take every log
-/// to contain that, also one that is still far behind in the old term. The buyer would see a lot
-/// as open that was sold seconds ago. Only servers that have shown the new term may answer.
+/// Guards against stale reads right after a promotion.
+///
+/// Such a read needs the start of the new term. Servers treat every log as containing it, even one
+/// that still lags in the old term, so a buyer could see a lot as open that was sold seconds ago.
+/// Only servers that have reported a position in the new term may answer.
 #[test]
 fn the_start_of_a_term_is_read_only_from_servers_that_reported_it() {
     let now = ms(5_000);
@@ -108,7 +110,7 @@
     assert_eq!(
         assigned(&actions),
         Some(keys[0]),
-        "only the primary is sure to be there"
+        "only the primary is known to have reached the new term"
     );
     let there = dispatch.server_mut(keys[1]).unwrap();
     there.record_position(position(2, 0), None, now);
@@ -116,8 +118,8 @@
     assert_eq!(assigned(&actions), Some(keys[1]));
 }
 
-/// A replica lags by seconds. Each read that it refuses costs a round trip, so after the first it
-/// is left alone for a while, also by reads that ask for something slightly older.
+/// A replica lags by seconds. Each read that it refuses costs a round trip. After the first refusal
+/// it is skipped for a while, also by reads that need a slightly older position.
 #[test]
 fn a_replica_that_refused_for_lag_is_skipped() {
     let now = ms(5_000);
@@ -129,8 +131,8 @@
     assert_eq!(assigned(&actions), Some(keys[0]));
 }
 
-/// A queue has once grown past the goal. Served by age alone, everybody after that would be late
-/// for as long as the load lasts; those that can still be in time go first.
+/// A queue has once grown past the goal. Served by age alone, every later request would be late for
+/// as long as the load lasts. Requests that can still meet their goal go first.
 #[test]
 fn requests_that_can_meet_their_goal_go_first() {
     let start = ms(5_000);
@@ -149,8 +151,8 @@
     assert_eq!(first, Some(3));
 }
 
-/// A clerk's settlement waits for a primary that nobody replaces. It is told in time that nothing
-/// has run, with the reason.
+/// A clerk's settlement waits for a primary, and none is promoted. At its deadline it is refused
+/// with the reason, and has not run.
 #[test]
 fn a_request_that_cannot_be_served_is_refused_at_its_deadline() {
     let now = ms(5_000);
@@ -164,8 +166,8 @@
     assert!(dispatch.tick(now + ms(800)).contains(&refused));
 }
 
-/// A primary is being replaced. What it still acknowledges may be missing at its successor, so
-/// writes wait until the successor leads, or go on when none shows.
+/// A primary is being replaced. Writes that it still acknowledges may be missing at its successor,
+/// so writes wait until the successor is the primary, or go on when the hold expires.
 #[test]
 fn writes_wait_while_their_primary_is_replaced() {
     let now = ms(5_000);
@@ -179,9 +181,12 @@
     assert_eq!(assigned(&dispatch.tick(now + ms(10))), Some(keys[1]));
 }
 
-/// A host has just started, and waits with writes until it has asked the first primary that it
-/// hears of. Meanwhile another host says that it replaces that primary. The answer came, the host
-/// let its writes go, and what the old primary acknowledged was missing at its successor.
+/// Guards against writes that are lost in a promotion.
+///
+/// A host that has just started holds writes until it has checked the first primary that it learns
+/// of. Meanwhile another host announces that it replaces this primary. The end of the check also
+/// ended the second hold, and writes that the old primary then acknowledged were missing at its
+/// successor.
 #[test]
 fn the_end_of_one_hold_does_not_end_another() {
     let now = ms(5_000);
@@ -200,9 +205,10 @@
     assert_eq!(assigned(&dispatch.tick(now + ms(20))), Some(keys[0]));
 }
 
-/// A host hears of a newer primary that it did not expect, and does not know yet whether that has its log.
-/// Reads of some age need the start of its term, which servers take every log to contain: they wait for the
-/// check, while a replica that has shown what they need answers.
+/// A host learns of an unexpected newer primary and has not yet checked whether it has the log.
+///
+/// Reads with bounded staleness need the start of its term, which servers treat as part of every
+/// log. They wait for the check, unless a replica has reported the position that they need.
 #[test]
 fn bounded_staleness_reads_do_not_use_an_unchecked_primary() {
     let now = ms(5_000);
@@ -228,8 +234,8 @@
     assert_eq!(assigned(&dispatch.tick(now + ms(10))), Some(keys[0]));
 }
 
-/// Three hosts hold twelve of a server's sixteen connections; a fourth has one and a queue of a
-/// hundred. Once it has asked, the others keep to their part.
+/// Three hosts have twelve of a server's sixteen connections. A fourth host has one connection and
+/// a queue of a hundred. Once it reports that, the others keep to their fair share.
 #[test]
 fn a_host_keeps_to_its_fair_share_when_another_lacks_connections() {
     let now = ms(5_000);
@@ -251,9 +257,11 @@
     assert_eq!(dispatch.servers()[&leader].connections(), 2);
 }
 
-/// All hosts come back from a loss of power and connect at once; one finds the server at its
-/// limit four times. Counting the attempts that were still under way it took itself to have its
-/// part, asked nobody, and served nothing for a second.
+/// Guards against a host without connections that does not report it.
+///
+/// After a loss of power all hosts connect at once, and one host finds the server at its limit four
+/// times. It counted the connects that were still under way towards its fair share, asked no other
+/// host for connections, and served nothing for a second.
 #[test]
 fn connections_being_opened_do_not_count_towards_the_fair_share() {
     let now = ms(5_000);
@@ -268,8 +276,8 @@
     assert!(dispatch.servers()[&leader].is_below_fair_share());
 }
 
-/// Clerks open transactions and think inside them until every connection is kept. Single bids then
-/// waited for seconds while the server's slots were idle; one connection stays for them.
+/// Clerks open transactions and leave them idle until they use every connection. Single bids then
+/// waited for seconds while the server's slots were idle. One connection is reserved for them.
 #[test]
 fn transactions_leave_a_connection_for_single_statements() {
     let now = ms(5_000);
@@ -294,8 +302,8 @@
     );
 }
 
-/// A server that is leaving gets no reads, and its idle connections close; as primary it takes
-/// writes until another one leads, since nobody else can.
+/// A leaving server gets no reads, and its idle connections are closed. As the primary it takes
+/// writes until another server is the primary, because no other server can.
 #[test]
 fn a_leaving_primary_takes_only_writes() {
     let now = ms(5_000);
--- a/crates/core/tests/dispatch/random.rs
+++ b/crates/core/tests/dispatch/random.rs
@@ -1,4 +1,4 @@
-//! Randomised runs.
+//! Randomised runs of the dispatcher.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 use super::{after, keys, ms, position, ticket};
 
-/// Random callers, servers and failures. Whatever happens: a connection serves one request at a
-/// time, no host has more connections than it may, no request is lost or answered twice, and what
-/// needs the primary runs nowhere else.
+/// Random callers, servers and failures. In every run, a connection serves one request at a time,
+/// the host stays within its connection limit, no request is lost or answered twice, and requests
+/// that need the primary run nowhere else.
 #[test]
 fn randomised_runs_keep_every_connection_to_one_request() {
     for seed in 0..400 {
@@ -27,7 +27,7 @@
     keys: [ServerKey; 3],
     now: Duration,
     opening: Vec<ServerKey>,
-    /// Connections that exist, and the ticket that each serves.
+    /// Open connections, with the server and the ticket that each serves.
     connections: BTreeMap<u64, (ServerKey, Option<u64>)>,
     waiting: BTreeMap<u64, Need>,
     done: BTreeSet<u64>,
@@ -61,7 +61,7 @@
             let actions = self.step();
             self.apply(actions);
         }
-        // Everything that still waits is refused in the end.
+        // Every request that still waits is refused at its deadline.
         self.now += ms(2_000);
         let actions = self.dispatch.tick(self.now);
         self.apply(actions);
@@ -160,7 +160,7 @@
                     let need = self
                         .waiting
                         .remove(&ticket)
-                        .expect("lent to one that waits");
+                        .expect("assigned to a waiting request");
                     assert!(self.done.insert(ticket), "seed {}: served twice", self.seed);
                     if need == Need::Leader {
                         assert_eq!(self.dispatch.leader(), Some(server), "seed {}", self.seed);
