--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which request runs next on a backend server, and which is refused at once.
+//! Admission control: which request runs next on a backend server, and which is refused at once.
 
 pub mod cost;
 pub mod limit;
@@ -18,19 +18,20 @@
 use ticket::Ticket;
 use work_rate::WorkRate;
 
-/// Longest queue that is looked through for late requests at every change.
+/// Longest queue that is scanned for late requests at every change, in requests.
 const SHORT_QUEUE: usize = 16;
-/// Time between two scans through a longer one.
+/// Time between two scans of a longer queue.
 const SCAN_INTERVAL: Duration = Duration::from_millis(1);
-/// Part of the slots that is taken to be left for a class whatever arrives that is heavier.
+/// Fraction of the slots that is assumed to be left for a class, however much work of greater weight
+/// arrives.
 const MIN_FREE_SHARE: f64 = 0.05;
 
-/// What to do about one request.
+/// The decision about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it to the server.
+    /// Send the request to the server.
     Start(u64),
-    /// Answer it with a refusal, now.
+    /// Refuse the request now.
     Refuse(u64, Refusal),
 }
 
@@ -39,7 +40,7 @@
 pub enum Completion {
     /// The server answered.
     Answered,
-    /// It did not: the time says nothing about the server's speed.
+    /// The server did not answer, so the elapsed time does not measure its latency.
     Failed,
 }
 
@@ -49,11 +50,11 @@
     started: Duration,
 }
 
-/// One entry host's queue before one backend server.
+/// The admission queue of one entry host for one backend server.
 ///
-/// The heaviest class goes first, and within it the earliest deadline. Whenever what waits can no
-/// longer all be done in time, the least weighty of those in the way is refused at once, until
-/// the rest can.
+/// Requests of the greatest weight go first, and among these the earliest deadline. When the
+/// waiting requests can no longer all meet their deadlines, the one of least weight among those
+/// ahead of the late one is refused at once, until the others can.
 ///
 /// ```
 /// use std::time::Duration;
@@ -77,21 +78,21 @@
 pub struct Gate {
     limit: Limit,
     costs: Costs,
-    /// Work that arrived, by weight.
+    /// Rate of arriving work, by weight.
     arrivals: WorkRate<u32>,
-    /// Work that was started, by customer.
+    /// Rate of started work, by customer.
     usage: WorkRate<CustomerKey>,
     running: BTreeMap<u64, Running>,
     queue: Queue,
     connections: usize,
-    /// The request that is just arriving.
+    /// The request whose arrival is being handled.
     arriving: Option<u64>,
-    /// When a long queue was last looked through for those that are late.
+    /// Time of the last scan for late requests.
     scanned_at: Duration,
 }
 
 impl Gate {
-    /// The queue before a server that runs `slots` statements at once.
+    /// Returns an empty queue for a server that runs `slots` statements at once.
     pub fn new(slots: u16) -> Gate {
         Gate {
             limit: Limit::new(slots),
@@ -106,14 +107,14 @@
         }
     }
 
-    /// The host may have so many connections to the server: no more requests run at once. With
-    /// none, whatever waits is refused at once.
+    /// Sets the number of connections that the host may have to the server, which bounds the number
+    /// of running requests. Without connections, all waiting requests are refused at once.
     pub fn set_connections(&mut self, connections: u16, now: Duration) -> Vec<Admission> {
         self.connections = usize::from(connections);
         self.advance(now)
     }
 
-    /// A request arrived. Where the answer does not name it, it waits.
+    /// Adds an arriving request. If the returned decisions do not name it, it waits.
     pub fn arrive(&mut self, ticket: Ticket, now: Duration) -> Vec<Admission> {
         let mean = self.costs.mean(ticket.class);
         self.arrivals.add(ticket.weight, mean, now);
@@ -135,8 +136,8 @@
         decisions
     }
 
-    /// A request that must not wait starts: a statement of an open transaction, which holds a
-    /// connection and perhaps locks that others wait for.
+    /// Starts a request that must not wait: a statement of an open transaction, which has a
+    /// connection and possibly locks that others wait for.
     pub fn start_now(&mut self, id: u64, class: ClassKey, now: Duration) {
         self.running.insert(
             id,
@@ -147,7 +148,7 @@
         );
     }
 
-    /// A request that was started has ended.
+    /// Records the end of a request that was started.
     pub fn finish(&mut self, id: u64, end: Completion, now: Duration) -> Vec<Admission> {
         if let Some(running) = self.running.remove(&id) {
             let took = now.saturating_sub(running.started);
@@ -164,7 +165,7 @@
         self.advance(now)
     }
 
-    /// The caller of a request that waits has gone away.
+    /// Removes a waiting request whose caller has gone.
     pub fn abandon(&mut self, id: u64, now: Duration) -> Vec<Admission> {
         if let Some(place) = self.queue.find(id) {
             self.queue.remove(place);
@@ -172,12 +173,12 @@
         self.advance(now)
     }
 
-    /// Time has passed; to be called at [`Gate::deadline`].
+    /// Advances the time. Has to be called at [`Gate::deadline`].
     pub fn tick(&mut self, now: Duration) -> Vec<Admission> {
         self.advance(now)
     }
 
-    /// When the first of the waiting requests can no longer be done in time.
+    /// Returns the earliest time at which a waiting request can no longer meet its deadline.
     pub fn deadline(&self) -> Option<Duration> {
         self.queue
             .iter()
@@ -189,34 +190,36 @@
             .min()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// How many may run at once at the moment.
+    /// Returns the number of requests that may currently run at once.
     pub fn slots(&self) -> usize {
         self.limit.slots().min(self.connections)
     }
 
-    /// Connections there would be use for.
+    /// Returns the number of connections that the host could use.
     pub fn demand(&self) -> u16 {
         let demand = self.running.len() + self.queue.len().min(self.limit.slots());
         u16::try_from(demand).unwrap_or(u16::MAX)
     }
 
-    /// When a request that arrives now should have ended.
+    /// Returns the expected time until a request that arrives now has ended.
     pub fn expected(&self, class: ClassKey, now: Duration) -> Duration {
         self.backlog(now) / self.parallelism() + self.costs.mean(class)
     }
 
-    /// Looking through a long queue at each arrival and each end would cost more than the requests
-    /// themselves; what has become late in it is found a moment later.
+    /// Applies the passage of time: refuses late requests, starts others and sheds load.
+    ///
+    /// Scanning a long queue at each arrival and each end would cost more than the requests
+    /// themselves, so its late requests are found up to [`SCAN_INTERVAL`] later.
     fn advance(&mut self, now: Duration) -> Vec<Admission> {
         let mut decisions = Vec::new();
         let scan_due = self.queue.len() <= SHORT_QUEUE || now >= self.scanned_at + SCAN_INTERVAL;
@@ -272,8 +275,8 @@
         }
     }
 
-    /// Whether `ticket`, which would be last, comes too late behind all that waits and is the
-    /// one to go. Most refusals of an overload are of this kind, and need no look at the queue.
+    /// Returns whether `ticket`, which would be last in the queue, would miss its deadline and be
+    /// the one to refuse. Most refusals under overload are of this kind and need no scan.
     fn is_first_to_shed(&self, ticket: &Ticket, now: Duration) -> bool {
         if self.running.len() < self.slots() {
             return false;
@@ -298,7 +301,7 @@
         }
     }
 
-    /// The first waiting request that would end after its deadline.
+    /// Returns the first waiting request that would end after its deadline.
     fn first_late(&self, now: Duration) -> Option<usize> {
         if self.slots() == 0 {
             return self.queue.len().checked_sub(1);
@@ -314,9 +317,10 @@
         None
     }
 
-    /// Time that has to be left for `ticket` after its wait. One that has just come has to fit
-    /// with room to spare; with one that already waits, an estimate that wavers must not be
-    /// enough to give it up.
+    /// Returns the time that has to be left for `ticket` after its wait.
+    ///
+    /// An arriving request has to fit with a safety margin. A request that already waits must not
+    /// be refused just because an estimate fluctuates.
     fn margin(&self, ticket: &Ticket) -> Duration {
         if self.arriving == Some(ticket.id) {
             self.costs.upper_estimate(ticket.class)
@@ -325,9 +329,11 @@
         }
     }
 
-    /// How long a request waits that has `ahead` before it. What is heavier and arrives in the
-    /// meantime goes first, so only the rest of the slots works off what is ahead: counted out
-    /// now, a request that would be pushed out later is refused when it comes.
+    /// Returns how long a request waits that has the work `ahead` before it.
+    ///
+    /// Requests of greater weight that arrive meanwhile go first, so only the remaining slots work
+    /// on what is ahead. Counting them now refuses a request on arrival that would otherwise be
+    /// displaced later.
     fn wait(&self, ahead: Duration, weight: u32, now: Duration) -> Duration {
         let slots = f64::from(self.parallelism());
         let left = slots - self.arrivals.rate_above(weight, now);
@@ -340,9 +346,9 @@
         ahead.mul_f64(1.0 / left)
     }
 
-    /// Among those up to `late`, the one of least weight; among equals, of the customer that has
-    /// used most for its share lately; among those, the one that takes longest; and at last the
-    /// one whose deadline is furthest, which has waited least.
+    /// Returns the request to refuse among those up to `first_late`: the one of least weight; among
+    /// equals, of the customer with the greatest recent usage for its share; among these, the one
+    /// that takes longest; and finally the one with the latest deadline, which has waited least.
     fn victim(&self, first_late: usize, now: Duration) -> usize {
         let value = |ticket: &Ticket| {
             let used = self.usage_per_share(ticket.customer, ticket.share, now);
@@ -358,7 +364,7 @@
         lowest.map_or(first_late, |(_, place)| place)
     }
 
-    /// Work left in what runs.
+    /// Returns the expected work left in the running requests.
     fn running_work(&self, now: Duration) -> Duration {
         self.running
             .values()
--- a/crates/core/src/admission/cost.rs
+++ b/crates/core/src/admission/cost.rs
@@ -1,16 +1,16 @@
-//! What requests of each class take, learnt from their answers.
+//! Service times of requests by class, learnt from their answers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::key::ClassKey;
 
-/// Part of a new observation in the averages.
+/// Weight of a new observation in the moving averages.
 const SMOOTHING: f64 = 0.1;
-/// What a request is taken to need before the first of its class was measured.
+/// Assumed service time of a class before its first observation.
 const INITIAL_COST: Duration = Duration::from_millis(2);
-/// By how much the least time drifts towards the mean with each observation, so that a floor
-/// from better days is forgotten.
+/// Fraction by which the minimum moves towards the mean with each observation, so that an outdated
+/// minimum is forgotten.
 const MINIMUM_DRIFT: f64 = 0.000_02;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -20,14 +20,14 @@
     minimum: f64,
 }
 
-/// Service times by class, as this host observes them: queueing inside the server included.
+/// Service times by class as this host observes them, queueing inside the server included.
 #[derive(Debug, Clone, Default)]
 pub struct Costs {
     by_class: BTreeMap<ClassKey, Cost>,
 }
 
 impl Costs {
-    /// Takes note of one answer.
+    /// Records the service time of one answer.
     pub fn record(&mut self, class: ClassKey, took: Duration) {
         let took = took.as_secs_f64();
         let cost = self.by_class.entry(class).or_insert(Cost {
@@ -40,13 +40,14 @@
         cost.minimum = (cost.minimum + MINIMUM_DRIFT * (cost.mean - cost.minimum)).min(took);
     }
 
-    /// What a request of `class` takes on average.
+    /// Returns the mean service time of `class`.
     pub fn mean(&self, class: ClassKey) -> Duration {
         let cost = self.by_class.get(&class);
         cost.map_or(INITIAL_COST, |cost| Duration::from_secs_f64(cost.mean))
     }
 
-    /// What most requests of `class` stay under.
+    /// Returns a service time that most requests of `class` stay below: the mean plus twice the
+    /// mean deviation.
     pub fn upper_estimate(&self, class: ClassKey) -> Duration {
         let cost = self.by_class.get(&class);
         cost.map_or(INITIAL_COST, |cost| {
@@ -54,7 +55,7 @@
         })
     }
 
-    /// What a request of `class` takes when nothing stands in its way.
+    /// Returns the service time of `class` on an idle server.
     pub fn minimum(&self, class: ClassKey) -> Duration {
         let cost = self.by_class.get(&class);
         cost.map_or(INITIAL_COST, |cost| Duration::from_secs_f64(cost.minimum))
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -1,24 +1,26 @@
-//! How many requests one host lets run on a server at once.
+//! Concurrency limit of one host at one server.
 
 use std::time::Duration;
 
-/// Slowdown against the least time up to which more is tried.
+/// Ratio of latency to minimum latency below which the limit is raised.
 const INCREASE_BELOW_SLOWDOWN: f64 = 2.0;
-/// Slowdown against the least time from which less is tried.
+/// Ratio of latency to minimum latency above which the limit is lowered.
 const DECREASE_ABOVE_SLOWDOWN: f64 = 3.0;
-/// An answer as quick as this is no sign of a crowd: for statements of some microseconds, being
-/// scheduled late is already many times their least time.
+/// Latency up to which an answer is no sign of congestion. For statements that take microseconds, a
+/// scheduling delay alone is many times their minimum latency.
 const MIN_CONGESTED_LATENCY: Duration = Duration::from_millis(2);
-/// What is left of the limit after a step down.
+/// Factor by which the limit is lowered.
 const DECREASE: f64 = 0.8;
-/// Shortest time between two steps down: the first must show its effect.
+/// Shortest time between two decreases, so that the first can take effect.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An adaptive limit. Several hosts share a server's slots without seeing each other; each reads
-/// from the time of its own answers whether the server is crowded, adds a little while it is not
-/// and takes off a part when it is (AIMD). Never below the slots: a class holds quick and slow
-/// statements, so that a slow one can look like a crowd, and a host that went down to one for it
-/// left slots idle.
+/// An adaptive concurrency limit.
+///
+/// Several hosts share a server's slots without seeing each other. Each host infers from the latency
+/// of its own answers whether the server is congested. It raises the limit slowly while it is not,
+/// and lowers it by a factor when it is (AIMD). The limit never falls below the number of slots: a
+/// class contains quick and slow statements, so a slow statement can look like congestion, and a
+/// host that reduced its limit to one because of it left slots idle.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limit {
     limit: f64,
@@ -28,7 +30,7 @@
 }
 
 impl Limit {
-    /// The limit before a server that runs `slots` statements at once.
+    /// Returns the initial limit for a server that runs `slots` statements at once.
     pub fn new(slots: u16) -> Limit {
         let slots = f64::from(slots.max(1));
         Limit {
@@ -39,13 +41,13 @@
         }
     }
 
-    /// How many may run at once; from the server's slots to twice as many.
+    /// Returns how many requests may run at once: from the number of slots to twice as many.
     pub fn slots(&self) -> usize {
         self.limit as usize
     }
 
-    /// An answer came after `took`, where `least` is the least that it can take. `full` tells
-    /// whether the limit was used up: otherwise it says nothing about a higher one.
+    /// Records an answer that took `took`, where `least` is the minimum latency of its class. `full`
+    /// says whether the limit was reached; otherwise the answer gives no reason to raise it.
     pub fn record(&mut self, took: Duration, least: Duration, full: bool, now: Duration) {
         let slowdown = took.as_secs_f64() / least.as_secs_f64().max(1e-6);
         if slowdown < INCREASE_BELOW_SLOWDOWN && full {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// A request broke or timed out.
+    /// Records a request that broke or timed out, and lowers the limit.
     pub fn failed(&mut self, now: Duration) {
         self.decrease(now);
     }
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait, in the order in which they will run.
+//! The queue of waiting requests, in the order in which they will run.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,7 +8,7 @@
 use super::ticket::Ticket;
 use crate::key::{ClassKey, CustomerKey};
 
-/// A queue that knows how much of what waits in it without being looked through.
+/// A queue that counts its requests by class and customer, so that totals need no scan.
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
     tickets: VecDeque<Ticket>,
@@ -16,24 +16,25 @@
     customers: BTreeMap<CustomerKey, CustomerQueue>,
 }
 
-/// What waits of one customer.
+/// The waiting requests of one customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CustomerQueue {
     /// The customer's weight.
     pub share: u32,
-    /// Requests.
+    /// Number of waiting requests.
     pub count: u32,
 }
 
 impl Queue {
-    /// Where `ticket` belongs: the heaviest first, and of these the earliest deadline.
+    /// Returns the index at which `ticket` belongs: the greatest weight first, and among equals the
+    /// earliest deadline.
     pub fn place(&self, ticket: &Ticket) -> usize {
         let order = |ticket: &Ticket| (Reverse(ticket.weight), ticket.deadline);
         let own = order(ticket);
         self.tickets.partition_point(|other| order(other) <= own)
     }
 
-    /// Puts `ticket` at `place`.
+    /// Inserts `ticket` at index `place`.
     pub fn insert(&mut self, place: usize, ticket: Ticket) {
         *self.classes.entry(ticket.class).or_default() += 1;
         let waiting = self
@@ -47,7 +48,7 @@
         self.tickets.insert(place, ticket);
     }
 
-    /// Takes the ticket at `place` out.
+    /// Removes and returns the ticket at index `place`.
     pub fn remove(&mut self, place: usize) -> Option<Ticket> {
         let ticket = self.tickets.remove(place)?;
         if let Some(count) = self.classes.get_mut(&ticket.class) {
@@ -59,38 +60,38 @@
         Some(ticket)
     }
 
-    /// The place of request `id`.
+    /// Returns the index of the request `id`.
     pub fn find(&self, id: u64) -> Option<usize> {
         self.tickets.iter().position(|ticket| ticket.id == id)
     }
 
-    /// The ticket at `place`.
+    /// Returns the ticket at index `place`.
     pub fn get(&self, place: usize) -> Option<&Ticket> {
         self.tickets.get(place)
     }
 
-    /// All of them, in order.
+    /// Iterates over all tickets in order.
     pub fn iter(&self) -> impl Iterator<Item = &Ticket> + '_ {
         self.tickets.iter()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Customers of whom something waits.
+    /// Iterates over the customers that have waiting requests.
     pub fn customers(&self) -> impl Iterator<Item = (CustomerKey, CustomerQueue)> + '_ {
         let waiting = self.customers.iter().map(|(key, waiting)| (*key, *waiting));
         waiting.filter(|(_, waiting)| waiting.count > 0)
     }
 
-    /// What all that waits takes together.
+    /// Returns the expected service time of all waiting requests together.
     pub fn work(&self, costs: &Costs) -> Duration {
         self.classes
             .iter()
--- a/crates/core/src/admission/ticket.rs
+++ b/crates/core/src/admission/ticket.rs
@@ -1,4 +1,4 @@
-//! A request that asks to run.
+//! A request that asks for admission.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 /// A request as admission sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ticket {
-    /// Number by which the caller of admission knows it; never used twice at once.
+    /// Identifier chosen by the user of the gate; unique among its current requests.
     pub id: u64,
     /// Its class.
     pub class: ClassKey,
-    /// The weight of the class: what it is worth to serve it in time.
+    /// The weight of the class: the value of serving the request in time.
     pub weight: u32,
-    /// Who pays for it.
+    /// The customer that pays for it.
     pub customer: CustomerKey,
-    /// The customer's weight against other customers.
+    /// The customer's weight relative to other customers.
     pub share: u32,
-    /// When it has to be answered.
+    /// Time by which it has to be answered.
     pub deadline: Duration,
 }
--- a/crates/core/src/admission/work_rate.rs
+++ b/crates/core/src/admission/work_rate.rs
@@ -1,15 +1,15 @@
-//! How much work there was lately, of each weight or customer.
+//! Recent rate of work by weight or customer.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::time::Duration;
 
-/// Time over which work is averaged, in seconds.
+/// Time constant of the moving average, in seconds.
 const WINDOW_SECONDS: f64 = 2.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct DecayingSum {
-    /// Recent work, in seconds, fading with [`WINDOW_SECONDS`].
+    /// Recent work in seconds, which decays exponentially with [`WINDOW_SECONDS`].
     work: f64,
     at: Duration,
 }
@@ -21,14 +21,14 @@
     }
 }
 
-/// Work by what it is counted under, as a moving average.
+/// Moving average of work by key.
 #[derive(Debug, Clone)]
 pub struct WorkRate<K> {
     sums: BTreeMap<K, DecayingSum>,
 }
 
 impl<K: Ord> WorkRate<K> {
-    /// Counts work that takes `cost` under `key`.
+    /// Adds work that takes `cost` under `key`.
     pub fn add(&mut self, key: K, cost: Duration, now: Duration) {
         let sum = self
             .sums
@@ -38,13 +38,13 @@
         sum.at = now;
     }
 
-    /// Work a second under `key`, in seconds.
+    /// Returns the work per second under `key`, in seconds.
     pub fn rate(&self, key: &K, now: Duration) -> f64 {
         let sum = self.sums.get(key);
         sum.map_or(0.0, |sum| sum.decayed(now) / WINDOW_SECONDS)
     }
 
-    /// Work a second under all keys above `key`, in seconds.
+    /// Returns the work per second under all keys greater than `key`, in seconds.
     pub fn rate_above(&self, key: K, now: Duration) -> f64 {
         let above = (Bound::Excluded(key), Bound::Unbounded);
         let sums = self.sums.range(above);
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,22 +1,23 @@
-//! How a backend server's connection limit is shared out over entry hosts.
+//! Connection budgets: how the connection limit of a backend server is shared among entry hosts.
 //!
-//! A controller keeps one [`server_budget::ServerBudget`] a server, an entry host one [`host_budget::HostBudget`]. Grants
-//! are leases: a host that vanished keeps its connections until its lease ends, and a host that
-//! can no longer renew closes its own in time. See the design note on limits.
+//! A controller keeps one [`server_budget::ServerBudget`] for each server, and an entry host one
+//! [`host_budget::HostBudget`]. Grants are leases: a host that vanished keeps its connections until
+//! its lease ends, and a host that can no longer renew closes its connections in time. See the
+//! design note on limits.
 
 pub mod host_budget;
 pub mod server_budget;
 
 use std::time::Duration;
 
-/// What a controller lets one host open to one server.
+/// The connections to one server that a controller grants to one host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Grant {
-    /// Connections for as long as the host's lease runs.
+    /// Number of connections while the host's lease is valid.
     pub leased: u16,
-    /// Connections out of `leased` that the host may keep much longer, so that a zone that is
-    /// cut off from its controller goes on serving.
+    /// Number of connections out of `leased` that the host may keep much longer, so that a zone that
+    /// is cut off from its controller goes on serving.
     pub floor: u16,
-    /// How long the floor holds, from the moment the host *sent* its renewal.
+    /// Validity of the floor, from the moment at which the host *sent* its renewal.
     pub floor_valid: Duration,
 }
--- a/crates/core/src/budget/host_budget.rs
+++ b/crates/core/src/budget/host_budget.rs
@@ -5,11 +5,11 @@
 use super::Grant;
 use crate::invariant::{self, Invariant};
 
-/// Time before the end of a grant at which its connections are closed, so that the server has
-/// seen them go when the controller gives them to another host.
+/// Time before the end of a grant at which its connections are closed, so that they are closed at
+/// the server before the controller grants them to another host.
 pub const CLOSE_MARGIN: Duration = Duration::from_millis(250);
 
-/// A number of connections and the moment until which they may be open.
+/// A number of connections and the time until which they may be open.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Allowance {
     connections: u16,
@@ -26,18 +26,18 @@
     }
 }
 
-/// What a host should do about its connections to one server.
+/// What a host has to do about its connections to one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Advice {
-    /// Up to so many more may be opened.
+    /// Up to this many more may be opened.
     Open(u16),
     /// Exactly as many as allowed are open.
     Keep,
-    /// So many have to be closed now, idle ones first.
+    /// This many have to be closed now, idle ones first.
     Close(u16),
 }
 
-/// The connections that one host has and may have to one server.
+/// The connections that one host has, and may have, to one server.
 ///
 /// ```
 /// use std::time::Duration;
@@ -59,8 +59,8 @@
 }
 
 impl HostBudget {
-    /// Takes a grant that answers a renewal sent at `sent`; its lease runs `valid` from then.
-    /// Answers can overtake each other: one to an older renewal than the last is ignored.
+    /// Applies a grant that answers a renewal sent at `sent`; its lease is valid for `valid` from
+    /// then. Answers can overtake each other, so an answer to an older renewal is ignored.
     pub fn grant(&mut self, grant: Grant, sent: Duration, valid: Duration) {
         let until = sent + valid;
         if until < self.leased.until {
@@ -76,17 +76,17 @@
         };
     }
 
-    /// Connections that may be open at `now`.
+    /// Returns the number of connections that may be open at `now`.
     pub fn allowed(&self, now: Duration) -> u16 {
         self.leased.at(now).max(self.floor.at(now))
     }
 
-    /// Connections that are open, those being opened included.
+    /// Returns the number of open connections, including those being opened.
     pub fn open_connections(&self) -> u16 {
         self.open
     }
 
-    /// Counts a connection that is about to be opened. `false`: it must not be.
+    /// Counts a connection that is about to be opened. Returns `false` if it must not be opened.
     #[must_use]
     pub fn try_open(&mut self, now: Duration) -> bool {
         if self.open >= self.allowed(now + CLOSE_MARGIN) {
@@ -102,7 +102,8 @@
         self.open = self.open.saturating_sub(1);
     }
 
-    /// What to do about open connections; to be asked at least at [`HostBudget::deadline`].
+    /// Returns what to do about the connections. Has to be called at [`HostBudget::deadline`] at the
+    /// latest.
     pub fn advise(&self, now: Duration) -> Advice {
         let allowed = self.allowed(now + CLOSE_MARGIN);
         if self.open > allowed {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// When the next of the open connections has to be closed unless a grant arrives.
+    /// Returns the next time at which connections have to be closed unless a grant arrives.
     pub fn deadline(&self, now: Duration) -> Option<Duration> {
         [self.leased, self.floor]
             .into_iter()
@@ -124,17 +125,18 @@
             .min()
     }
 
-    /// Takes note of how many connections the host had use for, queued requests included.
+    /// Records how many connections the host could use, including those for queued requests.
     pub fn record_demand(&mut self, wanted: u16) {
         self.wanted = self.wanted.max(wanted);
     }
 
-    /// The greatest use since the last call, for the next renewal.
+    /// Returns the greatest demand since the last call, for the next renewal.
     pub fn take_demand(&mut self) -> u16 {
         std::mem::take(&mut self.wanted)
     }
 
-    /// Asserts that no more is open than allowed. Called with every change and every tick.
+    /// Asserts that no more connections are open than allowed. Called at every change and every
+    /// tick.
     pub fn check(&self, now: Duration) {
         invariant::check(
             Invariant::ConnectionLimit,
--- a/crates/core/src/budget/server_budget.rs
+++ b/crates/core/src/budget/server_budget.rs
@@ -7,40 +7,41 @@
 use crate::invariant::{self, Invariant};
 use crate::key::HostKey;
 
-/// Time for which a floor is given.
+/// Validity of a floor.
 pub const FLOOR_VALID: Duration = Duration::from_secs(2 * 60 * 60);
-/// Part of a lease by which the controller counts it longer than the host: clocks drift.
+/// Divisor of the part of a lease by which the controller counts it longer than the host does,
+/// because clocks drift.
 const DRIFT_DIVISOR: u32 = 50;
 
-/// One life of one entry host. A host that was restarted is another instance: its earlier life may
-/// have left connections that nobody closed.
+/// One process lifetime of an entry host. A restarted host is another instance, because connections
+/// of its former process may still be open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostInstance {
     /// The host.
     pub host: HostKey,
-    /// The number that its process drew at start.
+    /// Random number that its process chose at start.
     pub incarnation: u64,
 }
 
-/// A floor as it has to outlive the controller: kept in the table service.
+/// A floor. It has to outlive the controller, so it is stored in the table service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Floor {
-    /// Connections.
+    /// Number of connections.
     pub connections: u16,
-    /// Until when, on the controller's clock.
+    /// End of its validity, on the controller's clock.
     pub until: Duration,
 }
 
-/// What one renewal says about one server.
+/// The part of a renewal that concerns one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Renewal {
-    /// Who asks.
+    /// The host that renews.
     pub instance: HostInstance,
-    /// Connections it has use for.
+    /// Number of connections that it could use.
     pub demand: u16,
     /// Whether host and server are in the same availability zone.
     pub same_zone: bool,
-    /// How long the lease that is being granted runs.
+    /// Duration of the lease that is being granted.
     pub valid: Duration,
 }
 
@@ -53,8 +54,8 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Account {
-    /// Every grant whose lease may still run. An answer can be lost, so the host may hold any
-    /// of them; the greatest counts.
+    /// Every grant whose lease may still be valid. An answer can be lost, so the host may use any of
+    /// them, and the greatest counts.
     leases: Vec<Lease>,
     floor: Option<Floor>,
     demand: u16,
@@ -83,7 +84,7 @@
     }
 }
 
-/// The connection limit of one backend server, shared out over entry hosts.
+/// The connection limit of one backend server, shared among entry hosts.
 ///
 /// ```
 /// use std::time::Duration;
@@ -108,8 +109,10 @@
 }
 
 impl ServerBudget {
-    /// The share of a server that takes `limit` connections. Nothing but floors is granted
-    /// before `grants_from`: a successor must let every lease of its predecessor run out.
+    /// Returns the budget of a server that accepts `limit` connections.
+    ///
+    /// Only floors are granted before `grants_from`, because a successor has to wait until every
+    /// lease of its predecessor has ended.
     pub fn new(limit: u16, grants_from: Duration) -> ServerBudget {
         ServerBudget {
             limit,
@@ -118,24 +121,25 @@
         }
     }
 
-    /// Takes over a floor that a predecessor gave.
+    /// Restores a floor that a predecessor granted.
     pub fn restore(&mut self, instance: HostInstance, floor: Floor) {
         self.accounts.entry(instance).or_default().floor = Some(floor);
     }
 
-    /// The floors in force, to be written down *before* a grant that contains a new one is sent.
+    /// Iterates over the valid floors. They have to be stored *before* a grant that contains a new
+    /// floor is sent.
     pub fn floors(&self) -> impl Iterator<Item = (HostInstance, Floor)> + '_ {
         self.accounts
             .iter()
             .filter_map(|(instance, account)| Some((*instance, account.floor?)))
     }
 
-    /// Adopts another limit. Lowered, it is reached as leases end.
+    /// Sets the limit. A lowered limit is reached as leases end.
     pub fn configure(&mut self, limit: u16) {
         self.limit = limit;
     }
 
-    /// Grants what the instance of a renewal may open.
+    /// Returns the grant for a renewal.
     pub fn renew(&mut self, renewal: Renewal, now: Duration) -> Grant {
         self.prune(now);
         let before = self.outstanding(now);
@@ -163,22 +167,24 @@
         }
     }
 
-    /// A host stopped and has closed everything.
+    /// Removes a host that has stopped and closed all its connections.
     pub fn release(&mut self, instance: HostInstance) {
         self.accounts.remove(&instance);
     }
 
-    /// Connections that hosts may have open at `now`, all together.
+    /// Returns the number of connections that all hosts together may have open at `now`.
     pub fn outstanding(&self, now: Duration) -> u16 {
         let each = self.accounts.values();
         each.map(|account| account.outstanding(now)).sum()
     }
 
-    /// A floor goes to hosts in the server's own zone that have use for it: they are the ones
-    /// that still reach the server when the zone is cut off. All floors together stay within
-    /// half of the limit, so that a fleet whose members crash and come back under new names
-    /// cannot use it up. A successor that does not yet know what its predecessor granted only
-    /// extends floors: a new one could be a connection that another host has open.
+    /// Grants or extends a floor.
+    ///
+    /// Floors go to hosts in the server's zone that have demand: these hosts still reach the server
+    /// when the zone is cut off. All floors together stay within half of the limit, so that hosts
+    /// that crash and come back under new names cannot use it up. A successor that does not know
+    /// yet what its predecessor granted only extends floors, because a new floor could be a
+    /// connection that another host has open.
     fn grant_floor(&mut self, renewal: &Renewal, now: Duration) {
         let pool = self.limit / 2;
         let given: u16 = self.accounts.values().map(|a| a.floor_at(now)).sum();
@@ -215,8 +221,8 @@
         }
     }
 
-    /// The instance's max-min fair part of what is not kept for newcomers. An instance never gets
-    /// less than one, or nobody new could ever show its demand.
+    /// Returns the instance's max-min fair share of the limit, without the reserve for new hosts.
+    /// It is at least one connection, so that a new host can show its demand.
     fn fair_target(&self, instance: HostInstance, now: Duration) -> u16 {
         let mut demands: Vec<(u16, HostInstance)> = self
             .accounts
@@ -254,7 +260,8 @@
         });
     }
 
-    /// A limit that was lowered is passed until leases end; it must not be passed further.
+    /// Asserts that the limit holds. A lowered limit may be exceeded until leases end, but not by
+    /// more than before.
     fn check(&self, before: u16, now: Duration) {
         let granted = self.outstanding(now);
         invariant::check(
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -182,8 +182,8 @@
         self.busy.saturating_add(idle).saturating_add(self.opening)
     }
 
-    /// Returns whether the last connect failed, no connection is idle and the server has not been
-    /// reached again for the time of the longest backoff.
+    /// Returns whether the last connect failed and no connection is idle. It stops to hold
+    /// [`BACKOFF_MAX`] after the next attempt is due.
     pub fn is_broken(&self, now: Duration) -> bool {
         self.backoff > Duration::ZERO && self.idle.is_empty() && now < self.retry_at + BACKOFF_MAX
     }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The queue before one backend server.
+//! The admission queue for one backend server.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 impl Scene {
-    /// A gate of one slot that has learnt that everything takes 10 ms.
+    /// Returns a gate with one slot that has learnt that each request takes 10 ms.
     fn new() -> Scene {
         let mut names = Directory::default();
         let mut scene = Scene {
@@ -108,8 +108,8 @@
     ));
 }
 
-/// Five lot views wait, all just in time; then a bid comes. One of them can no longer be done,
-/// and it is told so in the same moment, not when its deadline has passed.
+/// Five lot views wait and can just meet their deadlines, then a bid arrives. The lot view that can
+/// no longer be served is refused at once and not at its deadline.
 #[test]
 fn a_heavy_request_displaces_a_light_one_at_once() {
     let mut scene = Scene::new();
@@ -129,7 +129,7 @@
     assert!(out.iter().all(|id| waiting.contains(id)));
 }
 
-/// The server hangs. What waits for it is refused as its time runs out, by the clock alone.
+/// The server hangs. Requests that wait for it are refused by their deadlines alone.
 #[test]
 fn a_hanging_server_does_not_delay_refusals() {
     let mut scene = Scene::new();
@@ -179,8 +179,8 @@
     assert_eq!(scene.gate.running(), 2);
 }
 
-/// A server that answers ten times slower than it can is crowded by hosts that this one cannot
-/// see; one that answers as fast as it can may take more.
+/// A server that answers ten times slower than it can is congested by hosts that this one cannot
+/// see. A server that answers as fast as it can may take more requests.
 #[test]
 fn the_limit_follows_the_latency_of_the_server() {
     let mut names = Directory::default();
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -1,7 +1,7 @@
-//! Connection budgets: all hosts together never pass a server's limit.
+//! Connection budgets: all hosts together never exceed a server's limit.
 //!
-//! The randomised runs take `FLAMINGOPOST_SCHEDULES=N` and `FLAMINGOPOST_SEED=N` for longer runs
-//! by hand; without them, fixed seeds.
+//! The randomised runs read `FLAMINGOPOST_SCHEDULES=N` and `FLAMINGOPOST_SEED=N` for longer runs by
+//! hand. Without these variables they use fixed seeds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -53,8 +53,8 @@
     assert!(last.values().sum::<u16>() <= LIMIT);
 }
 
-/// A host is killed with all its connections open. Nobody closed them for certain, so its part
-/// must not be given away before its lease has ended, not even to its own next life.
+/// A host is killed with all its connections open. They may still be open at the server, so its
+/// share must not be granted again before its lease has ended, not even to the restarted host.
 #[test]
 fn a_vanished_host_keeps_its_share_until_its_lease_ends() {
     let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
@@ -68,8 +68,8 @@
     assert!(third > second);
 }
 
-/// The controller is replaced. Its successor does not know what was granted, so it grants
-/// nothing but floors it was told of until every lease must have run out.
+/// The controller is replaced. Its successor does not know the grants, so until every lease must
+/// have ended it grants only the floors that were restored.
 #[test]
 fn a_successor_waits_out_the_leases_of_its_predecessor() {
     let host = hosts(1)[0];
@@ -90,9 +90,9 @@
     assert!(server_budget.renew(renewal(host, 1, 9), seconds(3)).leased > 2);
 }
 
-/// Found by seed 100000 and others of the randomised run: a successor that still waited gave a
-/// newcomer a floor, while hosts of its predecessor had every connection open. The newcomer
-/// opened one more than the server takes.
+/// Found by seed 100000 and others of the randomised run: a successor that still waited granted a
+/// floor to a new host while hosts of its predecessor had every connection open. The new host
+/// opened one connection more than the server accepts.
 #[test]
 fn a_waiting_successor_grants_no_new_floor() {
     let host = hosts(1)[0];
@@ -104,8 +104,8 @@
     assert_eq!(server_budget.floors().count(), 0);
 }
 
-/// A zone is cut off from its controller. Its hosts cannot renew, but the servers in the zone
-/// still answer them: they keep their floors, and close the rest in time.
+/// A zone is cut off from its controller. Its hosts cannot renew, but still reach the servers in the
+/// zone. They keep their floors and close the other connections in time.
 #[test]
 fn a_cut_off_host_keeps_its_floor_and_closes_the_rest() {
     let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
@@ -124,8 +124,8 @@
     assert_eq!(budget.advise(seconds(3600)), Advice::Keep);
 }
 
-/// Hosts crash and come back under new names all day. Their floors last for hours; if these were
-/// given without bound, the last crash would leave no connection for anybody.
+/// Hosts crash and come back under new names all day. Floors are valid for hours. Granted without a
+/// bound, they would use up all connections.
 #[test]
 fn floors_of_vanished_hosts_never_use_up_the_limit() {
     let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
@@ -176,7 +176,7 @@
     key: HostKey,
     life: u64,
     budget: HostBudget,
-    /// Its clock runs at this rate against the controller's.
+    /// Rate of its clock relative to the controller's.
     rate: f64,
     paused_until: Duration,
     cut_until: Duration,
@@ -188,7 +188,7 @@
     }
 }
 
-/// A grant that is on its way: when it arrives, at whom, and what it answers.
+/// A grant that is in transit to a host.
 struct Flight {
     arrives: Duration,
     host: usize,
@@ -202,8 +202,8 @@
     server_budget: ServerBudget,
     hosts: Vec<Host>,
     flights: Vec<Flight>,
-    /// Connections of killed processes that the server has not yet dropped, and until when it
-    /// may keep them: to the end of the grant that they were opened under.
+    /// Connections of killed processes that the server has not closed yet, and the time until which
+    /// it may keep them: the end of the grant that they were opened under.
     orphaned: Vec<(Duration, u16)>,
     now: Duration,
     most: u16,
@@ -279,7 +279,7 @@
             640..780 if self.now >= host.cut_until => self.renew(index),
             780..784 => self.kill(index),
             784..787 => host.cut_until = self.now + seconds(8),
-            // Shorter than the margin by which connections are closed: see LIMITS.md.
+            // Shorter than the margin before the end of a grant: see LIMITS.md.
             787..790 => host.paused_until = self.now + CLOSE_MARGIN / 2,
             _ => {}
         }
@@ -308,8 +308,8 @@
         });
     }
 
-    /// The process dies; the machine it ran on may be gone with it, so that the server keeps its
-    /// connections for a while.
+    /// Kills the process. Its machine may be lost as well, so the server keeps its connections for a
+    /// while.
     fn kill(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         let clock = host.clock(self.now);
@@ -347,7 +347,7 @@
             .sum();
         assert!(
             open + orphaned <= LIMIT,
-            "{open} open and {orphaned} of the dead"
+            "{open} open and {orphaned} of killed processes"
         );
         self.most = self.most.max(open + orphaned);
         for host in &self.hosts {
@@ -359,7 +359,7 @@
 }
 
 /// Hosts renew, lose answers, are cut off, paused for a moment and killed, and the controller is
-/// replaced. What all of them have open, the dead included, stays within the limit.
+/// replaced. All open connections, including those of killed processes, stay within the limit.
 #[test]
 fn randomised_schedules_never_exceed_the_limit() {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
