--- a/crates/core/examples/decision_cost.rs
+++ b/crates/core/examples/decision_cost.rs
@@ -1,4 +1,4 @@
-//! What classifying a statement, choosing a rule and reading a configuration cost, at several
+//! Measures the time to classify a statement, choose a rule and read a configuration, for several
 //! sizes: `cargo run --release -p flamingopost-core --example decision_cost`.
 
 use std::fmt::Write;
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,20 +1,20 @@
-//! Time as an interface, so that every decision can be run with a clock set by hand.
+//! The clock as a trait, so that every decision can be tested with a manual clock.
 
 use std::sync::Mutex;
 use std::time::{Duration, SystemTime};
 
-/// What a process reads the time from.
+/// The clock of a process.
 ///
-/// `now` is the time since an arbitrary fixed moment and must also count while the machine is
-/// suspended: a lease judged by a clock that stops in suspension would outlive its term.
+/// `now` is the time since an arbitrary fixed moment. It must also advance while the machine is
+/// suspended: a lease measured by a clock that stops during suspension would be used after its end.
 pub trait Clock: Send + Sync {
-    /// Monotonic time since an arbitrary moment, suspension included.
+    /// Returns the monotonic time since an arbitrary moment, including suspension.
     fn now(&self) -> Duration;
-    /// Wall-clock time, for records that people read; never used for a decision.
+    /// Returns the wall-clock time. It is only for records that people read, never for decisions.
     fn wall(&self) -> SystemTime;
 }
 
-/// A clock that moves only when told to.
+/// A clock that advances only by [`Manual::advance`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -30,7 +30,7 @@
 }
 
 impl Manual {
-    /// Moves the clock forward by `step`.
+    /// Advances the clock by `step`.
     pub fn advance(&self, step: Duration) {
         let mut now = self
             .now
--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -24,7 +24,7 @@
 impl std::error::Error for ParseError {}
 
 impl Digest {
-    /// The digest of `body`.
+    /// Returns the digest of `body`.
     pub fn of(body: &[u8]) -> Digest {
         Digest(Sha256::digest(body).into())
     }
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -1,10 +1,12 @@
-//! The names of a fleet, numbered for one process.
+//! The interned names of a fleet.
 
 use crate::key::{CallerKey, ClassKey, CustomerKey, HostKey, ServerKey, ServiceKey, ZoneKey};
 use crate::names::Names;
 
-/// Every name the process has seen, by kind. A name keeps its key as long as the process lives,
-/// so keys stay valid across configuration versions.
+/// Every name that the process has seen, by kind.
+///
+/// A name keeps its key for the lifetime of the process, so keys stay valid across configuration
+/// versions.
 ///
 /// ```
 /// use flamingopost_core::directory::Directory;
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -1,22 +1,21 @@
-//! Whether one of the platform's feeds still brings this host what others have got already.
+//! Detection of a stuck feed: a feed of the platform that no longer delivers changes to this host.
 //!
-//! A call that waits for changes may wait for nothing: the connection is dead, or its answer was
-//! lost. The shorter each call waits, the sooner that shows, and the more calls are made, which
-//! are charged for and shared by all hosts. So in a large fleet only a few hosts wait for short
-//! times. They tell the others how far they have read, and a host that is told of more than it
-//! has itself asks again at once.
+//! A call that waits for changes (long poll) may wait in vain, because its connection is dead or its
+//! answer was lost. A shorter wait detects this sooner, but makes more calls, which are charged for
+//! and limited for all hosts together. So in a large fleet only a few hosts use short waits. They
+//! report to the others how far they have read, and a host that has read less calls again.
 
 use std::time::Duration;
 
-/// How long a feed may be behind what others have read before it counts as stuck: changes reach
-/// hosts some milliseconds apart, and a slow store takes hundreds.
+/// How long a feed may be behind the feeds of other hosts before it counts as stuck. Changes reach
+/// hosts some milliseconds apart, and hundreds of milliseconds apart when the store is slow.
 pub const STUCK_AFTER: Duration = Duration::from_millis(400);
 
-/// Longest patience, reached by doubling: a host that the store turns away is told of changes all
-/// the while, and each further call is charged for.
+/// Longest such time; it doubles with each new call. A host that the store refuses keeps learning of
+/// changes from other hosts, and each further call is charged for.
 pub const STUCK_AFTER_MAX: Duration = Duration::from_millis(3_200);
 
-/// How far one of the platform's feeds has been read, here and elsewhere.
+/// Tracks how far one of the platform's feeds was read, by this host and by others.
 ///
 /// ```
 /// use std::time::Duration;
@@ -36,14 +35,14 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Feed {
-    /// Everything up to here has been read.
+    /// Version up to which everything was read.
     as_of: u64,
-    /// The newest change that was read.
+    /// Version of the newest change that was read.
     newest: u64,
     behind: Option<Behind>,
 }
 
-/// What others have read and this host has not.
+/// A change that other hosts have read and this host has not.
 #[derive(Debug, Clone, Copy)]
 struct Behind {
     newest: u64,
@@ -52,7 +51,8 @@
 }
 
 impl Feed {
-    /// Everything up to `as_of` was read; the newest change in it, if there was any, is `newest`.
+    /// Records that everything up to version `as_of` was read. `newest` is the version of the newest
+    /// change in it, if there was any.
     pub fn read(&mut self, as_of: u64, newest: Option<u64>) {
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(newest.unwrap_or_default());
@@ -64,12 +64,12 @@
         }
     }
 
-    /// The newest change that was read: what others are told.
+    /// Returns the version of the newest change that was read, which is reported to other hosts.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Another host has read a change at `newest`.
+    /// Records that another host has read a change with version `newest`.
     pub fn record_peer_read(&mut self, newest: u64, now: Duration) {
         if newest <= self.as_of {
             return;
@@ -86,18 +86,18 @@
         }
     }
 
-    /// Whether another host has read a change that this one has not.
+    /// Returns whether another host has read a change that this host has not.
     pub fn is_behind(&self) -> bool {
         self.behind.is_some()
     }
 
-    /// Whether the call that waits for changes has to be given up, and a new one made.
+    /// Returns whether the call that waits for changes has to be replaced by a new one.
     pub fn is_stuck(&self, now: Duration) -> bool {
         self.behind
             .is_some_and(|behind| now >= behind.since + behind.stuck_after)
     }
 
-    /// A new call is made.
+    /// Records that a new call was made, and doubles the time until the feed counts as stuck again.
     pub fn record_retry(&mut self, now: Duration) {
         if let Some(behind) = &mut self.behind {
             behind.since = now;
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The configuration of a fleet as decisions read it: services, callers, classes and rules.
+//! The parsed configuration of a fleet: services, callers, classes and rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use crate::key::{CallerKey, ClassKey, CustomerKey, ServerKey, ServiceKey, ZoneKey};
 use crate::rule::{Access, Ack, Rule, Target, Then};
 
-/// Deadline of a fleet that has no default class, which only one built by hand can lack.
+/// Deadline in a fleet without a default class. Only a fleet that was built by hand can lack one.
 const FALLBACK_DEADLINE: Duration = Duration::from_secs(1);
 
-/// Retries of a read that no rule matches.
+/// Number of retries of a read that no rule matches.
 pub const READ_RETRIES: u8 = 1;
 
 /// One accepted version of the fleet's configuration.
@@ -39,8 +39,8 @@
 }
 
 impl Fleet {
-    /// The treatment of requests that no rule matches: by the primary, within the deadline of the
-    /// default class, and never twice unless the statement only reads.
+    /// Returns the treatment of requests that no rule matches: they go to the primary with the
+    /// deadline of the default class, and only reads are retried.
     pub fn default_then(&self, access: Access) -> Then {
         let reads = access == Access::Read;
         let class = self.classes.get(&self.default_class);
@@ -60,7 +60,7 @@
 }
 
 impl Fleet {
-    /// Shards that have a service; the others need no controller and have none.
+    /// Returns the shards that have a service. The others have no controller.
     ///
     /// ```
     /// use flamingopost_core::fleet::Fleet;
@@ -92,18 +92,18 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Class {
-    /// Weight: how much one request served in time is worth. Greater is kept longer.
+    /// Value of serving one request in time. Requests of a smaller weight are refused first.
     pub weight: u32,
-    /// Time within which a request has to be answered where its rule names none.
+    /// Time within which a request has to be answered if its rule sets none.
     pub deadline: Duration,
 }
 
 /// A group of backend servers that callers reach under one database name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Who pays for it.
+    /// The customer that pays for it.
     pub customer: CustomerKey,
-    /// Shard whose controller decides for it; derived from its name.
+    /// Shard whose controller is responsible for it; derived from its name.
     pub shard: u16,
     /// Its servers.
     pub servers: BTreeSet<ServerKey>,
@@ -112,7 +112,7 @@
 }
 
 impl Service {
-    /// The shard of the service called `name`: every process derives the same one.
+    /// Returns the shard of the service called `name`. Every process derives the same one.
     ///
     /// ```
     /// use flamingopost_core::fleet::Service;
@@ -138,17 +138,17 @@
     pub zone: ZoneKey,
     /// Where it listens for the PostgreSQL protocol.
     pub address: SocketAddr,
-    /// Statements it runs at once.
+    /// Number of statements that it runs at once.
     pub slots: u16,
-    /// Connections it accepts from the whole fleet together.
+    /// Number of connections that it accepts from the whole fleet together.
     pub connections: u16,
-    /// What opening a connection takes.
+    /// Time that opening a connection takes.
     pub connect_cost: Duration,
-    /// Whether operators want it emptied: it receives no new work.
+    /// Whether operators want it drained: it gets no new work.
     pub leaving: bool,
 }
 
-/// A caller: who connects, by user name.
+/// A caller, identified by its user name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller {
     /// SCRAM-SHA-256 verifier in PostgreSQL's stored form.
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,4 +1,4 @@
-//! Which replicas are set aside because they are slow.
+//! Outlier detection: which replicas are set aside because they are slow.
 
 pub mod latency;
 
@@ -8,28 +8,29 @@
 use crate::key::ServerKey;
 use latency::LatencyAverage;
 
-/// A replica is slow from this many times the median of its peers.
+/// A replica is slow above this many times the median latency of its peers.
 const SLOW_RATIO: f64 = 3.0;
-/// And only where it is slower than they by at least this much.
+/// A replica is slow only if it exceeds the median of its peers by at least this much.
 const SLOW_MARGIN: Duration = Duration::from_millis(2);
-/// Answers within the window before a replica is judged.
+/// Number of recent answers before a replica is evaluated.
 const MIN_ANSWERS: u32 = 20;
-/// First time for which a replica is set aside; it doubles with each relapse.
+/// Time for which a replica is first set aside; it doubles with each relapse.
 const MIN_ASIDE: Duration = Duration::from_secs(1);
 /// Longest time for which a replica is set aside.
 const MAX_ASIDE: Duration = Duration::from_secs(30);
-/// Use of the remaining servers above which nobody is set aside: the rest would drown.
+/// Utilization of the remaining replicas above which no replica is set aside, because they would be
+/// overloaded.
 const MAX_UTILIZATION: f64 = 0.8;
 
 /// How much work a replica gets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum HealthState {
-    /// Its full part.
+    /// Its full share.
     #[default]
     Full,
-    /// A trickle, to see whether it has recovered.
+    /// A small number of reads, to find out whether it has recovered.
     Trial,
-    /// None while another can serve.
+    /// None, as long as another replica can answer.
     Aside,
 }
 
@@ -41,7 +42,7 @@
     relapses: u32,
 }
 
-/// The replicas of one service, compared with each other.
+/// Compares the latency of the replicas of one service.
 ///
 /// ```
 /// use std::time::Duration;
@@ -63,25 +64,27 @@
 }
 
 impl ReplicaHealth {
-    /// `server` answered after `took`, its distance taken off.
+    /// Records the latency of one answer of `server`, without the round trip to its zone.
     pub fn record(&mut self, server: ServerKey, took: Duration) {
         self.members.entry(server).or_default().latency.record(took);
     }
 
-    /// `server` is no longer a replica of the service.
+    /// Removes `server`, which is no longer a replica of the service.
     pub fn remove(&mut self, server: ServerKey) {
         self.members.remove(&server);
     }
 
-    /// The standing of `server`.
+    /// Returns the health state of `server`.
     pub fn state(&self, server: ServerKey) -> HealthState {
         self.members
             .get(&server)
             .map_or(HealthState::Full, |member| member.state)
     }
 
-    /// Judges every replica; to be called a few times a second. `busy` is the part of the
-    /// replicas' slots that is in use. Returns what changed.
+    /// Evaluates every replica and returns the changed states.
+    ///
+    /// Has to be called a few times a second. `utilization` is the fraction of the replicas' slots
+    /// that is in use.
     pub fn evaluate(&mut self, utilization: f64, now: Duration) -> Vec<(ServerKey, HealthState)> {
         let keys: Vec<ServerKey> = self.members.keys().copied().collect();
         let mut changed = Vec::new();
@@ -126,8 +129,10 @@
         member.since = now;
     }
 
-    /// Slow against peers, not against a fixed time: when the load or the data make all of them
-    /// slow, none is the cause.
+    /// Returns whether a replica is slow compared with its peers.
+    ///
+    /// The bound is not a fixed time: when the load or the data make all replicas slow, none of them
+    /// is the cause.
     fn is_slow(&self, key: ServerKey) -> bool {
         let member = &self.members[&key];
         let Some(mine) = member
@@ -150,8 +155,10 @@
         mine > median.mul_f64(SLOW_RATIO) && mine > *median + SLOW_MARGIN
     }
 
-    /// At most half of the replicas are out at once, and the work of one more must fit on those
-    /// that remain: setting a slow server aside must not make the others the next slow ones.
+    /// Returns whether one more replica may be set aside.
+    ///
+    /// At most half of the replicas are aside at once, and the remaining ones must have the capacity
+    /// for the additional work. Otherwise they would be the next to become slow.
     fn can_set_aside(&self, utilization: f64) -> bool {
         let full = self
             .members
--- a/crates/core/src/health/latency.rs
+++ b/crates/core/src/health/latency.rs
@@ -1,13 +1,13 @@
-//! The typical time of a server's recent answers.
+//! Moving average of the latency of one server.
 
 use std::time::Duration;
 
-/// Part of an observation in the average.
+/// Weight of a new observation in the average.
 const SMOOTHING: f64 = 0.1;
-/// Observations further off than this many times the average count as this many.
+/// Multiple of the average to which greater observations are clipped.
 const CLIP_RATIO: f64 = 8.0;
 
-/// A moving average that forgets its confidence with time.
+/// A moving average with a count of recent observations that decays with time.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LatencyAverage {
     average: f64,
@@ -15,8 +15,8 @@
 }
 
 impl LatencyAverage {
-    /// Takes note of one answer. One stray answer is clipped, so that it takes many slow ones to
-    /// make a slow server.
+    /// Records the latency of one answer. Outliers are clipped, so that only many slow answers make
+    /// a slow server.
     pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         if self.count == 0 {
@@ -27,17 +27,17 @@
         self.count = self.count.saturating_add(1);
     }
 
-    /// Half of the answers seen so far no longer count towards [`LatencyAverage::count`].
+    /// Halves the number of answers that count towards [`LatencyAverage::count`].
     pub fn decay(&mut self) {
         self.count -= self.count / 2;
     }
 
-    /// Recent answers.
+    /// Returns the number of recent answers.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Their typical time.
+    /// Returns the average latency, if there are recent answers.
     pub fn average(&self) -> Option<Duration> {
         (self.count > 0).then(|| Duration::from_secs_f64(self.average))
     }
--- a/crates/core/src/hedge.rs
+++ b/crates/core/src/hedge.rs
@@ -1,25 +1,25 @@
-//! When a second copy of a slow read is sent to another server.
+//! Hedged requests: when a second copy of a slow read is sent to another server.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::retry::budget::Budget;
 
-/// Share of answers that should come before a copy is sent.
+/// Fraction of answers that should arrive before a copy is sent.
 const QUANTILE: f64 = 0.95;
-/// Answers that are looked at.
+/// Number of recent answers that the estimate uses.
 const WINDOW_ANSWERS: usize = 128;
-/// Answers between two looks.
+/// Number of answers between two updates of the estimate.
 const UPDATE_INTERVAL_ANSWERS: u32 = 16;
-/// Answers before the estimate is acted on.
+/// Number of answers before the estimate is used.
 const MIN_ANSWERS: u32 = 50;
-/// No copy is sent earlier than this.
+/// Shortest wait before a copy is sent.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// The wait before a copy of a read is sent, learnt from the answers of its class.
 ///
-/// It is the 95th percentile of the last answers. Tracked by small steps instead, one slow answer at
-/// the start kept the estimate high for hundreds of requests.
+/// It is the 95th percentile of the recent answers. An estimate that was tracked in small steps
+/// stayed high for hundreds of requests after one slow answer at the start.
 ///
 /// ```
 /// use std::time::Duration;
@@ -42,7 +42,7 @@
 }
 
 impl Hedge {
-    /// A first copy was answered after `took`.
+    /// Records the latency of a first copy.
     pub fn record(&mut self, took: Duration) {
         self.seen = self.seen.saturating_add(1);
         self.window.push_back(took);
@@ -54,13 +54,13 @@
         }
     }
 
-    /// After which wait a copy should be sent: the rule's, or the learnt one where that is
-    /// longer; nothing before enough was learnt.
+    /// Returns the wait before a copy is sent: the longer of the rule's and the learnt one. Returns
+    /// `None` until enough answers were recorded.
     pub fn wait(&self, rule: Duration) -> Option<Duration> {
         (self.seen >= MIN_ANSWERS).then(|| self.estimate.max(rule).max(MIN_WAIT))
     }
 
-    /// Whether the copy may be sent now; it is paid for from `budget`.
+    /// Returns whether the copy may be sent now. If so, it takes a token from `budget`.
     #[must_use]
     pub fn send(&self, budget: &mut Budget) -> bool {
         self.seen >= MIN_ANSWERS && budget.take()
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,11 +1,11 @@
-//! What must always hold, asserted wherever the program can see it.
+//! Invariants of the program, checked at run time.
 //!
-//! A check is always on. A violation is counted, and it panics in builds with debug assertions,
-//! so that no test can pass over one.
+//! The checks are always enabled. A violation is counted, and it panics in builds with debug
+//! assertions, so that no test can miss it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One thing that must always hold.
+/// One invariant. Its text is the label of its counter in the metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, displaydoc::Display)]
 pub enum Invariant {
     /// read_your_writes
@@ -49,10 +49,10 @@
 static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] =
     [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
-/// Checks that `invariant` holds; `detail` is made only when it does not.
+/// Checks that `invariant` holds. `detail` is called only if it does not.
 ///
 /// # Panics
-/// In builds with debug assertions, when it does not hold.
+/// Panics in builds with debug assertions if the invariant does not hold.
 ///
 /// ```
 /// use flamingopost_core::invariant::{self, Invariant};
@@ -70,7 +70,7 @@
     }
 }
 
-/// How often `invariant` was found not to hold since the process started.
+/// Returns the number of violations of `invariant` since the process started.
 pub fn violations(invariant: Invariant) -> u64 {
     VIOLATIONS[invariant as usize].load(Ordering::Relaxed)
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of flamingopost, a database proxy that gives session consistency.
+//! The decision logic of flamingopost, a database proxy with session consistency.
 //!
-//! Nothing here does input or output: each state machine takes an event and the time and returns
-//! what to do next. Daemons carry the events in and the effects out, so the same code can be
-//! embedded elsewhere and driven by randomised runs with a clock set by hand.
+//! This crate performs no input or output. Each state machine takes an event and the current time
+//! and returns what to do next. The daemons deliver events and carry out effects, so the same code
+//! can be embedded elsewhere and tested by randomised runs with a manual clock.
 
 pub mod admission;
 pub mod adoption;
--- a/crates/core/src/rate.rs
+++ b/crates/core/src/rate.rs
@@ -1,14 +1,14 @@
-//! How often requests pass a rule on one entry host.
+//! Rate limit of a rule on one entry host.
 
 use std::time::Duration;
 
-/// Part of a second whose requests may come at once.
+/// Size of a burst, as the time in seconds that the rate needs for it.
 const BURST_SECONDS: f64 = 0.1;
 
-/// Longest time that a caller is told to stay away.
+/// Longest retry time that is given to a caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3600);
 
-/// A token bucket: so many requests a second, with a short burst.
+/// A token bucket that admits a number of requests per second, with a short burst.
 ///
 /// ```
 /// use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 impl Rate {
-    /// A bucket that lets `per_second` requests through, full at `now`.
+    /// Returns a bucket that admits `per_second` requests per second and is full at `now`.
     pub fn new(per_second: u32, now: Duration) -> Rate {
         let mut rate = Rate {
             per_second: f64::from(per_second),
@@ -37,10 +37,11 @@
         rate
     }
 
-    /// Lets one request through.
+    /// Admits one request.
     ///
     /// # Errors
-    /// The time after which the next one passes, an hour at most: a rule may allow none.
+    /// Returns the time after which the next request is admitted. It is at most an hour, because a
+    /// rule may allow no requests at all.
     pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + passed * self.per_second).min(self.burst());
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request is not answered, and whether it ran.
+//! Refusals: why a request is not answered, and whether it ran.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
     No,
     /// It may have run, or may still be running.
     Unknown,
-    /// It ran, and its effect is kept.
+    /// It ran, and its effect is permanent.
     Yes,
 }
 
-/// How far a refusal reaches, in PostgreSQL's words.
+/// The severity of a refusal, as PostgreSQL defines it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Severity {
-    /// The statement fails; the connection goes on.
+    /// The statement fails, and the connection stays open.
     Error,
     /// The connection ends.
     Fatal,
 }
 
 impl Severity {
-    /// The text of the `S` and `V` fields of an ErrorResponse.
+    /// Returns the text of the `S` and `V` fields of an ErrorResponse.
     pub fn text(self) -> &'static str {
         match self {
             Severity::Error => "ERROR",
@@ -50,9 +50,9 @@
     ReplicaUnconfirmed,
 }
 
-/// The closed set of refusals that callers can see.
+/// Every refusal that callers can receive.
 ///
-/// A refusal is given the moment it is decided; where coming back can help it says when.
+/// A refusal is sent as soon as it is decided. If a retry can help, it says when.
 ///
 /// ```
 /// use std::time::Duration;
@@ -67,9 +67,9 @@
 pub enum Refusal {
     /// not run: it would take about {needed:?} and its deadline leaves {left:?}
     DeadlineTooShort {
-        /// Time it was expected to take, its wait included.
+        /// Expected time until its answer, including its wait.
         needed: Duration,
-        /// Time its deadline left.
+        /// Time left until its deadline.
         left: Duration,
         /// When the queue should have drained.
         retry_after: Duration,
@@ -83,7 +83,7 @@
     RateLimited {
         /// The rule.
         rule: String,
-        /// When it lets the next request through.
+        /// Time until it admits the next request.
         retry_after: Duration,
     },
     /// not run: rule `{rule}` refuses it: {reason}
@@ -95,15 +95,15 @@
     },
     /// not run: the service has no primary at the moment
     NoPrimary {
-        /// When one is expected.
+        /// Time until a primary is expected.
         retry_after: Duration,
     },
     /// not run: no server that can be reached has data young enough
     DataTooOld {
-        /// Age of the youngest data that can be reached; absent when none is proven.
+        /// Age of the newest data on a reachable server; absent if no age is proven.
         age: Option<Duration>,
-        /// The greatest age that the request accepts; absent when it asks for data that are
-        /// current at its session's start.
+        /// Greatest age that the request accepts; absent if it needs data that were current at the
+        /// start of its session.
         limit: Option<Duration>,
         /// When to ask again.
         retry_after: Duration,
@@ -154,7 +154,7 @@
     },
     /// not run: a message of {size} bytes passes the limit of {limit}
     MessageTooLarge {
-        /// Its size.
+        /// The size of the message.
         size: usize,
         /// The limit.
         limit: usize,
@@ -191,8 +191,9 @@
 }
 
 impl Refusal {
-    /// Its SQLSTATE. `PF0..` never ran, `PF1..` may have run, `PF2..` ran; what ends a
-    /// connection at its start uses PostgreSQL's own codes, which clients know.
+    /// Returns the SQLSTATE: `PF0..` if the request never ran, `PF1..` if it may have run, `PF2..` if
+    /// it ran. Refusals that end a connection at its start use PostgreSQL's own codes, which clients
+    /// know.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             Refusal::DeadlineTooShort { .. } => "PF001",
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Whether the request ran.
+    /// Returns whether the request ran.
     pub fn ran(&self) -> Ran {
         match self {
             Refusal::OutcomeUnknown { .. } => Ran::Unknown,
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Whether the connection ends with it.
+    /// Returns whether the refusal ends the connection.
     pub fn severity(&self) -> Severity {
         match self {
             Refusal::HostStopping
@@ -241,7 +242,7 @@
         }
     }
 
-    /// When to come back, where coming back can help.
+    /// Returns the time after which to retry, if a retry can help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Refusal::DeadlineTooShort { retry_after, .. }
@@ -258,8 +259,8 @@
         }
     }
 
-    /// The DETAIL field, which programs read: `ran=no|unknown|yes`, then `retry_after_ms=N`
-    /// where coming back can help.
+    /// Returns the DETAIL field for programs: `ran=no|unknown|yes`, then `retry_after_ms=N` if a
+    /// retry can help.
     pub fn detail(&self) -> String {
         let ran = match self.ran() {
             Ran::No => "no",
@@ -272,7 +273,7 @@
         }
     }
 
-    /// The HINT field, for people.
+    /// Returns the HINT field for people.
     pub fn hint(&self) -> String {
         match self {
             Refusal::PositionLost { .. } => {
@@ -300,7 +301,7 @@
     }
 }
 
-/// Milliseconds rounded up, so that nobody is told to come back too early.
+/// Returns `wait` in milliseconds, rounded up so that no caller retries too early.
 fn millis_up(wait: Duration) -> u128 {
     wait.as_micros().div_ceil(1000)
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request that failed is tried again.
+//! Decides whether a failed request is retried.
 
 pub mod budget;
 
@@ -7,53 +7,54 @@
 use crate::refusal::Ran;
 use budget::Budget;
 
-/// First wait before a request is tried again on a server that may be better by then.
+/// Base of the backoff before a retry when all servers are in the same state.
 const MIN_BACKOFF: Duration = Duration::from_millis(5);
-/// Longest such wait.
+/// Longest backoff before a retry.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// How an attempt failed, sorted by what can help.
+/// How an attempt failed, by what may help.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// This server could not take it: refused, unreachable, or no longer primary.
+    /// This server could not take the request: it refused, was unreachable, or is no longer the
+    /// primary. Another server may take it.
     ThisServer,
-    /// No server can take it just now.
+    /// No server can take the request now. It may succeed later.
     AllServers,
-    /// It is wrong in itself: every attempt fails the same way.
+    /// The request itself is wrong: every attempt fails in the same way.
     Permanent,
 }
 
 /// One attempt that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt {
-    /// Attempts made so far, this one included.
+    /// Number of attempts made so far, including this one.
     pub count: u8,
     /// How it failed.
     pub failure: Failure,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// Whether the request may run more than once.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub repeatable: bool,
-    /// Retries that the rule allows.
+    /// Number of retries that the rule allows.
     pub retries: u8,
-    /// When the request has to be answered.
+    /// Time by which the request has to be answered.
     pub deadline: Duration,
-    /// What one more attempt should take.
+    /// Expected latency of one more attempt.
     pub expected: Duration,
-    /// Random bits, for the wait.
+    /// Random bits for the jitter of the backoff.
     pub random_bits: u64,
 }
 
 /// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again after this wait.
+    /// Retry after this backoff.
     Retry(Duration),
-    /// Tell the caller, now.
+    /// Report the failure to the caller now.
     GiveUp,
 }
 
-/// Decides about one failed attempt; a retry is paid for from `budget`.
+/// Returns what to do after a failed attempt. A retry takes a token from `budget`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -96,8 +97,10 @@
     RetryDecision::Retry(wait)
 }
 
-/// Another server is tried at once. Where all are in the same state, the wait doubles and is
-/// spread over its upper half, so that hosts do not come back in step.
+/// Returns the backoff before the next attempt.
+///
+/// Another server is tried at once. If all servers are in the same state, the backoff doubles with
+/// each attempt and is jittered over its upper half, so that hosts do not retry in step.
 fn backoff(attempt: &Attempt) -> Duration {
     match attempt.failure {
         Failure::ThisServer if attempt.count == 1 => Duration::ZERO,
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -1,15 +1,17 @@
-//! How many extra attempts a host may make.
+//! Retry budget: how many extra attempts a host may make.
 
-/// Retries as a share of requests.
+/// Retries as a fraction of requests.
 const RETRY_SHARE: f64 = 0.1;
-/// Hedges as a share of requests.
+/// Hedged requests as a fraction of requests.
 const HEDGE_SHARE: f64 = 0.05;
-/// Most tokens that are saved up: a burst after a quiet time stays small.
+/// Greatest number of tokens in a budget. It keeps the burst after a quiet time small.
 const MAX_TOKENS: f64 = 10.0;
 
-/// A token bucket that first attempts fill and extra attempts empty. Extra attempts stay a fixed
-/// share of the requests, so a fault that fails everything adds that share to the load and no
-/// more; without it, retries multiply the load just when there is least to spare.
+/// A token bucket that first attempts fill and extra attempts drain.
+///
+/// Extra attempts stay a fixed fraction of the requests, so a fault that fails every request adds
+/// only that fraction to the load. Without a budget, retries multiply the load when the servers have
+/// the least capacity to spare.
 ///
 /// ```
 /// use flamingopost_core::retry::budget::Budget;
@@ -27,30 +29,30 @@
 }
 
 impl Budget {
-    /// A budget of retries.
+    /// Returns a full budget for retries.
     pub fn retries() -> Budget {
         Budget::of(RETRY_SHARE)
     }
 
-    /// A budget of hedges.
+    /// Returns a full budget for hedged requests.
     pub fn hedges() -> Budget {
         Budget::of(HEDGE_SHARE)
     }
 
-    /// A first attempt is made.
+    /// Records a first attempt, which adds a fraction of a token.
     pub fn record_request(&mut self) {
         self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
-    /// Whether no extra attempt can be paid for now.
+    /// Returns whether the budget allows no extra attempt now.
     pub fn is_exhausted(&self) -> bool {
         self.tokens < 1.0 - 1e-9
     }
 
-    /// Pays for one extra attempt. `false`: it must not be made.
+    /// Takes a token for one extra attempt. Returns `false` if the attempt must not be made.
     #[must_use]
     pub fn take(&mut self) -> bool {
-        // Ten fills of a tenth add up to slightly less than one.
+        // Ten additions of a tenth sum up to slightly less than one.
         let enough = self.tokens > 1.0 - 1e-9;
         if enough {
             self.tokens -= 1.0;
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,4 +1,4 @@
-//! Which backend server answers a request.
+//! Routing: which backend server answers a request.
 
 pub mod primary_positions;
 pub mod server;
@@ -18,59 +18,59 @@
 use primary_positions::PrimaryPositions;
 use server::{Server, ServerSettings, Status};
 
-/// A server that is leaving may finish what runs; statements of transactions that are open may
-/// go on, but nothing begins on it this long after this host learnt that it leaves.
+/// Time after which nothing new may start on a leaving server, counted from the moment at which this
+/// host learnt that it is leaving. Running requests and open transactions may go on.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
-/// When to ask again while no primary is known: the usual time of a promotion.
+/// Retry time of a refusal while no primary is known: the usual duration of a promotion.
 const PROMOTION_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// When to ask again for a position or an age: a few probes later.
+/// Retry time of a refusal for a position or an age: a few probes later.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// One read in so many goes to a replica on trial.
+/// One read in this many goes to a replica on trial.
 const TRIAL_READ_INTERVAL: u64 = 16;
-/// Terms whose leases are remembered for the age of data that they wrote.
+/// Number of terms whose leases are kept, to bound the age of data written in them.
 const MAX_LEASES: usize = 8;
 
-/// Where a request goes.
+/// The destination of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
-    /// To this server.
+    /// Send it to this server.
     Go {
         /// The server.
         server: ServerKey,
-        /// What it is to the request.
+        /// The role of the server for this request.
         part: TargetRole,
     },
-    /// Nowhere yet: a replica should have the position soon. Ask again after `wait`, or when a
-    /// status arrives, whichever is first.
+    /// Wait: a replica should reach the position soon. Route again after `wait`, or when a status
+    /// arrives, whichever is first.
     Wait {
-        /// The greatest wait before asking again.
+        /// The longest wait before routing again.
         wait: Duration,
     },
-    /// Nowhere.
+    /// Refuse it.
     Refuse(Refusal),
 }
 
-/// What a chosen server is to the request.
+/// The role of the chosen server for the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetRole {
-    /// The primary of this term, under a write lease that was valid when it was chosen.
+    /// The primary of this term, whose write lease was valid when the server was chosen.
     Primary(Term),
     /// A replica.
     Replica,
 }
 
-/// One read that looks for a server.
+/// A read that has to be routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadRequest {
-    /// What the server must be.
+    /// What the server has to satisfy.
     pub need: Need,
-    /// How long the read can still wait for a replica before it takes the primary.
+    /// Longest time that the read can still wait for a replica before it goes to the primary.
     pub max_wait: Duration,
-    /// Random bits, which pick the two candidates that are compared.
+    /// Random bits that pick the two candidates to compare.
     pub random_bits: u64,
 }
 
-/// What one entry host knows of the servers of one service.
+/// The routing table of one service on one entry host.
 #[derive(Debug, Clone)]
 pub struct Table {
     zone: ZoneKey,
@@ -81,7 +81,7 @@
 }
 
 impl Table {
-    /// A host in `zone` that knows nothing yet.
+    /// Returns an empty table for a host in `zone`.
     pub fn new(zone: ZoneKey) -> Table {
         Table {
             zone,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Adopts the servers of a configuration; those gone from it receive nothing more.
+    /// Adopts the servers of a configuration. Servers that it no longer lists get no requests.
     pub fn configure(&mut self, servers: &BTreeMap<ServerKey, ServerSettings>, now: Duration) {
         self.servers.retain(|key, _| servers.contains_key(key));
         for (key, settings) in servers {
@@ -110,7 +110,7 @@
         self.mark_leaving(now);
     }
 
-    /// Adopts a controller's view of the service.
+    /// Adopts the controller's view of the service.
     pub fn adopt(&mut self, service: view::Service, now: Duration) {
         if let State::Closed { term } = service.state {
             self.end_lease(term, now);
@@ -119,7 +119,8 @@
         self.mark_leaving(now);
     }
 
-    /// The write lease of `term` runs until `until`. A lease only ever ends later, or is ended.
+    /// Extends the write lease of `term` to `until`. A lease is never shortened here, only by
+    /// [`Table::end_lease`].
     pub fn extend_lease(&mut self, term: Term, until: Duration) {
         let end = self.leases.entry(term).or_insert(until);
         *end = (*end).max(until);
@@ -128,19 +129,19 @@
         }
     }
 
-    /// The write lease of `term` was revoked at `now`.
+    /// Ends the write lease of `term`, which was revoked at `now`.
     pub fn end_lease(&mut self, term: Term, now: Duration) {
         if let Some(end) = self.leases.get_mut(&term) {
             *end = (*end).min(now);
         }
     }
 
-    /// A server told its status, in answer to something sent at `sent`.
+    /// Records a server's status, which came with the answer to a message sent at `sent`.
     ///
-    /// Probes need a connection, and when statements use all of them only statements are
-    /// answered, which tell a position and no age. So a replica also proves itself by having
-    /// reached what the primary had: whatever was acknowledged before the primary was asked is
-    /// in its answer's position.
+    /// Probes need a connection. When statements use all connections, only statements are answered,
+    /// and their answers contain a position but no age. So a replica is also proven current when it
+    /// has reached a position of the primary: the position in the primary's answer covers every
+    /// write that was acknowledged before the message to the primary was sent.
     pub fn status(&mut self, server: ServerKey, status: Status, sent: Duration, now: Duration) {
         if self.primary(now).map(|(primary, _)| primary) == Some(server) {
             self.primary_positions.record(status.position, sent);
@@ -156,21 +157,21 @@
         }
     }
 
-    /// A server could not be reached.
+    /// Records that a server could not be reached.
     pub fn unreachable(&mut self, server: ServerKey, now: Duration) {
         if let Some(server) = self.servers.get_mut(&server) {
             server.record_failure(now);
         }
     }
 
-    /// [`crate::health`] found that `server` should get this much work.
+    /// Sets the health state of `server`, as evaluated by [`crate::health`].
     pub fn set_health(&mut self, server: ServerKey, health: HealthState) {
         if let Some(server) = self.servers.get_mut(&server) {
             server.health = health;
         }
     }
 
-    /// A request starts on `server`.
+    /// Records that a request starts on `server`.
     pub fn started(&mut self, server: ServerKey, now: Duration) {
         let Some(server) = self.servers.get_mut(&server) else {
             return;
@@ -180,23 +181,25 @@
             .is_some_and(|since| now > since + LEAVING_GRACE);
         invariant::check(Invariant::NoNewWork, !late, || {
             format!(
-                "a server that left at {:?} gets work at {now:?}",
+                "a server that has been leaving since {:?} gets work at {now:?}",
                 server.leaving
             )
         });
         server.running += 1;
     }
 
-    /// A request ended on `server`, after `took` where it was answered.
+    /// Records that a request ended on `server`. `took` is its latency if it was answered.
     pub fn finished(&mut self, server: ServerKey, took: Option<Duration>) {
         if let Some(server) = self.servers.get_mut(&server) {
             server.finished(took);
         }
     }
 
-    /// Asserts that a read that needed `need` was answered from data at `position`, as the server
-    /// told with its answer. Between choice and answer a server's data only grow, but for what a
-    /// promotion drops, which is no part of any position that was not refused as lost.
+    /// Asserts that a read was answered from data that satisfy `need`. `position` is the position
+    /// that the server reported with its answer.
+    ///
+    /// Between routing and answer a server's position only grows, except for writes that a promotion
+    /// drops. Reads that need such writes are refused because their position is lost.
     pub fn check_read(&self, need: &Need, position: Position) {
         let holds = need
             .position()
@@ -206,17 +209,18 @@
         });
     }
 
-    /// The service's history, for positions.
+    /// Returns the service's history of terms, for comparisons of positions.
     pub fn history(&self) -> &History {
         &self.service.history
     }
 
-    /// The servers as this host knows them.
+    /// Returns the servers as this host knows them.
     pub fn servers(&self) -> &BTreeMap<ServerKey, Server> {
         &self.servers
     }
 
-    /// The primary and its term, where the service is open and this host's write lease is valid.
+    /// Returns the primary and its term, if the service is open and this host's write lease is
+    /// valid.
     pub fn primary(&self, now: Duration) -> Option<(ServerKey, Term)> {
         let State::Open { term, primary } = self.service.state else {
             return None;
@@ -225,7 +229,7 @@
         leased.then_some((primary, term))
     }
 
-    /// Where a write, or anything that must see the newest data, goes.
+    /// Routes a write, or a read that must see the newest data.
     pub fn write(&self, now: Duration) -> Route {
         let refuse = Route::Refuse(Refusal::NoPrimary {
             retry_after: PROMOTION_RETRY_AFTER,
@@ -242,8 +246,8 @@
         }
     }
 
-    /// Where a read goes: a replica in the host's zone that satisfies it, else one elsewhere,
-    /// else a short wait where one is about to, else the primary.
+    /// Routes a read: to a replica in the host's zone that satisfies it, else to a replica in another
+    /// zone, else it waits if a replica is about to satisfy it, else to the primary.
     pub fn read(&self, request: &ReadRequest, now: Duration) -> Route {
         if request.need == Need::Primary {
             return self.write(now);
@@ -266,7 +270,7 @@
         }
     }
 
-    /// A replica other than `taken` that satisfies a read now, for a second copy of it.
+    /// Returns a replica other than `taken` that satisfies a read now, for a hedged request.
     pub fn hedge_target(
         &self,
         request: &ReadRequest,
@@ -278,7 +282,7 @@
         self.pick(&candidates, request.random_bits)
     }
 
-    /// What `server` is at `now`.
+    /// Returns the role of `server` at `now`.
     fn part(&self, server: ServerKey, now: Duration) -> TargetRole {
         match self.primary(now) {
             Some((primary, term)) if primary == server => TargetRole::Primary(term),
@@ -286,7 +290,7 @@
         }
     }
 
-    /// Servers other than the leased primary that satisfy `need`.
+    /// Returns the servers that satisfy `need`, without the leased primary.
     fn candidates(&self, need: &Need, now: Duration) -> Vec<ServerKey> {
         let primary = self.primary(now).map(|(server, _)| server);
         self.servers
@@ -314,24 +318,30 @@
         reached && young
     }
 
-    /// Whether data at `position` are part of the service's log. A primary that was replaced may
-    /// hold writes that no later term has; nothing is read from it until it follows again.
+    /// Returns whether data at `position` are part of the service's log.
+    ///
+    /// A replaced primary may have writes that no later term contains. Nothing is read from it until
+    /// it follows the new primary.
     fn is_in_log(&self, position: Position) -> bool {
         !matches!(self.service.history.judge(position), Verdict::Lost { .. })
     }
 
-    /// The moment at which the data of `server` were last proven current. A server's own proof
-    /// only says that it had everything of the primary it follows; that primary was the only one
-    /// for as long as a write lease of its term was valid, so the proof counts no further.
+    /// Returns the latest time at which the data of `server` are proven to have been current.
+    ///
+    /// A server's own proof only shows that it had all data of the primary that it follows. That
+    /// primary was the only one while a write lease of its term was valid, so the proof counts until
+    /// the end of that lease at most.
     fn proven_at(&self, server: &Server) -> Option<Duration> {
         let proof = server.proof()?;
         let lease = self.leases.get(&proof.term)?;
         Some(proof.at.min(*lease))
     }
 
-    /// Among those in good standing, the cheaper of two picked at random, where another zone
-    /// costs its distance. One on trial gets a trickle, and one set aside is used when there is
-    /// nothing else.
+    /// Picks one of the candidates.
+    ///
+    /// It is the cheaper of two random ones in full health (power of two choices), where a server in
+    /// another zone costs its distance in addition. A replica on trial gets one read in
+    /// [`TRIAL_READ_INTERVAL`], and one that was set aside is used only if there is no other.
     fn pick(&self, candidates: &[ServerKey], random_bits: u64) -> Option<ServerKey> {
         let trial = self.in_health_state(candidates, HealthState::Trial);
         if let Some(server) = trial.first()
@@ -388,10 +398,10 @@
         distance + server.expected_latency()
     }
 
-    /// The shortest time after which a replica should satisfy `need`, where one should.
+    /// Returns the shortest time after which a replica should satisfy `need`, if one should.
     fn catch_up_wait(&self, need: &Need, now: Duration) -> Option<Duration> {
         let wanted = need.position()?;
-        // The leased primary has the position already; waiting for it would never end.
+        // The leased primary already has the position, so there is no catch-up to wait for.
         let primary = self.primary(now).map(|(server, _)| server);
         self.servers
             .iter()
@@ -452,7 +462,8 @@
             .any(|server| self.satisfies(server, &need, now))
     }
 
-    /// The leaving mark counts from when this host first learnt of it.
+    /// Updates since when each server is leaving, counted from the time at which this host first
+    /// learnt of it.
     fn mark_leaving(&mut self, now: Duration) {
         for (key, server) in &mut self.servers {
             let leaving = server.settings.leaving || self.service.leaving.contains(key);
--- a/crates/core/src/route/primary_positions.rs
+++ b/crates/core/src/route/primary_positions.rs
@@ -1,4 +1,4 @@
-//! What the primary had, and when.
+//! Recent positions of the primary, with the times at which they were requested.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,26 +7,27 @@
 use crate::history::History;
 use crate::position::Position;
 
-/// Entries that are kept: more than three seconds of lag at the least spacing.
+/// Number of entries that are kept. At the shortest spacing they cover more than three seconds of
+/// lag.
 const MAX_ENTRIES: usize = 64;
-/// Least time between two entries.
+/// Shortest time between two entries.
 const MIN_SPACING: Duration = Duration::from_millis(50);
 
-/// A position of the primary and the moment at which it was asked.
+/// A position of the primary and the time at which the request was sent that it answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PrimaryPosition {
     position: Position,
     asked_at: Duration,
 }
 
-/// Recent positions of the primary, seen under a write lease that was valid when its answer came.
+/// Recent positions of the primary, each received while its write lease was valid.
 #[derive(Debug, Clone, Default)]
 pub struct PrimaryPositions {
     entries: VecDeque<PrimaryPosition>,
 }
 
 impl PrimaryPositions {
-    /// The primary answered with `position` to something sent at `asked`.
+    /// Records the `position` with which the primary answered a message sent at `asked_at`.
     pub fn record(&mut self, position: Position, asked_at: Duration) {
         if let Some(last) = self.entries.back()
             && asked_at < last.asked_at + MIN_SPACING
@@ -40,8 +41,8 @@
         }
     }
 
-    /// The latest moment for which data at `position` are proven to hold all that was
-    /// acknowledged before it.
+    /// Returns the latest time for which data at `position` are proven to contain every write that
+    /// was acknowledged before that time.
     pub fn reached(&self, position: Position, history: &History) -> Option<Proof> {
         let reached = |entry: &&PrimaryPosition| history.covers(position, entry.position);
         let entry = self.entries.iter().rev().find(reached)?;
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -7,64 +7,64 @@
 use crate::position::Position;
 use crate::term::Term;
 
-/// After a failure a server is left alone this long, unless it answers.
+/// Time for which a server gets no requests after a failure, unless it answers earlier.
 const RETRY_AFTER_FAILURE: Duration = Duration::from_millis(500);
-/// Part of a new observation in a moving average.
+/// Weight of a new observation in a moving average.
 const SMOOTHING: f64 = 0.1;
-/// What a statement is taken to need before the first was measured.
+/// Assumed latency of a statement before the first measurement.
 const INITIAL_LATENCY: Duration = Duration::from_millis(2);
-/// A gap that should close later than this is not waited for.
+/// Longest expected catch-up of a replica that a read waits for.
 const MAX_CATCH_UP_WAIT: Duration = Duration::from_secs(1);
 
-/// What the configuration says of a server.
+/// The configured properties of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerSettings {
     /// Its availability zone.
     pub zone: ZoneKey,
-    /// Statements it runs at once.
+    /// Number of statements that it runs at once.
     pub slots: u16,
-    /// Round trip to it from this host beyond that to a server in the same zone.
+    /// Round-trip time to it in excess of that to a server in this host's zone.
     pub distance: Duration,
-    /// Whether operators want it emptied.
+    /// Whether operators want it drained.
     pub leaving: bool,
 }
 
-/// What a server tells of itself.
+/// The status that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
-    /// How far its data reach.
+    /// Its replication position.
     pub position: Position,
-    /// Its proof of being current; absent when the answer does not tell, as with the position
-    /// that comes with a statement's answer.
+    /// How current its data are. Absent if the answer does not contain it, like the answer to a
+    /// statement, which contains only a position.
     pub fresh: Option<Freshness>,
 }
 
-/// A server's own word on how current its data are.
+/// A server's report of how current its data are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Freshness {
     /// The term that it leads or follows.
     pub term: Term,
-    /// How old its data may be against the primary of that term; zero on the primary itself.
+    /// Greatest age of its data relative to the primary of that term; zero on the primary itself.
     pub age: Duration,
 }
 
-/// The moment at which data were last known to be all that the primary of a term had.
+/// The time at which a server last provably had all data of the primary of a term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
     /// The term.
     pub term: Term,
-    /// The moment, on this host's clock.
+    /// The time, on this host's clock.
     pub at: Duration,
 }
 
 /// One backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Server {
-    /// What the configuration says of it.
+    /// Its configured properties.
     pub settings: ServerSettings,
-    /// Since when this host knows that it is leaving.
+    /// The time at which this host learnt that it is leaving.
     pub leaving: Option<Duration>,
-    /// Requests of this host that run on it.
+    /// Number of requests of this host that run on it.
     pub running: u32,
     pub(super) health: HealthState,
     position: Option<Position>,
@@ -77,7 +77,7 @@
 }
 
 impl Server {
-    /// A server of which nothing was heard yet.
+    /// Returns a server that has not reported a status yet.
     pub fn new(settings: ServerSettings) -> Server {
         Server {
             settings,
@@ -94,30 +94,31 @@
         }
     }
 
-    /// How far its data reach, as last heard.
+    /// Returns the replication position that it last reported.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
-    /// The server's last proof that its data were current.
+    /// Returns the last proof that its data were current.
     pub fn proof(&self) -> Option<Proof> {
         self.proof
     }
 
-    /// How much work it gets.
+    /// Returns its health state, which decides how much work it gets.
     pub fn health(&self) -> HealthState {
         self.health
     }
 
-    /// What a statement on it takes, queueing there included; a moving average.
+    /// Returns the moving average of the latency of its statements, queueing there included.
     pub fn average_latency(&self) -> Duration {
         self.average_latency.unwrap_or(INITIAL_LATENCY)
     }
 
-    /// Answers can overtake each other, so an answer to an older question changes nothing: after
-    /// a server has dropped the tail of an old term, its earlier position is no longer true.
-    /// The age was measured after `sent`, so what was `age` old then was current no earlier than
-    /// `sent - age`.
+    /// Records a status that answers a message sent at `sent`.
+    ///
+    /// Answers can overtake each other, so a status that answers an older message is ignored: after
+    /// a server has dropped the tail of an old term, its earlier position is no longer valid. The
+    /// age was measured after `sent`, so the data were current no earlier than `sent - age`.
     pub(super) fn record_status(&mut self, status: Status, sent: Duration, now: Duration) {
         self.failed_at = None;
         if sent < self.status_sent_at {
@@ -136,7 +137,7 @@
         self.position = Some(status.position);
     }
 
-    /// Takes a proof, unless there is a newer one of the same term.
+    /// Records a proof, unless a newer one is known.
     pub(super) fn record_proof(&mut self, proof: Proof) {
         let newer = self
             .proof
@@ -163,21 +164,24 @@
             .is_none_or(|at| now >= at + RETRY_AFTER_FAILURE)
     }
 
-    /// A primary that leaves goes on taking writes for a grace period, so that the controller
-    /// can move the term without a gap; then it takes nothing.
+    /// Returns whether new requests may start on the server.
+    ///
+    /// A leaving primary still takes writes for a grace period, so that the controller can promote
+    /// another server without a gap. After it, the server takes no new requests.
     pub(super) fn takes_work(&self, now: Duration) -> bool {
         self.leaving
             .is_none_or(|since| now <= since + super::LEAVING_GRACE)
     }
 
-    /// When a request sent now should be answered.
+    /// Returns the expected latency of a request that is sent now.
     pub(super) fn expected_latency(&self) -> Duration {
         let slots = f64::from(self.settings.slots.max(1));
         let rounds = (f64::from(self.running) + 1.0) / slots;
         self.average_latency().mul_f64(rounds.max(1.0))
     }
 
-    /// The time after which its data should reach `wanted`, from the pace of its log.
+    /// Returns the time after which the server should reach `wanted`, estimated from the growth rate
+    /// of its log.
     pub(super) fn time_to_reach(&self, wanted: Position, now: Duration) -> Option<Duration> {
         let (at, position) = self.last_sample?;
         if position.term != wanted.term {
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Whether one of the platform's feeds still brings what others have got already.
+//! Detection of a stuck feed.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
     Duration::from_millis(millis)
 }
 
-/// Sixty-five hosts asked the store anew every five seconds, each for itself, to notice a feed
-/// that brings nothing any more. Told by others how far they are, a host notices within a second
-/// of them, however long its own call waits.
+/// Sixty-five hosts each repeated their call to the store every five seconds, to detect a feed that
+/// no longer delivers changes. With the reports of other hosts, a host detects it within a second of
+/// them, however long its own call waits.
 #[test]
 fn a_feed_behind_its_peers_becomes_stuck() {
     let mut feed = Feed::default();
     feed.read(10, Some(10));
     feed.record_peer_read(12, at(1_000));
-    assert!(!feed.is_stuck(at(1_399)), "it may be on its way");
+    assert!(!feed.is_stuck(at(1_399)), "the change may still arrive");
     assert!(feed.is_stuck(at(1_400)));
 }
 
-/// Versions count all tables together. A host that has read up to version 20, where the last
-/// change of this table was number 12, lacks nothing that others have read in this table.
+/// Versions count the changes of all tables together. A host that has read up to version 20, with 12
+/// as the last change of this table, has read every change of it that other hosts have.
 #[test]
 fn changes_of_other_tables_do_not_count() {
     let mut feed = Feed::default();
@@ -31,12 +31,12 @@
     assert_eq!(
         feed.newest(),
         12,
-        "others are not told of more than there is"
+        "the last change of the table is reported, not the version"
     );
 }
 
-/// The store turns one host away while others read changes from it. The host goes on asking, at
-/// longer and longer intervals, and stops as soon as it has caught up.
+/// The store refuses one host while others read changes from it. The host retries at growing
+/// intervals, and stops as soon as it has caught up.
 #[test]
 fn a_host_refused_by_the_store_retries_with_backoff() {
     let mut feed = Feed::default();
@@ -58,6 +58,6 @@
     feed.record_peer_read(41, at(30_000));
     assert!(
         feed.is_stuck(at(30_000) + STUCK_AFTER),
-        "patience starts anew"
+        "the backoff starts over"
     );
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -1,4 +1,4 @@
-//! Replicas set aside by their own latency against their peers.
+//! Detection of replicas that are slow compared with their peers.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
     (0..40).for_each(|_| replicas.record(server, took));
 }
 
-/// Lot views hang now and then: one of two replicas has a bad disk and takes twenty times as long.
+/// Lot views are slow now and then: one of two replicas has a bad disk and takes twenty times as
+/// long.
 #[test]
 fn a_slow_replica_is_set_aside_and_returns_after_a_trial() {
     let [slow, fast] = servers();
@@ -61,8 +62,8 @@
     assert!(gaps.is_sorted_by(|a, b| *b >= *a + ms(900)), "{gaps:?}");
 }
 
-/// The load doubles and all replicas become slow together. None of them is the cause, and one
-/// less would make it worse.
+/// The load doubles and all replicas become slow together. None of them is the cause, and setting
+/// one aside would make it worse.
 #[test]
 fn no_replica_is_set_aside_when_all_are_slow() {
     let [one, two, three] = servers();
@@ -73,8 +74,8 @@
     assert_eq!(replicas.evaluate(0.5, ms(0)), []);
 }
 
-/// One replica is slow, but its peers are already busy: with its work added they would be the
-/// next slow ones, and the next to be set aside, until none is left.
+/// One replica is slow, but its peers are already busy. With its work added they would become slow
+/// and be set aside in turn, until none is left.
 #[test]
 fn no_replica_is_set_aside_when_the_others_lack_capacity() {
     let [slow, fast] = servers();
--- a/crates/core/tests/refusal.rs
+++ b/crates/core/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals and their page.
+//! Refusals and the page that documents them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     "x".to_owned()
 }
 
-/// One of each, and its name in the page. A variant that is added makes `name` fail to compile.
+/// Returns one refusal of each variant. A new variant makes `name` fail to compile.
 fn all() -> Vec<Refusal> {
     let retry_after = SOON;
     let position = Position::default();
@@ -101,7 +101,7 @@
     }
 }
 
-/// The row of the page that a refusal should have, without its last column.
+/// Returns the expected row of a refusal in the page, without its last column.
 fn row(refusal: &Refusal) -> String {
     let severity = match refusal.severity() {
         Severity::Error => "ERROR",
@@ -145,8 +145,8 @@
     assert_eq!(names.len(), all().len());
 }
 
-/// A caller's program decides by the first characters whether it may repeat a request; a class
-/// that does not fit would make it double a bid.
+/// A caller's program decides by the first characters whether it may repeat a request. With a wrong
+/// class it could place a bid twice.
 #[test]
 fn the_sqlstate_shows_whether_the_request_ran() {
     for refusal in all() {
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries, hedges and rates.
+//! Retries, hedged requests and rate limits.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     assert_eq!(decide(FIRST), RetryDecision::Retry(Duration::ZERO));
 }
 
-/// The connection broke after a bid was sent. A retry could place it twice.
+/// The connection broke after a bid was sent. A retry could place the bid twice.
 #[test]
 fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
     let unknown = Attempt {
@@ -72,8 +72,8 @@
     assert_eq!(decide(late), RetryDecision::GiveUp);
 }
 
-/// During a promotion every host's writes fail in the same instant. If all came back in step they
-/// would hit the new primary as one.
+/// During a promotion the writes of all hosts fail at the same time. Without jitter all retries would
+/// reach the new primary at once.
 #[test]
 fn backoff_is_jittered() {
     let wait = |random_bits| match decide(Attempt {
@@ -88,8 +88,8 @@
     assert!(wait(1023) > ms(9) && wait(1023) < ms(10));
 }
 
-/// The primary is gone and every request fails. With three retries each, four times the load
-/// would reach the next one; the budget keeps it at a tenth more.
+/// The primary is gone and every request fails. With three retries each, the next primary would get
+/// four times the load. The budget limits it to a tenth more.
 #[test]
 fn retries_stay_a_tenth_of_the_requests_when_everything_fails() {
     let mut budget = Budget::retries();
@@ -110,18 +110,22 @@
 #[test]
 fn a_hedge_waits_for_the_95th_percentile() {
     let mut hedge = Hedge::default();
-    assert_eq!(hedge.wait(ms(1)), None, "nothing was learnt yet");
+    assert_eq!(hedge.wait(ms(1)), None, "no answer was recorded yet");
     for count in 0..4000u64 {
         let slow = count % 10 == 0;
         hedge.record(if slow { ms(60) } else { ms(4) });
     }
     let wait = hedge.wait(ms(1)).unwrap();
     assert_eq!(wait, ms(60));
-    assert_eq!(hedge.wait(ms(90)), Some(ms(90)), "the rule's is the least");
+    assert_eq!(
+        hedge.wait(ms(90)),
+        Some(ms(90)),
+        "the rule's wait is the minimum"
+    );
 }
 
-/// The first answers of a service come with new connections and are slow. They must not keep hedges
-/// away for long.
+/// The first answers of a service arrive on new connections and are slow. They must not delay hedges
+/// for long.
 #[test]
 fn slow_initial_answers_are_forgotten() {
     let mut hedge = Hedge::default();
@@ -130,8 +134,8 @@
     assert_eq!(hedge.wait(ms(1)), Some(ms(4)));
 }
 
-/// All replicas become slow at once, so every read would send its copy: twice the load on
-/// servers that are already late.
+/// All replicas become slow at once, so every read would send a copy, which doubles the load on slow
+/// servers.
 #[test]
 fn hedges_stay_a_twentieth_of_the_requests_when_everything_is_slow() {
     let mut hedge = Hedge::default();
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which server answers.
+//! Routing of requests to servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     Duration::from_millis(millis)
 }
 
-/// Three servers in three zones; the host is in the zone of `near`, the primary is `primary`.
+/// Three servers in three zones. The host is in the zone of `near`.
 struct Scene {
     table: Table,
     settings: BTreeMap<ServerKey, ServerSettings>,
@@ -160,9 +160,8 @@
     assert_eq!(scene.read(after(100)), replica(scene.far));
 }
 
-/// A caller asks for data at most 500 ms old. The zone is cut off: the replica goes on answering
-/// probes, but says how long it has not heard from its primary. What became too old is refused,
-/// the rest is served.
+/// A zone is cut off. Its replica still answers probes and reports for how long it has received
+/// nothing from its primary. Reads with an age limit below that are refused, others are served.
 #[test]
 fn a_partitioned_zone_refuses_only_reads_that_need_newer_data() {
     let mut scene = Scene::new();
@@ -180,8 +179,8 @@
     assert_eq!(scene.read_at(after(100), now), replica(scene.near));
 }
 
-/// The host's lease has run out, so another primary may lead by now. The old one still answers
-/// and believes that its data are current; their age counts from the end of the lease.
+/// The host's lease has ended, so there may be another primary by now. The old primary still answers
+/// and reports that its data are current. Their age counts from the end of the lease.
 #[test]
 fn a_primary_without_a_lease_ages_like_a_replica() {
     let mut scene = Scene::new();
@@ -213,8 +212,8 @@
     assert_eq!(scene.read_at(need, later), replica(scene.near));
 }
 
-/// A primary that was replaced holds writes that no later term has. Nobody may read them from it,
-/// whatever its position says.
+/// A replaced primary has writes that no later term contains. They must not be read, whatever
+/// position it reports.
 #[test]
 fn no_read_goes_to_a_divergent_log() {
     let mut scene = Scene::new();
@@ -233,8 +232,8 @@
     assert_eq!(scene.read(any), to_new);
 }
 
-/// An answer to an older probe arrives late, after the server dropped the tail of its old term:
-/// believed, it would let a read miss the session's write.
+/// The answer to an older probe arrives late, after the server has dropped the tail of its old term.
+/// If it were used, a read could miss the session's write.
 #[test]
 fn a_late_status_does_not_undo_a_newer_one() {
     let mut scene = Scene::new();
@@ -263,8 +262,8 @@
     assert_eq!(scene.read(after(100)), replica(scene.near));
 }
 
-/// An operator empties a server. Reads leave it at once; writes to a leaving primary go on only
-/// for the grace in which the controller moves the term.
+/// An operator drains a server. Reads stop at once. A leaving primary takes writes only for the grace
+/// period in which the controller promotes another server.
 #[test]
 fn a_leaving_server_gets_no_new_work() {
     let mut scene = Scene::new();
@@ -307,9 +306,9 @@
     );
 }
 
-/// Under load every connection to the replica runs statements, so no probe gets through for a
-/// while. Lot views with an age limit must not all move to the primary for it: the answers
-/// themselves show that the replica has what the primary had.
+/// Under load every connection to the replica runs statements, so no probe gets through for a while.
+/// Lot views with an age limit must not all move to the primary: the answers themselves show that
+/// the replica has reached the primary's position.
 #[test]
 fn answers_prove_a_replica_current_without_probes() {
     let mut scene = Scene::new();
@@ -328,7 +327,8 @@
     assert_eq!(scene.read_at(aged(50), later), primary(scene.primary));
 }
 
-/// The same, but the primary was asked without a lease: another one may have taken writes since.
+/// As above, but the primary answered without a valid lease: another primary may have taken writes
+/// since.
 #[test]
 fn a_primary_without_a_lease_proves_nothing() {
     let mut scene = Scene::new();
@@ -382,8 +382,8 @@
     assert!(refusal.retry_after().is_some());
 }
 
-/// A read on the cheapest replica is late, and its copy must not go to the same one: with two
-/// replicas the pick would always fall on it again.
+/// A read on the cheapest replica is late. Its hedge must not go to the same replica, which the
+/// routing would otherwise always pick again with two replicas.
 #[test]
 fn a_hedge_goes_to_another_replica() {
     let scene = Scene::new();
