--- a/crates/core/src/authority_holder.rs
+++ b/crates/core/src/authority_holder.rs
@@ -9,7 +9,7 @@
 /// The authority of a controller over its shard, and the row that it keeps.
 #[derive(Debug)]
 pub struct ShardAuthority {
-    me: HostKey,
+    own_host: HostKey,
     incarnation: u64,
     epoch: u32,
     /// The row as it ought to be; the table or the standbys follow.
@@ -17,14 +17,14 @@
     /// The table's row as last confirmed by a read or a write's answer.
     confirmed: Confirmed,
     /// Writes of unknown outcome that may yet take effect, with the standbys they name.
-    unsettled: Vec<Sent>,
-    writing: Option<Sent>,
-    read_sent: Duration,
+    unsettled: Vec<SentWrite>,
+    writing: Option<SentWrite>,
+    last_read_sent: Duration,
     standbys: BTreeMap<HostKey, Peer>,
     /// From when leases may be granted and promotions ordered.
-    settled: Duration,
+    settled_at: Duration,
     predecessor: Option<(HostKey, u64)>,
-    over: bool,
+    replaced: bool,
 }
 
 #[derive(Debug)]
@@ -32,13 +32,13 @@
     revision: u64,
     standbys: BTreeSet<HostKey>,
     /// When the last write that is known to have taken effect was sent.
-    written: Duration,
+    last_write_sent: Duration,
 }
 
 #[derive(Debug)]
-struct Sent {
+struct SentWrite {
     revision: u64,
-    over: u64,
+    replaces: u64,
     standbys: BTreeSet<HostKey>,
     sent: Duration,
 }
@@ -47,13 +47,13 @@
 struct Peer {
     incarnation: u64,
     /// When this incarnation first answered.
-    met: Option<Duration>,
+    first_answer: Option<Duration>,
     /// Whether it is known that no earlier process on the host has claimed.
-    vouched: bool,
-    asked: Option<Duration>,
+    verified: bool,
+    heartbeat_sent: Option<Duration>,
     /// When the last ask that was answered was sent.
-    answered: Option<Duration>,
-    promised: Duration,
+    last_answered: Option<Duration>,
+    promised_until: Duration,
     revision: u64,
 }
 
@@ -77,27 +77,27 @@
     ) -> ShardAuthority {
         // The old controller may have sent its last read just before the claim took effect,
         // which was no later than now. Without a predecessor there is nobody to wait for.
-        let settled = match predecessor {
+        let settled_at = match predecessor {
             Some(_) => now + timing::AUTHORITY,
             None => now,
         };
         ShardAuthority {
-            me: row.controller,
+            own_host: row.controller,
             incarnation: row.incarnation,
             epoch: row.epoch,
             confirmed: Confirmed {
                 revision: row.revision,
                 standbys: row.standbys.clone(),
-                written: sent,
+                last_write_sent: sent,
             },
             row,
             unsettled: Vec::new(),
             writing: None,
-            read_sent: sent,
+            last_read_sent: sent,
             standbys: BTreeMap::new(),
-            settled,
+            settled_at,
             predecessor,
-            over: false,
+            replaced: false,
         }
     }
 
@@ -113,26 +113,26 @@
 
     /// Whether another process is known to have replaced this one.
     pub fn is_replaced(&self) -> bool {
-        self.over
+        self.replaced
     }
 
     /// Until when the row is known to name this process.
     pub fn valid_until(&self) -> Duration {
-        if self.over {
+        if self.replaced {
             return Duration::ZERO;
         }
-        let by_read = self.read_sent + timing::less_drift(timing::AUTHORITY);
-        by_read.max(self.until_by_promises())
+        let by_read = self.last_read_sent + timing::less_drift(timing::AUTHORITY);
+        by_read.max(self.valid_until_by_promises())
     }
 
     /// From when the authority that this one replaced is over.
     pub fn settled_at(&self) -> Duration {
-        self.settled
+        self.settled_at
     }
 
     /// Whether this process may act for the shard at `now`.
     pub fn may_act(&self, now: Duration) -> bool {
-        now >= self.settled && now < self.valid_until()
+        now >= self.settled_at && now < self.valid_until()
     }
 
     /// The longest lease that may be granted at `now`: none outlives the authority behind it.
@@ -146,39 +146,39 @@
     /// Takes what a read of the table, sent at `sent`, found.
     pub fn on_row_read(&mut self, sent: Duration, row: Option<&Row>) {
         let Some(row) = row else {
-            self.over = true;
+            self.replaced = true;
             return;
         };
         let process = (row.controller, row.incarnation);
-        if row.epoch != self.epoch || process != (self.me, self.incarnation) {
+        if row.epoch != self.epoch || process != (self.own_host, self.incarnation) {
             // A read that was overtaken by this process's own claim finds an older epoch.
-            self.over |= row.epoch >= self.epoch;
+            self.replaced |= row.epoch >= self.epoch;
             return;
         }
-        self.read_sent = self.read_sent.max(sent);
+        self.last_read_sent = self.last_read_sent.max(sent);
         // The row still named this process when these had answered, so nobody had claimed.
         for peer in self.standbys.values_mut() {
-            peer.vouched |= peer.met.is_some_and(|met| met <= sent);
+            peer.verified |= peer.first_answer.is_some_and(|met| met <= sent);
         }
-        self.confirm(row.revision);
+        self.confirm_revision(row.revision);
     }
 
     /// Takes the answer to the write of `revision`.
     pub fn on_write_outcome(&mut self, revision: u64, written: WriteOutcome) {
-        let ours = |writing: &Sent| writing.revision == revision;
+        let ours = |writing: &SentWrite| writing.revision == revision;
         let Some(writing) = self.writing.take_if(|writing| ours(writing)) else {
             return;
         };
         match written {
             WriteOutcome::Done => {
-                self.read_sent = self.read_sent.max(writing.sent);
+                self.last_read_sent = self.last_read_sent.max(writing.sent);
                 self.unsettled.push(writing);
-                self.confirm(revision);
+                self.confirm_revision(revision);
             }
             // Somebody else's row, or an earlier write of this process that was thought lost:
             // the next read tells.
             WriteOutcome::NotDone => {}
-            WriteOutcome::Unknown => self.unsettle(writing),
+            WriteOutcome::Unknown => self.mark_unsettled(writing),
         }
     }
 
@@ -190,19 +190,19 @@
             return;
         }
         let peer = self.standbys.entry(host).or_default();
-        if peer.met.is_none() || peer.incarnation != promise.incarnation {
+        if peer.first_answer.is_none() || peer.incarnation != promise.incarnation {
             // A restarted standby does not know whether it claimed before, and its promise would
             // revive an authority that its earlier process has replaced. That process cannot have
             // claimed while its own promise was running.
-            peer.vouched &= sent < peer.promised;
+            peer.verified &= sent < peer.promised_until;
             peer.incarnation = promise.incarnation;
-            peer.met = Some(now);
+            peer.first_answer = Some(now);
         }
-        peer.answered = peer.answered.max(Some(sent));
+        peer.last_answered = peer.last_answered.max(Some(sent));
         peer.revision = promise.revision;
         if promise.given {
             let until = sent + timing::less_drift(promise.valid);
-            peer.promised = peer.promised.max(until);
+            peer.promised_until = peer.promised_until.max(until);
         }
     }
 
@@ -213,7 +213,7 @@
             self.learn(row);
         }
         if self.predecessor == Some((host, released.incarnation)) {
-            self.settled = self.settled.min(now + released.leases);
+            self.settled_at = self.settled_at.min(now + released.leases);
         }
     }
 
@@ -236,23 +236,25 @@
     /// The revision that a successor is sure to know of: it is in the table, or every standby
     /// that could claim has it.
     pub fn committed_revision(&self) -> u64 {
-        self.confirmed.revision.max(self.kept_by_standbys())
+        self.confirmed
+            .revision
+            .max(self.revision_kept_by_standbys())
     }
 
     /// The write to send at `now`, if one is due and none is under way.
     pub fn next_write(&mut self, now: Duration) -> Option<RowWrite> {
-        if self.over || self.writing.is_some() {
+        if self.replaced || self.writing.is_some() {
             return None;
         }
-        if now >= self.confirmed.written + self.touch_after() {
+        if now >= self.confirmed.last_write_sent + self.touch_interval() {
             self.touch();
         }
         if self.row.revision <= self.confirmed.revision {
             return None;
         }
-        let writing = Sent {
+        let writing = SentWrite {
             revision: self.row.revision,
-            over: self.confirmed.revision,
+            replaces: self.confirmed.revision,
             standbys: self.row.standbys.clone(),
             sent: now,
         };
@@ -274,46 +276,47 @@
         candidates: &[HostKey],
         now: Duration,
     ) -> Vec<(HostKey, Heartbeat)> {
-        if self.over {
+        if self.replaced {
             return Vec::new();
         }
-        let (promise, keep) = (self.needs_promises(now), self.needs_keeping(now));
-        let mut hosts = self.named();
-        let silent = |host: &HostKey| !self.heard(*host, timing::STANDBY_SILENCE, now);
+        let (wants_promise, keep_copies) =
+            (self.needs_promises(now), self.needs_standby_copies(now));
+        let mut hosts = self.possible_standbys();
+        let silent = |host: &HostKey| !self.answered_within(*host, timing::STANDBY_SILENCE, now);
         if self.row.standbys.len() < timing::STANDBYS || self.row.standbys.iter().any(silent) {
-            hosts.extend(candidates.iter().filter(|host| **host != self.me));
+            hosts.extend(candidates.iter().filter(|host| **host != self.own_host));
         }
-        let mut asks = Vec::new();
+        let mut heartbeats = Vec::new();
         for host in hosts {
             let peer = self.standbys.entry(host).or_default();
             let behind = peer.revision < self.row.revision;
-            let pause = match keep && behind {
+            let pause = match keep_copies && behind {
                 true => timing::RETRY,
                 false => timing::HEARTBEAT,
             };
-            if peer.asked.is_some_and(|asked| now < asked + pause) {
+            if peer.heartbeat_sent.is_some_and(|sent| now < sent + pause) {
                 continue;
             }
-            peer.asked = Some(now);
-            let ask = Heartbeat {
+            peer.heartbeat_sent = Some(now);
+            let heartbeat = Heartbeat {
                 epoch: self.epoch,
-                wants_promise: promise,
+                wants_promise,
                 revision: self.row.revision,
                 row: behind.then(|| self.row.clone()),
             };
-            asks.push((host, ask));
+            heartbeats.push((host, heartbeat));
         }
-        asks
+        heartbeats
     }
 
     /// Names standbys among `candidates`, best first, where some are missing or silent. Only
     /// hosts that answer are named: one that cannot hear this process would claim at once.
     pub fn choose_standbys(&mut self, candidates: &[HostKey], now: Duration) {
         // While the table is silent, each new name would only add to those who must promise.
-        if self.over || !self.unsettled.is_empty() || self.needs_promises(now) {
+        if self.replaced || !self.unsettled.is_empty() || self.needs_promises(now) {
             return;
         }
-        let silent = |host: &&HostKey| !self.heard(**host, timing::STANDBY_SILENCE, now);
+        let silent = |host: &&HostKey| !self.answered_within(**host, timing::STANDBY_SILENCE, now);
         let (lost, mut named): (Vec<HostKey>, BTreeSet<HostKey>) = (
             self.row.standbys.iter().filter(silent).copied().collect(),
             self.row
@@ -323,8 +326,8 @@
                 .copied()
                 .collect(),
         );
-        let fresh = |host: &&HostKey| self.heard(**host, timing::SILENCE, now);
-        let others = candidates.iter().filter(|host| **host != self.me);
+        let fresh = |host: &&HostKey| self.answered_within(**host, timing::SILENCE, now);
+        let others = candidates.iter().filter(|host| **host != self.own_host);
         // Never fewer than before: naming none would end the authority by promises.
         for host in others.filter(fresh).chain(&lost) {
             if named.len() < timing::STANDBYS {
@@ -340,10 +343,10 @@
     /// Gives up, for good, and tells the successor what it has to wait for. `leases` is how long
     /// the leases that were granted may still run.
     pub fn release(&mut self, leases: Duration, now: Duration) -> Released {
-        self.over = true;
+        self.replaced = true;
         Released {
             incarnation: self.incarnation,
-            leases: leases.max(self.settled.saturating_sub(now)),
+            leases: leases.max(self.settled_at.saturating_sub(now)),
             witnessed_epoch: self.epoch,
             row: Some(self.row.clone()),
         }
@@ -351,45 +354,45 @@
 
     /// Hosts from which a successor may want to hear: the predecessor and all who were named.
     pub fn possible_witnesses(&self) -> BTreeSet<HostKey> {
-        let mut hosts = self.named();
+        let mut hosts = self.possible_standbys();
         hosts.extend(self.predecessor.map(|(host, _)| host));
-        hosts.remove(&self.me);
+        hosts.remove(&self.own_host);
         hosts
     }
 
-    fn vouched(&self, host: HostKey) -> Option<&Peer> {
-        self.standbys.get(&host).filter(|peer| peer.vouched)
+    fn verified_peer(&self, host: HostKey) -> Option<&Peer> {
+        self.standbys.get(&host).filter(|peer| peer.verified)
     }
 
-    fn heard(&self, host: HostKey, within: Duration, now: Duration) -> bool {
+    fn answered_within(&self, host: HostKey, within: Duration, now: Duration) -> bool {
         let peer = self.standbys.get(&host);
-        let answered = peer.and_then(|peer| peer.answered);
+        let answered = peer.and_then(|peer| peer.last_answered);
         answered.is_some_and(|answered| now < answered + within)
     }
 
-    fn until_by_promises(&self) -> Duration {
+    fn valid_until_by_promises(&self) -> Duration {
         // Without a standby to ask, nobody has promised anything.
         if self.confirmed.standbys.is_empty() {
             return Duration::ZERO;
         }
-        let promised = |host: &HostKey| self.vouched(*host).map(|peer| peer.promised);
-        let least = self.named().iter().map(promised).min();
+        let promised = |host: &HostKey| self.verified_peer(*host).map(|peer| peer.promised_until);
+        let least = self.possible_standbys().iter().map(promised).min();
         let least = least.flatten().unwrap_or_default();
-        let orphaned = self.confirmed.written + timing::less_drift(timing::ORPHAN);
+        let orphaned = self.confirmed.last_write_sent + timing::less_drift(timing::ORPHAN);
         least.min(orphaned)
     }
 
-    fn kept_by_standbys(&self) -> u64 {
+    fn revision_kept_by_standbys(&self) -> u64 {
         if self.confirmed.standbys.is_empty() {
             return 0;
         }
-        let kept = |host: &HostKey| self.vouched(*host).map_or(0, |peer| peer.revision);
-        self.named().iter().map(kept).min().unwrap_or(0)
+        let kept = |host: &HostKey| self.verified_peer(*host).map_or(0, |peer| peer.revision);
+        self.possible_standbys().iter().map(kept).min().unwrap_or(0)
     }
 
     /// Everybody who may be named in the table: a write whose answer was lost may have taken
     /// effect, or may yet, and the standbys it names could then claim.
-    fn named(&self) -> BTreeSet<HostKey> {
+    fn possible_standbys(&self) -> BTreeSet<HostKey> {
         let mut named = self.confirmed.standbys.clone();
         for unsettled in &self.unsettled {
             named.extend(unsettled.standbys.iter().copied());
@@ -400,39 +403,40 @@
         named
     }
 
-    fn unsettle(&mut self, lost: Sent) {
-        let same = |write: &Sent| (write.revision, write.over) == (lost.revision, lost.over);
+    fn mark_unsettled(&mut self, lost: SentWrite) {
+        let same =
+            |write: &SentWrite| (write.revision, write.replaces) == (lost.revision, lost.replaces);
         // The first sending counts: it bounds from below when the row can have changed.
         if !self.unsettled.iter().any(same) {
             self.unsettled.push(lost);
         }
     }
 
-    fn confirm(&mut self, revision: u64) {
+    fn confirm_revision(&mut self, revision: u64) {
         if revision < self.confirmed.revision {
             return;
         }
         let sent = self.unsettled.iter().chain(&self.writing);
         if let Some(sent) = sent.into_iter().find(|write| write.revision == revision) {
             self.confirmed.standbys = sent.standbys.clone();
-            self.confirmed.written = sent.sent;
+            self.confirmed.last_write_sent = sent.sent;
         }
         self.confirmed.revision = revision;
         // A write over an earlier revision can no longer take effect.
-        self.unsettled.retain(|write| write.over >= revision);
+        self.unsettled.retain(|write| write.replaces >= revision);
     }
 
     fn needs_promises(&self, now: Duration) -> bool {
-        now >= self.read_sent + timing::READ_OVERDUE
+        now >= self.last_read_sent + timing::READ_OVERDUE
     }
 
-    fn needs_keeping(&self, now: Duration) -> bool {
+    fn needs_standby_copies(&self, now: Duration) -> bool {
         let writing = self.writing.as_ref();
         let slow = writing.is_some_and(|writing| now >= writing.sent + timing::WRITE_OVERDUE);
         slow || !self.unsettled.is_empty() || self.needs_promises(now)
     }
 
-    fn touch_after(&self) -> Duration {
+    fn touch_interval(&self) -> Duration {
         match self.confirmed.standbys.is_empty() {
             true => timing::TOUCH_ALONE,
             false => timing::TOUCH,
--- a/crates/core/src/authority_standby.rs
+++ b/crates/core/src/authority_standby.rs
@@ -10,41 +10,41 @@
 /// whether it may claim.
 #[derive(Debug)]
 pub struct Standby {
-    me: HostKey,
+    own_host: HostKey,
     incarnation: u64,
     started: Duration,
     /// Until when this process has promised not to claim.
-    promised: Duration,
-    heard: Duration,
+    promised_until: Duration,
+    last_heartbeat: Duration,
     epoch: u32,
     /// The epoch whose controller has told this process all that it decided.
-    witness: u32,
+    witnessed_epoch: u32,
     /// Everything learnt of the shard's services, from the table and from asks.
-    known: Option<Row>,
-    table: Option<Seen>,
+    known_row: Option<Row>,
+    observed: Option<ObservedRow>,
     attempt: Option<Attempt>,
     forced: bool,
 }
 
 #[derive(Debug)]
-struct Seen {
+struct ObservedRow {
     row: Option<Row>,
     /// When the row was first found as it is.
-    since: Duration,
+    first_seen: Duration,
     /// When it was last found so.
-    last: Duration,
+    last_seen: Duration,
 }
 
 #[derive(Debug)]
 struct Attempt {
     row: Row,
-    over: Option<u64>,
+    replaces: Option<u64>,
     predecessor: Option<(HostKey, u64)>,
     sent: Duration,
-    replaced: u32,
+    replaced_epoch: u32,
     witnessed: bool,
     /// The answer was lost: only the table can tell how it ended.
-    lost: bool,
+    answer_lost: bool,
 }
 
 /// What a claim asks for: replace the row of revision `over` by `row`.
@@ -78,17 +78,17 @@
 
 impl Standby {
     /// A standby whose process started at `started`.
-    pub fn new(me: HostKey, incarnation: u64, started: Duration) -> Standby {
+    pub fn new(own_host: HostKey, incarnation: u64, started: Duration) -> Standby {
         Standby {
-            me,
+            own_host,
             incarnation,
             started,
-            promised: Duration::ZERO,
-            heard: started,
+            promised_until: Duration::ZERO,
+            last_heartbeat: started,
             epoch: 0,
-            witness: 0,
-            known: None,
-            table: None,
+            witnessed_epoch: 0,
+            known_row: None,
+            observed: None,
             attempt: None,
             forced: false,
         }
@@ -101,47 +101,47 @@
 
     /// Counts silence from `now`: this process has just been replaced, so somebody is there.
     pub fn restart_silence(&mut self, now: Duration) {
-        self.heard = now;
+        self.last_heartbeat = now;
     }
 
     /// Answers a controller. A promise forbids this process to claim until it has lapsed.
-    pub fn on_heartbeat(&mut self, ask: &Heartbeat, now: Duration) -> Promise {
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Duration) -> Promise {
         // A claim that may yet take effect: a promise now would let the old controller go on
         // after this process has replaced it.
-        if ask.epoch < self.epoch || self.attempt.is_some() {
+        if heartbeat.epoch < self.epoch || self.attempt.is_some() {
             return self.refusal();
         }
-        self.epoch = ask.epoch;
-        self.heard = now;
-        if let Some(row) = &ask.row {
+        self.epoch = heartbeat.epoch;
+        self.last_heartbeat = now;
+        if let Some(row) = &heartbeat.row {
             self.learn(row);
         }
-        if self.revision(ask.epoch) >= ask.revision {
-            self.witness = ask.epoch;
+        if self.known_revision(heartbeat.epoch) >= heartbeat.revision {
+            self.witnessed_epoch = heartbeat.epoch;
         }
-        if ask.wants_promise {
-            self.promised = self.promised.max(now + timing::PROMISE);
+        if heartbeat.wants_promise {
+            self.promised_until = self.promised_until.max(now + timing::PROMISE);
         }
         Promise {
             incarnation: self.incarnation,
-            given: ask.wants_promise,
+            given: heartbeat.wants_promise,
             valid: timing::PROMISE,
             epoch: self.epoch,
-            revision: self.revision(ask.epoch),
+            revision: self.known_revision(heartbeat.epoch),
         }
     }
 
     /// Takes what a read of the table, sent by this process, found.
     pub fn on_row_read(&mut self, row: Option<&Row>, now: Duration) -> ClaimOutcome {
-        self.see(row, now);
+        self.observe_row(row, now);
         let Some(attempt) = &self.attempt else {
             return ClaimOutcome::Unchanged;
         };
         if row == Some(&attempt.row) {
-            return self.taken();
+            return self.win_claim();
         }
         // The row that the attempt was to replace is gone, so it can no longer take effect.
-        if row.map(|row| row.revision) != attempt.over {
+        if row.map(|row| row.revision) != attempt.replaces {
             self.attempt = None;
         }
         ClaimOutcome::Unchanged
@@ -150,14 +150,14 @@
     /// Takes the answer to a claim.
     pub fn on_claim_outcome(&mut self, written: WriteOutcome) -> ClaimOutcome {
         match (written, &mut self.attempt) {
-            (WriteOutcome::Done, Some(_)) => self.taken(),
-            (WriteOutcome::NotDone, Some(attempt)) if !attempt.lost => {
+            (WriteOutcome::Done, Some(_)) => self.win_claim(),
+            (WriteOutcome::NotDone, Some(attempt)) if !attempt.answer_lost => {
                 self.attempt = None;
-                self.table = None;
+                self.observed = None;
                 ClaimOutcome::Unchanged
             }
             (_, Some(attempt)) => {
-                attempt.lost = true;
+                attempt.answer_lost = true;
                 ClaimOutcome::Unchanged
             }
             (_, None) => ClaimOutcome::Unchanged,
@@ -174,25 +174,25 @@
     /// unknown: the table takes it once at most.
     pub fn claim(&mut self, now: Duration) -> Option<Claim> {
         if self.attempt.is_none() && self.may_claim(now) {
-            self.attempt = Some(self.attempt(now));
+            self.attempt = Some(self.new_attempt(now));
         }
         let attempt = self.attempt.as_ref()?;
         Some(Claim {
             row: attempt.row.clone(),
-            replaces: attempt.over,
+            replaces: attempt.replaces,
         })
     }
 
     /// What this process knows of the shard; a claimer asks for it.
     pub fn known_row(&self) -> Option<&Row> {
-        self.known.as_ref()
+        self.known_row.as_ref()
     }
 
     /// Takes in what another process knows of the shard.
     pub fn learn(&mut self, row: &Row) {
         self.epoch = self.epoch.max(row.epoch);
-        match &mut self.known {
-            None => self.known = Some(row.clone()),
+        match &mut self.known_row {
+            None => self.known_row = Some(row.clone()),
             Some(known) if (row.epoch, row.revision) > (known.epoch, known.revision) => {
                 let mut newer = row.clone();
                 newer.merge(known);
@@ -204,16 +204,16 @@
 
     /// How often this process reads the row.
     pub fn read_interval(&self) -> Duration {
-        let table = self.table.as_ref().and_then(|seen| seen.row.as_ref());
+        let table = self.observed.as_ref().and_then(|seen| seen.row.as_ref());
         match table {
-            Some(row) if !row.standbys.contains(&self.me) => timing::READ_ASIDE,
+            Some(row) if !row.standbys.contains(&self.own_host) => timing::READ_ASIDE,
             _ => timing::READ,
         }
     }
 
     /// The epoch whose controller has told this process all that it decided; 0 for none.
     pub fn witnessed_epoch(&self) -> u32 {
-        self.witness
+        self.witnessed_epoch
     }
 
     /// The greatest epoch seen.
@@ -222,40 +222,40 @@
     }
 
     fn is_witness(&self, row: &Row) -> bool {
-        self.witness == row.epoch && row.standbys.contains(&self.me)
+        self.witnessed_epoch == row.epoch && row.standbys.contains(&self.own_host)
     }
 
-    fn see(&mut self, row: Option<&Row>, now: Duration) {
+    fn observe_row(&mut self, row: Option<&Row>, now: Duration) {
         if let Some(row) = row {
             self.learn(row);
         }
-        match &mut self.table {
-            Some(seen) if seen.row.as_ref() == row => seen.last = now,
+        match &mut self.observed {
+            Some(seen) if seen.row.as_ref() == row => seen.last_seen = now,
             _ => {
-                self.table = Some(Seen {
+                self.observed = Some(ObservedRow {
                     row: row.cloned(),
-                    since: now,
-                    last: now,
+                    first_seen: now,
+                    last_seen: now,
                 });
             }
         }
     }
 
     fn may_claim(&self, now: Duration) -> bool {
-        let Some(seen) = &self.table else {
+        let Some(seen) = &self.observed else {
             return false;
         };
         // Claiming blocks promises until the table has answered. A table that has just gone away
         // would not answer, and the controller would stop for want of this promise. A promise is
         // kept although the wait after the claim covers it as well, as long as PROMISE is not
         // longer than AUTHORITY: safety does not hang on how the two are set.
-        if now > seen.last + self.read_interval() * 2 || now < self.promised {
+        if now > seen.last_seen + self.read_interval() * 2 || now < self.promised_until {
             return false;
         }
         match &seen.row {
             // Nobody has ever had authority; hosts start together, so the table decides.
             None => true,
-            Some(row) => self.may_replace(row, seen.since, now),
+            Some(row) => self.may_replace(row, seen.first_seen, now),
         }
     }
 
@@ -267,13 +267,13 @@
             return !forgotten;
         }
         if row.standbys.is_empty() {
-            let own = row.controller == self.me;
+            let own = row.controller == self.own_host;
             return own || now >= since + timing::ORPHAN_ALONE;
         }
-        match rank(&row.standbys, self.me) {
+        match rank(&row.standbys, self.own_host) {
             Some(rank) => {
                 let silence = timing::SILENCE + timing::STAGGER * rank;
-                !forgotten && now >= self.heard.max(since) + silence
+                !forgotten && now >= self.last_heartbeat.max(since) + silence
             }
             // Only a write of the controller changes the row, and it goes on by promises no
             // longer than this after its last one. Drift is on the waiting side.
@@ -281,47 +281,47 @@
         }
     }
 
-    fn attempt(&self, now: Duration) -> Attempt {
-        let table = self.table.as_ref().and_then(|seen| seen.row.as_ref());
-        let revision = self.known.as_ref().map_or(0, |known| known.revision);
+    fn new_attempt(&self, now: Duration) -> Attempt {
+        let table = self.observed.as_ref().and_then(|seen| seen.row.as_ref());
+        let revision = self.known_row.as_ref().map_or(0, |known| known.revision);
         let mut row = Row {
             epoch: self.epoch + 1,
             revision: table.map_or(0, |row| row.revision).max(revision) + 1,
-            controller: self.me,
+            controller: self.own_host,
             incarnation: self.incarnation,
             standbys: table.map(|row| row.standbys.clone()).unwrap_or_default(),
             services: table.map(|row| row.services.clone()).unwrap_or_default(),
         };
-        row.standbys.remove(&self.me);
-        if let Some(known) = &self.known {
+        row.standbys.remove(&self.own_host);
+        if let Some(known) = &self.known_row {
             row.merge(known);
         }
         Attempt {
             row,
-            over: table.map(|row| row.revision),
+            replaces: table.map(|row| row.revision),
             predecessor: table.map(|row| (row.controller, row.incarnation)),
             sent: now,
-            replaced: table.map_or(0, |row| row.epoch),
+            replaced_epoch: table.map_or(0, |row| row.epoch),
             witnessed: table.is_none_or(|row| self.is_witness(row)),
-            lost: false,
+            answer_lost: false,
         }
     }
 
-    fn taken(&mut self) -> ClaimOutcome {
+    fn win_claim(&mut self) -> ClaimOutcome {
         match self.attempt.take() {
             Some(attempt) => ClaimOutcome::Won {
                 row: attempt.row,
                 predecessor: attempt.predecessor,
                 sent: attempt.sent,
-                replaced_epoch: attempt.replaced,
+                replaced_epoch: attempt.replaced_epoch,
                 witnessed: attempt.witnessed,
             },
             None => ClaimOutcome::Unchanged,
         }
     }
 
-    fn revision(&self, epoch: u32) -> u64 {
-        match &self.known {
+    fn known_revision(&self, epoch: u32) -> u64 {
+        match &self.known_row {
             Some(known) if known.epoch == epoch => known.revision,
             _ => 0,
         }
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -37,20 +37,20 @@
 /// One process's part in the leadership of one shard.
 #[derive(Debug)]
 pub struct Controller {
-    me: HostKey,
+    own_host: HostKey,
     incarnation: u64,
     started: Duration,
     role: Role,
     ledger: Ledger,
     /// Until when leases of an authority that this process replaced, and was then itself
     /// replaced, may run.
-    inherited: Duration,
+    inherited_until: Duration,
     groups: BTreeMap<ServiceKey, Group>,
     candidates: Vec<HostKey>,
-    read_sent: Option<Duration>,
-    claim_sent: Option<Duration>,
+    last_read_sent: Option<Duration>,
+    last_claim_sent: Option<Duration>,
     /// Whether a claim's outcome is awaited.
-    claiming: bool,
+    claim_pending: bool,
 }
 
 #[derive(Debug)]
@@ -223,20 +223,20 @@
 }
 
 impl Controller {
-    /// The part of a process that starts at `now` on host `me`.
-    pub fn new(me: HostKey, incarnation: u64, now: Duration) -> Controller {
+    /// The part of a process that starts at `now` on host `own_host`.
+    pub fn new(own_host: HostKey, incarnation: u64, now: Duration) -> Controller {
         Controller {
-            me,
+            own_host,
             incarnation,
             started: now,
-            role: Role::Standby(Box::new(Standby::new(me, incarnation, now))),
+            role: Role::Standby(Box::new(Standby::new(own_host, incarnation, now))),
             ledger: Ledger::default(),
-            inherited: Duration::ZERO,
+            inherited_until: Duration::ZERO,
             groups: BTreeMap::new(),
             candidates: Vec::new(),
-            read_sent: None,
-            claim_sent: None,
-            claiming: false,
+            last_read_sent: None,
+            last_claim_sent: None,
+            claim_pending: false,
         }
     }
 
@@ -254,7 +254,7 @@
     /// Sets the zones in which the platform's list has hosts.
     pub fn set_listed_zones(&mut self, zones: BTreeSet<ZoneKey>) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.judge.list(zones);
+            lead.suspicion.list(zones);
         }
     }
 
@@ -269,26 +269,23 @@
     pub fn step(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.is_read_due(now) {
-            self.read_sent = Some(now);
+            self.last_read_sent = Some(now);
             actions.push(Action::Read);
         }
         match &mut self.role {
             Role::Standby(standby) => {
                 let pause = timing::RETRY * 2;
-                let paced = self.claim_sent.is_none_or(|sent| now >= sent + pause);
+                let paced = self.last_claim_sent.is_none_or(|sent| now >= sent + pause);
                 // A process that has no configuration yet has nothing to control.
-                if !self.claiming
+                if !self.claim_pending
                     && paced
                     && !self.groups.is_empty()
                     && let Some(claim) = standby.claim(now)
                 {
-                    self.claim_sent = Some(now);
-                    self.claiming = true;
-                    let (row, over) = (claim.row, claim.replaces);
-                    actions.push(Action::Write {
-                        row,
-                        replaces: over,
-                    });
+                    self.last_claim_sent = Some(now);
+                    self.claim_pending = true;
+                    let (row, replaces) = (claim.row, claim.replaces);
+                    actions.push(Action::Write { row, replaces });
                 }
             }
             Role::Lead(lead) => {
@@ -310,37 +307,37 @@
     pub fn on_row_read(&mut self, sent: Duration, row: Option<&Row>, now: Duration) {
         match &mut self.role {
             Role::Standby(standby) => {
-                let seat = standby.on_row_read(row, now);
-                self.sit(seat, now);
+                let outcome = standby.on_row_read(row, now);
+                self.apply_claim_outcome(outcome, now);
             }
-            Role::Lead(lead) => lead.holder.on_row_read(sent, row),
+            Role::Lead(lead) => lead.authority.on_row_read(sent, row),
         }
     }
 
     /// Takes the outcome of the write of `revision`.
     pub fn on_write_outcome(&mut self, revision: u64, written: WriteOutcome, now: Duration) {
         if written != WriteOutcome::Done {
-            self.read_sent = None;
+            self.last_read_sent = None;
         }
         match &mut self.role {
             Role::Standby(standby) => {
-                self.claiming = false;
-                let seat = standby.on_claim_outcome(written);
-                self.sit(seat, now);
+                self.claim_pending = false;
+                let outcome = standby.on_claim_outcome(written);
+                self.apply_claim_outcome(outcome, now);
             }
-            Role::Lead(lead) => lead.holder.on_write_outcome(revision, written),
+            Role::Lead(lead) => lead.authority.on_write_outcome(revision, written),
         }
     }
 
     /// Answers a controller's ask.
-    pub fn on_heartbeat(&mut self, ask: &Heartbeat, now: Duration) -> Promise {
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Duration) -> Promise {
         match &mut self.role {
-            Role::Standby(standby) => standby.on_heartbeat(ask, now),
+            Role::Standby(standby) => standby.on_heartbeat(heartbeat, now),
             Role::Lead(lead) => Promise {
                 incarnation: self.incarnation,
                 given: false,
                 valid: Duration::ZERO,
-                epoch: lead.holder.epoch(),
+                epoch: lead.authority.epoch(),
                 revision: 0,
             },
         }
@@ -349,21 +346,23 @@
     /// Takes the answer, at `now`, to an ask that was sent at `sent`.
     pub fn on_promise(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
         if let Role::Lead(lead) = &mut self.role {
-            lead.holder.on_promise(host, sent, promise, now);
+            lead.authority.on_promise(host, sent, promise, now);
         }
     }
 
     /// Gives up below the successor's `epoch`, and tells it what to wait for and what is known.
     pub fn release(&mut self, epoch: u32, now: Duration) -> Released {
         let leases = self.ledger.longest_remaining(now);
-        let leases = leases.max(self.inherited.saturating_sub(now));
+        let leases = leases.max(self.inherited_until.saturating_sub(now));
         match &mut self.role {
-            Role::Lead(lead) if lead.holder.epoch() < epoch => lead.holder.release(leases, now),
+            Role::Lead(lead) if lead.authority.epoch() < epoch => {
+                lead.authority.release(leases, now)
+            }
             Role::Lead(lead) => Released {
                 incarnation: self.incarnation,
                 leases: timing::AUTHORITY,
                 witnessed_epoch: 0,
-                row: Some(lead.holder.row().clone()),
+                row: Some(lead.authority.row().clone()),
             },
             Role::Standby(standby) => {
                 standby.observe_epoch(epoch);
@@ -371,7 +370,7 @@
                     incarnation: self.incarnation,
                     // A claim of this process may have taken effect without its knowledge, and what
                     // it replaced then is not over yet.
-                    leases: match self.claim_sent {
+                    leases: match self.last_claim_sent {
                         Some(sent) => leases.max((sent + timing::AUTHORITY).saturating_sub(now)),
                         None => leases,
                     },
@@ -443,7 +442,7 @@
     /// The epoch under which this process may grant leases and order promotions at `now`.
     pub fn leading_epoch(&self, now: Duration) -> Option<u32> {
         match &self.role {
-            Role::Lead(lead) if lead.is_leading(now) => Some(lead.holder.epoch()),
+            Role::Lead(lead) if lead.is_leading(now) => Some(lead.authority.epoch()),
             _ => None,
         }
     }
@@ -452,7 +451,7 @@
     pub fn row(&self) -> Option<&Row> {
         match &self.role {
             Role::Standby(standby) => standby.known_row(),
-            Role::Lead(lead) => Some(lead.holder.row()),
+            Role::Lead(lead) => Some(lead.authority.row()),
         }
     }
 
@@ -465,45 +464,46 @@
     }
 
     fn is_read_due(&self, now: Duration) -> bool {
-        let every = match &self.role {
+        let interval = match &self.role {
             Role::Standby(standby) => standby.read_interval(),
             Role::Lead(_) => timing::READ,
         };
-        self.read_sent.is_none_or(|sent| now >= sent + every)
+        self.last_read_sent
+            .is_none_or(|sent| now >= sent + interval)
     }
 
-    fn sit(&mut self, seat: ClaimOutcome, now: Duration) {
+    fn apply_claim_outcome(&mut self, outcome: ClaimOutcome, now: Duration) {
         let ClaimOutcome::Won {
             row,
             predecessor,
             sent,
             replaced_epoch: replaced,
             witnessed,
-        } = seat
+        } = outcome
         else {
             return;
         };
-        self.claiming = false;
-        self.claim_sent = None;
-        let holder = ShardAuthority::new(row, predecessor, sent, now);
-        self.inherited = holder.settled_at();
-        self.role = Role::Lead(Box::new(Lead::new(holder, replaced, witnessed, now)));
+        self.claim_pending = false;
+        self.last_claim_sent = None;
+        let authority = ShardAuthority::new(row, predecessor, sent, now);
+        self.inherited_until = authority.settled_at();
+        self.role = Role::Lead(Box::new(Lead::new(authority, replaced, witnessed, now)));
     }
 
     fn step_down(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Role::Lead(lead) = &self.role else {
             return;
         };
-        if !lead.holder.is_replaced() {
+        if !lead.authority.is_replaced() {
             return;
         }
-        let epoch = lead.holder.epoch();
-        let known = lead.holder.row().clone();
-        let mut standby = Standby::new(self.me, self.incarnation, self.started);
+        let epoch = lead.authority.epoch();
+        let known = lead.authority.row().clone();
+        let mut standby = Standby::new(self.own_host, self.incarnation, self.started);
         standby.learn(&known);
         standby.restart_silence(now);
         self.role = Role::Standby(Box::new(standby));
-        self.read_sent = None;
+        self.last_read_sent = None;
         actions.push(Action::Note(Note::Replaced { epoch }));
     }
 }
--- a/crates/core/src/leadership_lead.rs
+++ b/crates/core/src/leadership_lead.rs
@@ -21,23 +21,23 @@
 /// What a controller keeps while it has a shard.
 #[derive(Debug)]
 pub(super) struct Lead {
-    pub(super) holder: ShardAuthority,
-    pub(super) judge: Judge,
+    pub(super) authority: ShardAuthority,
+    pub(super) suspicion: Judge,
     phase: Phase,
     view: view::Shard,
     /// Whether `view` has changed since it was last sent to holders.
-    changed: bool,
-    promotions: BTreeMap<ServiceKey, Running>,
+    view_changed: bool,
+    promotions: BTreeMap<ServiceKey, RunningPromotion>,
     statuses: BTreeMap<ServerKey, Status>,
     /// Servers that last said that they are leaving.
-    leaving: BTreeSet<ServerKey>,
+    leaving_servers: BTreeSet<ServerKey>,
     /// When each service was last opened: an older status says nothing of how it is now.
-    opened: BTreeMap<ServiceKey, Duration>,
+    opened_at: BTreeMap<ServiceKey, Duration>,
     /// How far each open service's primary had written when it was last asked.
-    written: BTreeMap<ServiceKey, Written>,
-    status_asked: Option<Duration>,
-    announced: bool,
-    write_sent: Option<Duration>,
+    primary_positions: BTreeMap<ServiceKey, PrimaryPosition>,
+    last_status_query: Option<Duration>,
+    claim_announced: bool,
+    last_write_sent: Option<Duration>,
     notes: Vec<Note>,
 }
 
@@ -47,11 +47,11 @@
     Survey {
         since: Duration,
         asked: Option<Duration>,
-        missing: BTreeSet<HostKey>,
+        unreleased: BTreeSet<HostKey>,
         /// Servers that have answered.
-        heard: BTreeSet<ServerKey>,
+        answered: BTreeSet<ServerKey>,
         /// The epoch that is replaced.
-        replaced: u32,
+        replaced_epoch: u32,
         /// Whether somebody who was asked, or this process, knows all that was decided under it.
         witnessed: bool,
     },
@@ -60,16 +60,16 @@
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningPromotion {
     promotion: Promotion,
-    began: Duration,
+    started: Duration,
     /// Version of the view that closes the term.
-    closing: Option<Version>,
+    closing_version: Option<Version>,
 }
 
 /// What a primary said of its log.
 #[derive(Debug, Clone, Copy)]
-struct Written {
+struct PrimaryPosition {
     /// When it was asked.
     sent: Duration,
     position: Position,
@@ -77,45 +77,45 @@
 
 impl Lead {
     pub(super) fn new(
-        holder: ShardAuthority,
-        replaced: u32,
+        authority: ShardAuthority,
+        replaced_epoch: u32,
         witnessed: bool,
         now: Duration,
     ) -> Lead {
         let version = Version {
-            epoch: holder.epoch(),
+            epoch: authority.epoch(),
             change: 0,
         };
         Lead {
             phase: Phase::Survey {
                 since: now,
                 asked: None,
-                missing: holder.possible_witnesses(),
-                heard: BTreeSet::new(),
-                replaced,
+                unreleased: authority.possible_witnesses(),
+                answered: BTreeSet::new(),
+                replaced_epoch,
                 witnessed,
             },
-            holder,
-            judge: Judge::default(),
+            authority,
+            suspicion: Judge::default(),
             view: view::Shard {
                 version,
                 services: BTreeMap::new(),
             },
-            changed: false,
+            view_changed: false,
             promotions: BTreeMap::new(),
             statuses: BTreeMap::new(),
-            leaving: BTreeSet::new(),
-            opened: BTreeMap::new(),
-            written: BTreeMap::new(),
-            status_asked: None,
-            announced: false,
-            write_sent: None,
+            leaving_servers: BTreeSet::new(),
+            opened_at: BTreeMap::new(),
+            primary_positions: BTreeMap::new(),
+            last_status_query: None,
+            claim_announced: false,
+            last_write_sent: None,
             notes: Vec::new(),
         }
     }
 
     pub(super) fn is_leading(&self, now: Duration) -> bool {
-        matches!(self.phase, Phase::Settled) && self.holder.may_act(now)
+        matches!(self.phase, Phase::Settled) && self.authority.may_act(now)
     }
 
     pub(super) fn view(&self) -> &view::Shard {
@@ -130,29 +130,29 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        self.announce(actions);
+        self.note_claim(actions);
         self.survey(groups, now, actions);
         if self.is_leading(now) {
             self.reconcile(groups, now, actions);
-            self.promote(ledger, now, actions);
-            self.refresh(groups);
-            self.publish(ledger, now, actions);
+            self.step_promotions(ledger, now, actions);
+            self.refresh_leaving(groups);
+            self.publish_view(ledger, now, actions);
         }
-        self.keep_row(groups, candidates, now, actions);
+        self.maintain_row(groups, candidates, now, actions);
         actions.extend(self.notes.drain(..).map(Action::Note));
     }
 
     pub(super) fn on_released(&mut self, host: HostKey, released: &Released, now: Duration) {
         if let Phase::Survey {
-            missing,
-            replaced,
+            unreleased,
+            replaced_epoch,
             witnessed,
             ..
         } = &mut self.phase
         {
-            missing.remove(&host);
-            *witnessed |= released.witnessed_epoch == *replaced;
-            self.holder.on_released(host, released, now);
+            unreleased.remove(&host);
+            *witnessed |= released.witnessed_epoch == *replaced_epoch;
+            self.authority.on_released(host, released, now);
         }
     }
 
@@ -163,9 +163,9 @@
         now: Duration,
     ) -> Reply {
         let host = renewal.holder.host;
-        self.judge.heard(host, renewal.zone, now);
+        self.suspicion.heard(host, renewal.zone, now);
         for (server, report) in &renewal.reports {
-            self.judge.report(host, *server, *report, now);
+            self.suspicion.report(host, *server, *report, now);
         }
         if renewal.stopping {
             ledger.end(renewal.holder, now);
@@ -173,12 +173,12 @@
         let ahead = renewal.version > Some(self.view.version);
         if !self.is_leading(now) || ahead {
             return Reply::Refused {
-                controller: Some(self.holder.row().controller),
+                controller: Some(self.authority.row().controller),
             };
         }
         let valid = match renewal.stopping {
             true => Duration::ZERO,
-            false => self.holder.max_lease(now),
+            false => self.authority.max_lease(now),
         };
         if !valid.is_zero() {
             ledger.grant(renewal.holder, valid, now);
@@ -199,7 +199,10 @@
     ) {
         for (key, running) in &mut self.promotions {
             // An answer to an earlier revocation says nothing of this one.
-            if running.closing.is_some_and(|closing| version >= closing) {
+            if running
+                .closing_version
+                .is_some_and(|closing| version >= closing)
+            {
                 let position = acknowledged.get(key).copied();
                 running.promotion.on_closed(holder, position);
             }
@@ -217,12 +220,12 @@
         let Some((key, _)) = service else {
             return;
         };
-        if self.opened.get(key).is_some_and(|opened| sent < *opened) {
+        if self.opened_at.get(key).is_some_and(|opened| sent < *opened) {
             return;
         }
         let key = *key;
         match status {
-            Some(status) => self.remember(key, server, sent, status),
+            Some(status) => self.record_status(key, server, sent, status),
             None => {
                 self.statuses.remove(&server);
             }
@@ -252,40 +255,46 @@
     ) {
         if let Some(group) = groups.get(&key)
             && self.is_leading(now)
-            && matches!(self.state(key), Some(State::Open { .. }))
+            && matches!(self.service_state(key), Some(State::Open { .. }))
             && !self.promotions.contains_key(&key)
         {
-            self.begin(key, group, Reason::Leaving, now);
+            self.begin_promotion(key, group, Reason::Leaving, now);
         }
     }
 
-    fn remember(&mut self, key: ServiceKey, server: ServerKey, sent: Duration, status: Status) {
+    fn record_status(
+        &mut self,
+        key: ServiceKey,
+        server: ServerKey,
+        sent: Duration,
+        status: Status,
+    ) {
         self.statuses.insert(server, status);
-        if let Phase::Survey { heard, .. } = &mut self.phase {
-            heard.insert(server);
+        if let Phase::Survey { answered, .. } = &mut self.phase {
+            answered.insert(server);
         }
-        if let Some(State::Open { term, primary }) = self.state(key)
+        if let Some(State::Open { term, primary }) = self.service_state(key)
             && (primary, term, true) == (server, status.term, status.leads)
         {
             let position = status.position;
             let written = self
-                .written
+                .primary_positions
                 .entry(key)
-                .or_insert(Written { sent, position });
+                .or_insert(PrimaryPosition { sent, position });
             if sent >= written.sent {
-                *written = Written { sent, position };
+                *written = PrimaryPosition { sent, position };
             }
         }
         match status.leaving {
-            true => self.leaving.insert(server),
-            false => self.leaving.remove(&server),
+            true => self.leaving_servers.insert(server),
+            false => self.leaving_servers.remove(&server),
         };
     }
 
-    fn announce(&mut self, actions: &mut Vec<Action>) {
-        if !self.announced {
-            self.announced = true;
-            let epoch = self.holder.epoch();
+    fn note_claim(&mut self, actions: &mut Vec<Action>) {
+        if !self.claim_announced {
+            self.claim_announced = true;
+            let epoch = self.authority.epoch();
             actions.push(Action::Note(Note::Claimed { epoch }));
         }
     }
@@ -298,12 +307,12 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let epoch = self.holder.epoch();
+        let epoch = self.authority.epoch();
         let Phase::Survey {
             since,
             asked,
-            missing,
-            heard,
+            unreleased,
+            answered,
             witnessed,
             ..
         } = &mut self.phase
@@ -313,37 +322,37 @@
         if asked.is_none_or(|asked| now >= asked + timing::RETRY) {
             *asked = Some(now);
             let release = |host: &HostKey| Action::Release { host: *host, epoch };
-            actions.extend(missing.iter().map(release));
+            actions.extend(unreleased.iter().map(release));
             let servers = groups.values().flat_map(|group| group.servers.keys());
-            let unheard = servers.filter(|server| !heard.contains(server));
-            actions.extend(unheard.map(|server| Action::QueryStatus(*server)));
+            let unanswered = servers.filter(|server| !answered.contains(server));
+            actions.extend(unanswered.map(|server| Action::QueryStatus(*server)));
         }
         let servers = groups.values().flat_map(|group| group.servers.keys());
-        let all_servers = servers.into_iter().all(|server| heard.contains(server));
-        let gathered = missing.is_empty() || now >= *since + timing::GATHER;
+        let all_servers = servers.into_iter().all(|server| answered.contains(server));
+        let gathered = unreleased.is_empty() || now >= *since + timing::GATHER;
         // With all memory of the old authority lost, a server that does not answer may lead a
         // term that was opened in an outage. Its writes would be lost beside those of the row's.
-        let forgotten = now >= *since + timing::FORGOTTEN;
-        let told = *witnessed && now >= *since + timing::GATHER;
-        let surveyed = (all_servers && gathered) || told || forgotten;
-        let committed = self.holder.committed_revision() >= self.holder.row().revision;
-        if surveyed && committed && self.holder.may_act(now) {
+        let timed_out = now >= *since + timing::FORGOTTEN;
+        let witness_answered = *witnessed && now >= *since + timing::GATHER;
+        let surveyed = (all_servers && gathered) || witness_answered || timed_out;
+        let committed = self.authority.committed_revision() >= self.authority.row().revision;
+        if surveyed && committed && self.authority.may_act(now) {
             self.phase = Phase::Settled;
             self.notes.push(Note::Settled { epoch });
-            self.show(groups, now);
+            self.build_first_view(groups, now);
         }
     }
 
     /// The first view: what the row says, with promotions for what is not open.
-    fn show(&mut self, groups: &BTreeMap<ServiceKey, Group>, now: Duration) {
+    fn build_first_view(&mut self, groups: &BTreeMap<ServiceKey, Group>, now: Duration) {
         for (key, group) in groups {
-            self.adopt(*key, group, now);
+            self.adopt_service(*key, group, now);
         }
-        self.bump();
+        self.advance_view();
     }
 
-    fn adopt(&mut self, key: ServiceKey, group: &Group, now: Duration) {
-        let service = self.holder.row().services.get(&key).cloned();
+    fn adopt_service(&mut self, key: ServiceKey, group: &Group, now: Duration) {
+        let service = self.authority.row().services.get(&key).cloned();
         let reason = match &service {
             None => Some(Reason::Created(group.first_primary)),
             Some(service) => match service.state {
@@ -362,16 +371,16 @@
         };
         self.view.services.insert(key, shown);
         if let Some(reason) = reason {
-            self.holder.set_service(key, service);
-            self.begin(key, group, reason, now);
+            self.authority.set_service(key, service);
+            self.begin_promotion(key, group, reason, now);
         }
     }
 
-    fn publish(&mut self, ledger: &Ledger, now: Duration, actions: &mut Vec<Action>) {
-        if !self.changed {
+    fn publish_view(&mut self, ledger: &Ledger, now: Duration, actions: &mut Vec<Action>) {
+        if !self.view_changed {
             return;
         }
-        self.changed = false;
+        self.view_changed = false;
         let to: Vec<Instance> = ledger.running(now).into_keys().collect();
         if !to.is_empty() {
             let view = self.view.clone();
@@ -379,7 +388,7 @@
         }
     }
 
-    fn keep_row(
+    fn maintain_row(
         &mut self,
         groups: &BTreeMap<ServiceKey, Group>,
         candidates: &[HostKey],
@@ -387,34 +396,28 @@
         actions: &mut Vec<Action>,
     ) {
         if !groups.is_empty() {
-            self.holder.choose_standbys(candidates, now);
+            self.authority.choose_standbys(candidates, now);
         }
         let pause = timing::RETRY;
-        let paced = self.write_sent.is_none_or(|sent| now >= sent + pause);
-        if (self.holder.may_write_at_once() || paced)
-            && let Some(write) = self.holder.next_write(now)
+        let paced = self.last_write_sent.is_none_or(|sent| now >= sent + pause);
+        if (self.authority.may_write_at_once() || paced)
+            && let Some(write) = self.authority.next_write(now)
         {
-            self.write_sent = Some(now);
-            let (row, over) = (write.row, Some(write.replaces));
-            actions.push(Action::Write {
-                row,
-                replaces: over,
-            });
+            self.last_write_sent = Some(now);
+            let (row, replaces) = (write.row, Some(write.replaces));
+            actions.push(Action::Write { row, replaces });
         }
-        for (host, ask) in self.holder.heartbeats(candidates, now) {
-            actions.push(Action::Heartbeat {
-                host,
-                heartbeat: ask,
-            });
+        for (host, heartbeat) in self.authority.heartbeats(candidates, now) {
+            actions.push(Action::Heartbeat { host, heartbeat });
         }
     }
 
-    fn state(&self, key: ServiceKey) -> Option<State> {
+    fn service_state(&self, key: ServiceKey) -> Option<State> {
         self.view.services.get(&key).map(|service| service.state)
     }
 
-    fn bump(&mut self) {
+    fn advance_view(&mut self) {
         self.view.version.change += 1;
-        self.changed = true;
+        self.view_changed = true;
     }
 }
--- a/crates/core/src/leadership_promote.rs
+++ b/crates/core/src/leadership_promote.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Lead, Running, Written};
+use super::{Lead, PrimaryPosition, RunningPromotion};
 use crate::key::ServiceKey;
 use crate::leadership::{Action, Group, Note};
 use crate::lease::Ledger;
@@ -12,37 +12,48 @@
 use crate::view::State;
 
 impl Lead {
-    pub(super) fn begin(&mut self, key: ServiceKey, group: &Group, reason: Reason, now: Duration) {
-        let Some(service) = self.holder.row().services.get(&key).cloned() else {
+    pub(super) fn begin_promotion(
+        &mut self,
+        key: ServiceKey,
+        group: &Group,
+        reason: Reason,
+        now: Duration,
+    ) {
+        let Some(service) = self.authority.row().services.get(&key).cloned() else {
             return;
         };
         let servers = group.servers.keys().copied().collect();
         let promotion = Promotion::new(key, servers, service, reason, now);
-        let running = Running {
+        let running = RunningPromotion {
             promotion,
-            began: now,
-            closing: None,
+            started: now,
+            closing_version: None,
         };
         self.promotions.insert(key, running);
         let service = key;
         self.notes.push(Note::Promoting { service, reason });
     }
 
-    pub(super) fn promote(&mut self, ledger: &Ledger, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn step_promotions(
+        &mut self,
+        ledger: &Ledger,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         let keys: Vec<ServiceKey> = self.promotions.keys().copied().collect();
         for key in keys {
             // Removed while it runs, so that it and the rest can be changed side by side.
             let Some(mut running) = self.promotions.remove(&key) else {
                 continue;
             };
-            let (epoch, committed) = (self.holder.epoch(), self.holder.committed_revision());
+            let (epoch, committed) = (self.authority.epoch(), self.authority.committed_revision());
             let mut done = false;
             for next in running.promotion.step(epoch, committed, now) {
                 done |= next == PromotionAction::Done;
                 self.carry_out(key, &mut running, next, ledger, now, actions);
             }
             match done {
-                true => self.opened(key, &running, now, actions),
+                true => self.finish_promotion(key, &running, now, actions),
                 false => {
                     self.promotions.insert(key, running);
                 }
@@ -53,14 +64,16 @@
     fn carry_out(
         &mut self,
         key: ServiceKey,
-        running: &mut Running,
+        running: &mut RunningPromotion,
         next: PromotionAction,
         ledger: &Ledger,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
         match next {
-            PromotionAction::Commit(service) => self.commit(key, running, service, ledger, now),
+            PromotionAction::Commit(service) => {
+                self.commit_service(key, running, service, ledger, now)
+            }
             PromotionAction::Revoke(to) => actions.push(Action::Close {
                 to,
                 view: self.view.clone(),
@@ -81,15 +94,15 @@
         }
     }
 
-    fn commit(
+    fn commit_service(
         &mut self,
         key: ServiceKey,
-        running: &mut Running,
+        running: &mut RunningPromotion,
         service: Service,
         ledger: &Ledger,
         now: Duration,
     ) {
-        let revision = self.holder.set_service(key, service.clone());
+        let revision = self.authority.set_service(key, service.clone());
         match service.state {
             State::Closed { term } => {
                 if let Some(shown) = self.view.services.get_mut(&key) {
@@ -97,9 +110,9 @@
                 }
                 // Holders are told before the row is committed; leases from here on are granted
                 // on the view that closes the term.
-                self.bump();
-                running.closing = Some(self.view.version);
-                self.tell_written(key, running, ledger, now);
+                self.advance_view();
+                running.closing_version = Some(self.view.version);
+                self.pass_known_written(key, running, ledger, now);
                 running
                     .promotion
                     .begin_closing(revision, ledger.running(now));
@@ -110,17 +123,17 @@
 
     /// Holders whose leases are over cannot be asked what they acknowledged; but it was written
     /// by the time the primary was asked last, if their leases were over by then.
-    fn tell_written(
+    fn pass_known_written(
         &mut self,
         key: ServiceKey,
-        running: &mut Running,
+        running: &mut RunningPromotion,
         ledger: &Ledger,
         now: Duration,
     ) {
         let written = self
-            .written
+            .primary_positions
             .remove(&key)
-            .filter(|w| w.sent >= self.holder.settled_at());
+            .filter(|w| w.sent >= self.authority.settled_at());
         let Some(written) = written else {
             running
                 .promotion
@@ -134,14 +147,14 @@
             .set_known_written(written.position, complete);
     }
 
-    fn opened(
+    fn finish_promotion(
         &mut self,
         key: ServiceKey,
-        running: &Running,
+        running: &RunningPromotion,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let Some(service) = self.holder.row().services.get(&key) else {
+        let Some(service) = self.authority.row().services.get(&key) else {
             return;
         };
         let State::Open { term, primary } = service.state else {
@@ -161,14 +174,14 @@
             service: key,
             term,
             primary,
-            took: now.saturating_sub(running.began),
+            took: now.saturating_sub(running.started),
         });
-        self.opened.insert(key, now);
+        self.opened_at.insert(key, now);
         if let Some((_, start)) = service.history.starts().last() {
             let position = Position { term, log: start };
-            self.written.insert(
+            self.primary_positions.insert(
                 key,
-                Written {
+                PrimaryPosition {
                     sent: now,
                     position,
                 },
@@ -184,6 +197,6 @@
             });
             self.statuses.remove(&server);
         }
-        self.bump();
+        self.advance_view();
     }
 }
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -21,20 +21,20 @@
         actions: &mut Vec<Action>,
     ) {
         if self
-            .status_asked
+            .last_status_query
             .is_none_or(|asked| now >= asked + timing::STATUS)
         {
-            self.status_asked = Some(now);
-            self.judge.tidy(now);
+            self.last_status_query = Some(now);
+            self.suspicion.tidy(now);
             let servers = groups.values().flat_map(|group| group.servers.keys());
             actions.extend(servers.map(|server| Action::QueryStatus(*server)));
         }
         for (key, group) in groups {
             if !self.view.services.contains_key(key) {
-                self.adopt(*key, group, now);
-                self.bump();
+                self.adopt_service(*key, group, now);
+                self.advance_view();
             }
-            match self.state(*key) {
+            match self.service_state(*key) {
                 Some(State::Open { term, primary }) => {
                     self.reconcile_open(*key, group, term, primary, now, actions);
                 }
@@ -52,8 +52,8 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let unreachable = self.judge.verdict(primary, now) == Verdict::Unreachable;
-        let dead = unreachable && self.judge.is_cool(key, now);
+        let unreachable = self.suspicion.verdict(primary, now) == Verdict::Unreachable;
+        let dead = unreachable && self.suspicion.is_cool(key, now);
         if let Some(running) = self.promotions.get_mut(&key) {
             if dead {
                 running.promotion.on_primary_unreachable();
@@ -61,14 +61,14 @@
             return;
         }
         if dead {
-            self.judge.promoted(key, now);
-            self.begin(key, group, Reason::Unreachable, now);
+            self.suspicion.promoted(key, now);
+            self.begin_promotion(key, group, Reason::Unreachable, now);
         } else if self.has_rival(group, term, primary) {
-            self.begin(key, group, Reason::Rival, now);
-        } else if self.is_leaving(group, primary) && self.has_heir(group, primary) {
-            self.begin(key, group, Reason::Leaving, now);
+            self.begin_promotion(key, group, Reason::Rival, now);
+        } else if self.is_leaving(group, primary) && self.has_replacement(group, primary) {
+            self.begin_promotion(key, group, Reason::Leaving, now);
         } else {
-            self.follow(group, term, primary, actions);
+            self.order_followers(group, term, primary, actions);
         }
     }
 
@@ -79,22 +79,28 @@
             };
             let leads = status.leads && status.term == term;
             // A term of a later epoch is a successor's; this process will learn of it.
-            let ours = status.term.epoch <= self.holder.epoch();
+            let ours = status.term.epoch <= self.authority.epoch();
             ours && (status.term > term || (*server == primary && !leads))
         })
     }
 
     pub(super) fn is_leaving(&self, group: &Group, server: ServerKey) -> bool {
         let stays = group.servers.get(&server) == Some(&Leaving::No);
-        !stays || self.leaving.contains(&server)
+        !stays || self.leaving_servers.contains(&server)
     }
 
-    fn has_heir(&self, group: &Group, primary: ServerKey) -> bool {
+    fn has_replacement(&self, group: &Group, primary: ServerKey) -> bool {
         let mut others = group.servers.keys().filter(|server| **server != primary);
         others.any(|s| !self.is_leaving(group, *s) && self.statuses.contains_key(s))
     }
 
-    fn follow(&mut self, group: &Group, term: Term, primary: ServerKey, actions: &mut Vec<Action>) {
+    fn order_followers(
+        &mut self,
+        group: &Group,
+        term: Term,
+        primary: ServerKey,
+        actions: &mut Vec<Action>,
+    ) {
         for server in group.servers.keys().filter(|server| **server != primary) {
             let behind = |status: &Status| status.term < term || status.leads;
             if self.statuses.get(server).is_some_and(behind) {
@@ -110,7 +116,7 @@
     }
 
     /// Shows which servers receive no new work.
-    pub(super) fn refresh(&mut self, groups: &BTreeMap<ServiceKey, Group>) {
+    pub(super) fn refresh_leaving(&mut self, groups: &BTreeMap<ServiceKey, Group>) {
         let mut changed = false;
         for (key, group) in groups {
             let leaving = group.servers.keys().filter(|s| self.is_leaving(group, **s));
@@ -128,7 +134,7 @@
         self.view.services.retain(|key, _| groups.contains_key(key));
         self.promotions.retain(|key, _| groups.contains_key(key));
         if changed || before != self.view.services.len() {
-            self.bump();
+            self.advance_view();
         }
     }
 }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -57,7 +57,7 @@
 pub struct LeaseHolder {
     incarnation: u64,
     shards: BTreeMap<u16, Lease>,
-    homes: BTreeMap<ServiceKey, u16>,
+    shard_of: BTreeMap<ServiceKey, u16>,
     acknowledged: BTreeMap<ServiceKey, Position>,
 }
 
@@ -138,7 +138,7 @@
         LeaseHolder {
             incarnation,
             shards: BTreeMap::new(),
-            homes: BTreeMap::new(),
+            shard_of: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
         }
     }
@@ -199,12 +199,12 @@
     /// A running lease goes on under the newer view: whoever made that view counts this host's
     /// lease until it ends, whichever version it was granted on.
     pub fn adopt(&mut self, shard: u16, view: view::Shard) -> Adopted {
-        let known = self.version(shard);
-        if known.is_some_and(|known| known >= view.version) {
+        let current = self.version(shard);
+        if current.is_some_and(|current| current >= view.version) {
             return Adopted::Kept;
         }
         for service in view.services.keys() {
-            self.homes.insert(*service, shard);
+            self.shard_of.insert(*service, shard);
         }
         self.shards.entry(shard).or_default().view = Some(view);
         Adopted::Newer
@@ -219,7 +219,7 @@
         self.adopt(shard, view);
         self.acknowledged
             .iter()
-            .filter(|(service, _)| self.homes.get(service) == Some(&shard))
+            .filter(|(service, _)| self.shard_of.get(service) == Some(&shard))
             .map(|(service, position)| (*service, *position))
             .collect()
     }
@@ -258,7 +258,9 @@
         // The lease may have lapsed, or the term may have been closed, while the statement ran
         // or while this process was paused: only a check after the answer sees that.
         match self.leader(service, now) {
-            Leader::Open { term: open, .. } if open == term => self.record(service, position),
+            Leader::Open { term: open, .. } if open == term => {
+                self.record_acknowledged(service, position)
+            }
             _ => Acknowledge::Unknown,
         }
     }
@@ -270,8 +272,8 @@
 
     /// What the view acted by says of `service`.
     pub fn service(&self, service: ServiceKey) -> Option<&view::Service> {
-        let home = self.homes.get(&service)?;
-        let view = self.shards.get(home)?.view.as_ref()?;
+        let shard = self.shard_of.get(&service)?;
+        let view = self.shards.get(shard)?.view.as_ref()?;
         view.services.get(&service)
     }
 
@@ -297,7 +299,7 @@
         self.acknowledged.get(&service).copied()
     }
 
-    fn record(&mut self, service: ServiceKey, position: Position) -> Acknowledge {
+    fn record_acknowledged(&mut self, service: ServiceKey, position: Position) -> Acknowledge {
         let highest = self.acknowledged.entry(service).or_insert(position);
         let earlier = *highest;
         *highest = earlier.max(position);
@@ -310,8 +312,8 @@
     }
 
     fn state(&self, service: ServiceKey) -> Option<(&Lease, State)> {
-        let home = self.homes.get(&service)?;
-        let lease = self.shards.get(home)?;
+        let shard = self.shard_of.get(&service)?;
+        let lease = self.shards.get(shard)?;
         let state = lease.view.as_ref()?.services.get(&service)?.state;
         Some((lease, state))
     }
--- a/crates/core/src/lease_ledger.rs
+++ b/crates/core/src/lease_ledger.rs
@@ -4,11 +4,11 @@
 use crate::key::HostKey;
 
 /// How long a lease that is over is remembered.
-const KEPT: Duration = Duration::from_secs(10 * 60);
+const RETENTION: Duration = Duration::from_secs(10 * 60);
 
 /// How often such leases are looked for. Looking at each grant would make a renewal cost as much
 /// as there are holders.
-const TIDY: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One process of one entry host: after a restart it is another holder, which knows nothing of
 /// what the earlier one acknowledged.
@@ -38,31 +38,31 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Ledger {
-    until: BTreeMap<Instance, Duration>,
-    tidied: Duration,
+    ends: BTreeMap<Instance, Duration>,
+    last_cleanup: Duration,
 }
 
 impl Ledger {
     /// Notes that `holder` is granted a lease of `valid` at `now`.
     pub fn grant(&mut self, holder: Instance, valid: Duration, now: Duration) {
-        let until = self.until.entry(holder).or_default();
+        let until = self.ends.entry(holder).or_default();
         *until = (*until).max(now + valid);
-        if now >= self.tidied + TIDY {
-            self.tidied = now;
-            self.until.retain(|_, until| *until + KEPT > now);
+        if now >= self.last_cleanup + CLEANUP_INTERVAL {
+            self.last_cleanup = now;
+            self.ends.retain(|_, until| *until + RETENTION > now);
         }
     }
 
     /// Notes that a holder gave its lease up at `now`.
     pub fn end(&mut self, holder: Instance, now: Duration) {
-        if let Some(until) = self.until.get_mut(&holder) {
+        if let Some(until) = self.ends.get_mut(&holder) {
             *until = now.min(*until);
         }
     }
 
     /// The leases that may still run at `now`, with the times at which they end.
     pub fn running(&self, now: Duration) -> BTreeMap<Instance, Duration> {
-        self.until
+        self.ends
             .iter()
             .filter(|(_, until)| **until > now)
             .map(|(holder, until)| (*holder, *until))
@@ -71,14 +71,14 @@
 
     /// How long the last of them may run.
     pub fn longest_remaining(&self, now: Duration) -> Duration {
-        let last = self.until.values().max().copied().unwrap_or_default();
+        let last = self.ends.values().max().copied().unwrap_or_default();
         last.saturating_sub(now)
     }
 
     /// When the last lease ended whose holder has none at `now`. Nobody can be asked what such a
     /// holder acknowledged.
     pub fn last_lapse(&self, now: Duration) -> Option<Duration> {
-        let over = self.until.values().filter(|until| **until <= now);
+        let over = self.ends.values().filter(|until| **until <= now);
         over.max().copied()
     }
 }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -89,7 +89,7 @@
 #[derive(Debug, Default)]
 pub struct Membership {
     members: BTreeMap<Process, Member>,
-    listed: BTreeMap<HostKey, Hint>,
+    listed_hosts: BTreeMap<HostKey, Hint>,
 }
 
 /// What the platform's list says of a host.
@@ -116,7 +116,7 @@
 
     /// The platform's list was read.
     pub fn set_listed_hosts(&mut self, hosts: BTreeMap<HostKey, Hint>) {
-        self.listed = hosts;
+        self.listed_hosts = hosts;
     }
 
     /// Whether `process` takes part at `now`.
@@ -124,7 +124,7 @@
         let Some(member) = self.members.get(&process) else {
             return State::Joining;
         };
-        let hinted = self.listed.get(&process.host) == Some(&Hint::Leaving);
+        let hinted = self.listed_hosts.get(&process.host) == Some(&Hint::Leaving);
         match silence(member, now) {
             silent if silent >= GONE_AFTER => State::Gone,
             _ if member.stopping || hinted => State::Leaving,
@@ -142,7 +142,7 @@
 
     /// Hosts on the platform's list of which no heartbeat came yet.
     pub fn joining(&self) -> impl Iterator<Item = HostKey> + '_ {
-        self.listed
+        self.listed_hosts
             .iter()
             .filter(|(host, hint)| **hint == Hint::Live && !self.is_known(**host))
             .map(|(host, _)| *host)
@@ -208,18 +208,18 @@
 impl LeavingServers {
     /// `reason` calls exactly `servers` leaving; says whether that is news from it.
     pub fn replace(&mut self, reason: Reason, servers: BTreeSet<ServerKey>) -> bool {
-        let known = self.sources.entry(reason).or_default();
-        let news = *known != servers;
-        *known = servers;
-        news
+        let current = self.sources.entry(reason).or_default();
+        let changed = *current != servers;
+        *current = servers;
+        changed
     }
 
     /// One server's own word; the others' stand.
     pub fn set_leaving(&mut self, reason: Reason, server: ServerKey, leaving: bool) -> bool {
-        let known = self.sources.entry(reason).or_default();
+        let current = self.sources.entry(reason).or_default();
         match leaving {
-            true => known.insert(server),
-            false => known.remove(&server),
+            true => current.insert(server),
+            false => current.remove(&server),
         }
     }
 
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -37,17 +37,17 @@
     servers: BTreeSet<ServerKey>,
     service: Service,
     step: Step,
-    waiting: BTreeMap<Instance, Duration>,
+    awaited_holders: BTreeMap<Instance, Duration>,
     /// Whether every holder told what it had acknowledged.
-    complete: bool,
+    acknowledged_complete: bool,
     acknowledged: Option<Position>,
     statuses: BTreeMap<ServerKey, Status>,
     /// The greatest term that any server knows or was ordered to lead.
-    greatest: Term,
-    asked: Option<Duration>,
-    revoked: Option<Duration>,
+    greatest_term: Term,
+    last_status_query: Option<Duration>,
+    last_revocation: Option<Duration>,
     /// How far all servers together had got, and when that last changed.
-    reached: (u64, Duration),
+    progress: (u64, Duration),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     },
     Choosing {
         since: Duration,
-        from: Duration,
+        not_before: Duration,
     },
     Promoting {
         server: ServerKey,
@@ -92,7 +92,7 @@
             Reason::Leaving => Step::Preparing,
             _ if closed => Step::Choosing {
                 since: now,
-                from: now,
+                not_before: now,
             },
             _ => Step::Start,
         };
@@ -100,17 +100,17 @@
             key,
             reason,
             servers,
-            greatest: service.state.term(),
+            greatest_term: service.state.term(),
             service,
             step,
-            waiting: BTreeMap::new(),
+            awaited_holders: BTreeMap::new(),
             // A rival's term may have had holders that nobody here knows of.
-            complete: !closed && reason != Reason::Rival,
+            acknowledged_complete: !closed && reason != Reason::Rival,
             acknowledged: None,
             statuses: BTreeMap::new(),
-            asked: None,
-            revoked: None,
-            reached: (0, now),
+            last_status_query: None,
+            last_revocation: None,
+            progress: (0, now),
         }
     }
 
@@ -133,7 +133,7 @@
     /// that can only have been acknowledged by the holders that are about to be asked.
     pub fn set_known_written(&mut self, position: Position, complete: bool) {
         self.acknowledged = self.acknowledged.max(Some(position));
-        self.complete &= complete;
+        self.acknowledged_complete &= complete;
     }
 
     /// Gives up waiting for a planned switchover's old primary, which has become unreachable.
@@ -149,7 +149,7 @@
     /// Tells that the closed state is in the row of `revision` and in the view, and which leases
     /// were running when it got there. Leases granted later are on that view.
     pub fn begin_closing(&mut self, revision: u64, running: BTreeMap<Instance, Duration>) {
-        self.waiting = running;
+        self.awaited_holders = running;
         self.step = Step::Closing { revision };
     }
 
@@ -160,7 +160,7 @@
 
     /// Takes a holder's answer to the revocation.
     pub fn on_closed(&mut self, holder: Instance, acknowledged: Option<Position>) {
-        self.waiting.remove(&holder);
+        self.awaited_holders.remove(&holder);
         self.acknowledged = self.acknowledged.max(acknowledged);
     }
 
@@ -171,7 +171,7 @@
             return;
         };
         self.statuses.insert(server, status);
-        self.greatest = self.greatest.max(status.term);
+        self.greatest_term = self.greatest_term.max(status.term);
         if let Step::Promoting {
             server: chosen,
             term,
@@ -215,20 +215,20 @@
                 self.statuses.remove(&server);
                 self.step = Step::Choosing {
                     since,
-                    from: now + timing::RETRY,
+                    not_before: now + timing::RETRY,
                 };
             }
-            OrderOutcome::Done | OrderOutcome::Unknown => self.asked = None,
+            OrderOutcome::Done | OrderOutcome::Unknown => self.last_status_query = None,
         }
     }
 
     /// What to do at `now`, under the authority of `epoch`, whose row is committed up to
     /// `committed`.
     pub fn step(&mut self, epoch: u32, committed: u64, now: Duration) -> Vec<PromotionAction> {
-        let mut next = Vec::new();
-        self.watch(now);
+        let mut actions = Vec::new();
+        self.track_progress(now);
         if !matches!(self.step, Step::Start | Step::Opening { .. }) {
-            next.extend(self.ask(now));
+            actions.extend(self.query_statuses(now));
         }
         match self.step {
             Step::Preparing => {
@@ -236,38 +236,43 @@
                     self.step = Step::Start;
                 }
             }
-            Step::Start => next.push(PromotionAction::Commit(self.over())),
+            Step::Start => actions.push(PromotionAction::Commit(self.closed_service())),
             Step::Closing { revision } => {
-                next.extend(self.revoke(now));
-                if self.waiting.is_empty() && committed >= revision {
+                actions.extend(self.revoke(now));
+                if self.awaited_holders.is_empty() && committed >= revision {
                     self.step = Step::Choosing {
                         since: now,
-                        from: now,
+                        not_before: now,
                     };
-                    next.extend(self.choose(epoch, now));
+                    actions.extend(self.choose(epoch, now));
                 }
             }
-            Step::Choosing { .. } => next.extend(self.choose(epoch, now)),
-            Step::Promoting { .. } => next.extend(self.promote(now)),
+            Step::Choosing { .. } => actions.extend(self.choose(epoch, now)),
+            Step::Promoting { .. } => actions.extend(self.promote(now)),
             Step::Ready {
                 server,
                 term,
                 start,
-            } => next.push(PromotionAction::Commit(self.open(server, term, start))),
+            } => actions.push(PromotionAction::Commit(
+                self.opened_service(server, term, start),
+            )),
             Step::Opening { revision } => {
                 if committed >= revision {
-                    next.push(PromotionAction::Done);
+                    actions.push(PromotionAction::Done);
                 }
             }
         }
-        next
+        actions
     }
 
-    fn ask(&mut self, now: Duration) -> Option<PromotionAction> {
-        if self.asked.is_some_and(|asked| now < asked + timing::RETRY) {
+    fn query_statuses(&mut self, now: Duration) -> Option<PromotionAction> {
+        if self
+            .last_status_query
+            .is_some_and(|asked| now < asked + timing::RETRY)
+        {
             return None;
         }
-        self.asked = Some(now);
+        self.last_status_query = Some(now);
         Some(PromotionAction::QueryStatus(
             self.servers.iter().copied().collect(),
         ))
@@ -275,14 +280,14 @@
 
     fn is_prepared(&self) -> bool {
         let primary = self.service.primary.and_then(|p| self.statuses.get(&p));
-        let close = |status: &Status| {
-            let behind = primary.is_some_and(|p| status.position == p.position);
-            !status.leads && !status.leaving && (behind || status.age <= timing::RETRY)
+        let is_near = |status: &Status| {
+            let caught_up = primary.is_some_and(|p| status.position == p.position);
+            !status.leads && !status.leaving && (caught_up || status.age <= timing::RETRY)
         };
-        self.statuses.values().any(close)
+        self.statuses.values().any(is_near)
     }
 
-    fn over(&self) -> Service {
+    fn closed_service(&self) -> Service {
         let mut service = self.service.clone();
         service.state = State::Closed {
             term: service.state.term(),
@@ -291,31 +296,35 @@
     }
 
     fn revoke(&mut self, now: Duration) -> Option<PromotionAction> {
-        let running = self.waiting.len();
-        self.waiting.retain(|_, until| *until > now);
+        let awaited = self.awaited_holders.len();
+        self.awaited_holders.retain(|_, until| *until > now);
         // A lease that lapsed without an answer: its holder may have acknowledged more than
         // anybody knows.
-        self.complete &= running == self.waiting.len();
-        if self.waiting.is_empty() || self.revoked.is_some_and(|at| now < at + timing::RETRY) {
+        self.acknowledged_complete &= awaited == self.awaited_holders.len();
+        if self.awaited_holders.is_empty()
+            || self
+                .last_revocation
+                .is_some_and(|at| now < at + timing::RETRY)
+        {
             return None;
         }
-        self.revoked = Some(now);
+        self.last_revocation = Some(now);
         Some(PromotionAction::Revoke(
-            self.waiting.keys().copied().collect(),
+            self.awaited_holders.keys().copied().collect(),
         ))
     }
 
     fn choose(&mut self, epoch: u32, now: Duration) -> Option<PromotionAction> {
-        let Step::Choosing { since, from } = self.step else {
+        let Step::Choosing { since, not_before } = self.step else {
             return None;
         };
         // A term of a later epoch: this controller has been replaced and will learn of it.
-        if now < from || self.greatest.epoch > epoch {
+        if now < not_before || self.greatest_term.epoch > epoch {
             return None;
         }
-        let (server, status) = self.best(since, now)?;
-        let term = self.greatest.next(epoch);
-        self.greatest = term;
+        let (server, status) = self.choose_server(since, now)?;
+        let term = self.greatest_term.next(epoch);
+        self.greatest_term = term;
         self.step = Step::Promoting {
             server,
             term,
@@ -343,7 +352,7 @@
             self.statuses.remove(&server);
             self.step = Step::Choosing {
                 since,
-                from: now + timing::RETRY,
+                not_before: now + timing::RETRY,
             };
             return None;
         }
@@ -351,7 +360,7 @@
             return None;
         }
         *ordered = Some(now);
-        self.asked = None;
+        self.last_status_query = None;
         Some(PromotionAction::Promote {
             server,
             term,
@@ -359,49 +368,55 @@
         })
     }
 
-    fn watch(&mut self, now: Duration) {
+    fn track_progress(&mut self, now: Duration) {
         let reached = self
             .statuses
             .values()
             .map(|status| status.position.log)
             .sum();
-        if reached != self.reached.0 {
-            self.reached = (reached, now);
+        if reached != self.progress.0 {
+            self.progress = (reached, now);
         }
     }
 
     /// The server to promote at `now`, where the choice began at `since`, if it is time.
-    fn best(&self, since: Duration, now: Duration) -> Option<(ServerKey, Status)> {
+    fn choose_server(&self, since: Duration, now: Duration) -> Option<(ServerKey, Status)> {
         let waited = now.saturating_sub(since);
         let replaced = self.service.primary.filter(|_| self.avoids_replaced());
-        let others = |server: &ServerKey| Some(*server) != replaced;
-        let best = self.furthest(others);
-        let all = self.servers.iter().filter(|server| others(server));
-        let all_answered = all.into_iter().all(|s| self.statuses.contains_key(s));
-        let gathered = all_answered || waited >= self.patience_for_answers();
-        let known = self.complete && self.acknowledged.is_some();
+        let is_candidate = |server: &ServerKey| Some(*server) != replaced;
+        let best = self.most_advanced(is_candidate);
+        let candidates = self.servers.iter().filter(|server| is_candidate(server));
+        let all_answered = candidates
+            .into_iter()
+            .all(|s| self.statuses.contains_key(s));
+        let gathered = all_answered || waited >= self.answer_timeout();
+        let known_complete = self.acknowledged_complete && self.acknowledged.is_some();
         // Everybody has been asked, the old primary is gone, and nothing moves any more: more
         // waiting brings nothing.
         let gone = replaced.is_none_or(|server| !self.statuses.contains_key(&server));
-        let still = now >= self.reached.1.max(since) + timing::STILL;
-        let is_final = all_answered && gone && still;
+        let stalled = now >= self.progress.1.max(since) + timing::STILL;
+        let is_final = all_answered && gone && stalled;
         match best {
-            Some((_, status)) if self.has_all(status) && (gathered || known) => best,
-            _ if waited < self.patience() && !is_final => None,
+            Some((_, status))
+                if self.has_all_acknowledged(status) && (gathered || known_complete) =>
+            {
+                best
+            }
+            _ if waited < self.catch_up_timeout() && !is_final => None,
             // Nobody else has all, or nobody else is there: the replaced primary is taken if
             // it can be reached and has more.
-            _ => self.furthest(|_| true),
+            _ => self.most_advanced(|_| true),
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn catch_up_timeout(&self) -> Duration {
         match self.reason {
             Reason::Leaving => timing::CATCH_UP_PLANNED,
             _ => timing::CATCH_UP,
         }
     }
 
-    fn patience_for_answers(&self) -> Duration {
+    fn answer_timeout(&self) -> Duration {
         match self.reason {
             // The one that does not answer may be the one that led the greater term.
             Reason::Rival => timing::CATCH_UP,
@@ -414,7 +429,7 @@
     }
 
     /// Data decide; among equals, one that stays, then the one that is wanted or leads already.
-    fn furthest(&self, filter: impl Fn(&ServerKey) -> bool) -> Option<(ServerKey, Status)> {
+    fn most_advanced(&self, filter: impl Fn(&ServerKey) -> bool) -> Option<(ServerKey, Status)> {
         let wanted = match self.reason {
             Reason::Created(first) => Some(first),
             _ => self.service.primary,
@@ -429,7 +444,7 @@
             .map(|(server, status)| (*server, *status))
     }
 
-    fn has_all(&self, status: Status) -> bool {
+    fn has_all_acknowledged(&self, status: Status) -> bool {
         let history = self.service.lineage(status.position);
         let reaches = |wanted| history.covers(status.position, wanted);
         let planned = self.reason == Reason::Leaving;
@@ -438,7 +453,7 @@
         self.acknowledged.is_none_or(reaches) && written.is_none_or(reaches)
     }
 
-    fn open(&self, server: ServerKey, term: Term, start: Position) -> Service {
+    fn opened_service(&self, server: ServerKey, term: Term, start: Position) -> Service {
         let mut service = self.service.clone();
         service.open(term, server, start);
         let created = matches!(self.reason, Reason::Created(_));
@@ -446,8 +461,8 @@
             .acknowledged
             .filter(|p| !service.history.covers(start, *p));
         // An earlier promotion that this one goes back behind may have lost more than it knew.
-        let open_question = |loss: &Loss| loss.opened > start.term && !loss.complete;
-        let complete = self.complete && !service.losses.iter().any(open_question);
+        let incomplete_loss = |loss: &Loss| loss.opened > start.term && !loss.complete;
+        let complete = self.acknowledged_complete && !service.losses.iter().any(incomplete_loss);
         if lost.is_some() || !(complete || created) {
             service.losses.insert(Loss {
                 opened: term,
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -8,7 +8,7 @@
 use crate::digest::Digest;
 
 /// How often a submission tries again before its operator is told that it did not work out.
-const TRIES: u8 = 4;
+const MAX_RETRIES: u8 = 4;
 
 /// What is known of an accepted version.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Submission {
     record: Record,
-    left: u8,
+    retries_left: u8,
     in_doubt: bool,
 }
 
@@ -129,7 +129,7 @@
     pub fn new(record: Record) -> (Submission, Step) {
         let submission = Submission {
             record,
-            left: TRIES,
+            retries_left: MAX_RETRIES,
             in_doubt: false,
         };
         (submission, Step::PutBody)
@@ -144,59 +144,59 @@
     pub fn next(&mut self, event: Event) -> Step {
         match event {
             Event::BodyPut(Ok(())) => Step::ReadHead,
-            Event::BodyPut(Err(Effect::None)) => self.again(Step::PutBody),
+            Event::BodyPut(Err(Effect::None)) => self.retry(Step::PutBody),
             // The store may have it: where only answers are lost, putting it again would never
             // get further.
-            Event::BodyPut(Err(Effect::Unknown)) => self.again(Step::ReadBody),
+            Event::BodyPut(Err(Effect::Unknown)) => self.retry(Step::ReadBody),
             Event::BodyRead(Ok(true)) => Step::ReadHead,
-            Event::BodyRead(Ok(false)) => self.again(Step::PutBody),
-            Event::BodyRead(Err(_)) => self.again(Step::ReadBody),
-            Event::HeadRead(Ok(head)) => self.compare(head),
-            Event::HeadRead(Err(_)) => self.again(Step::ReadHead),
+            Event::BodyRead(Ok(false)) => self.retry(Step::PutBody),
+            Event::BodyRead(Err(_)) => self.retry(Step::ReadBody),
+            Event::HeadRead(Ok(head)) => self.compare_base(head),
+            Event::HeadRead(Err(_)) => self.retry(Step::ReadHead),
             Event::Written(Ok(true)) => Step::Finish(Outcome::Accepted),
             Event::Written(Ok(false)) => Step::ReadRecord,
-            Event::Written(Err(effect)) => self.unanswered(effect),
-            Event::RecordRead(Ok(Some(found))) => self.settle(found),
-            Event::RecordRead(Ok(None)) => self.again(Step::ReadHead),
-            Event::RecordRead(Err(_)) => self.again(Step::ReadRecord),
+            Event::Written(Err(effect)) => self.on_write_error(effect),
+            Event::RecordRead(Ok(Some(found))) => self.finish_with(found),
+            Event::RecordRead(Ok(None)) => self.retry(Step::ReadHead),
+            Event::RecordRead(Err(_)) => self.retry(Step::ReadRecord),
         }
     }
 
-    fn compare(&mut self, head: Option<Record>) -> Step {
+    fn compare_base(&mut self, head: Option<Record>) -> Step {
         let newest = head.as_ref().map_or(0, |head| head.version);
         let base = self.record.version - 1;
         match head {
             _ if newest == base => Step::Write,
             // A submission sent again by its operator finds that it was accepted before.
-            Some(head) if newest == self.record.version => self.settle(head),
+            Some(head) if newest == self.record.version => self.finish_with(head),
             Some(_) if newest > base => Step::ReadRecord,
             _ => Step::Finish(Outcome::NoSuchBase { newest }),
         }
     }
 
-    fn unanswered(&mut self, effect: Effect) -> Step {
+    fn on_write_error(&mut self, effect: Effect) -> Step {
         // The write may take effect even after the record has been read and not found. Writing
         // again is harmless then: the record's absence guards it, so at most one of both wins.
         self.in_doubt |= effect == Effect::Unknown;
-        self.again(Step::ReadRecord)
+        self.retry(Step::ReadRecord)
     }
 
-    fn settle(&self, found: Record) -> Step {
+    fn finish_with(&self, found: Record) -> Step {
         if found.submission == self.record.submission {
             return Step::Finish(Outcome::Accepted);
         }
         Step::Finish(Outcome::Conflict(Box::new(found)))
     }
 
-    fn again(&mut self, step: Step) -> Step {
-        if self.left == 0 {
+    fn retry(&mut self, step: Step) -> Step {
+        if self.retries_left == 0 {
             let outcome = match self.in_doubt {
                 true => Outcome::Unknown,
                 false => Outcome::Unavailable,
             };
             return Step::Finish(outcome);
         }
-        self.left -= 1;
+        self.retries_left -= 1;
         step
     }
 }
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -11,7 +11,7 @@
 use flamingopost_core::row::{Row, WriteOutcome};
 use flamingopost_core::timing;
 
-const SOON: Duration = Duration::from_millis(10);
+const LATENCY: Duration = Duration::from_millis(10);
 
 struct Hosts {
     controller: HostKey,
@@ -56,17 +56,17 @@
 }
 
 /// A controller with two standbys that it met before its last read, at 10 s.
-fn leading(hosts: &Hosts) -> (ShardAuthority, Row) {
+fn controller(hosts: &Hosts) -> (ShardAuthority, Row) {
     let row = row(hosts.controller, &[hosts.first, hosts.second]);
     let mut holder = ShardAuthority::new(row.clone(), None, secs(9), secs(9));
     for host in [hosts.first, hosts.second] {
-        holder.on_promise(host, secs(9), promise(1), secs(9) + SOON);
+        holder.on_promise(host, secs(9), promise(1), secs(9) + LATENCY);
     }
     holder.on_row_read(secs(10), Some(&row));
     (holder, row)
 }
 
-fn heard_ask(promise: bool) -> Heartbeat {
+fn heartbeat(promise: bool) -> Heartbeat {
     Heartbeat {
         epoch: 1,
         wants_promise: promise,
@@ -89,7 +89,7 @@
 #[test]
 fn authority_is_dated_from_the_sending_of_a_read() {
     let hosts = hosts();
-    let (mut holder, row) = leading(&hosts);
+    let (mut holder, row) = controller(&hosts);
     holder.on_row_read(secs(12), Some(&row));
     assert!(holder.may_act(secs(14)));
     assert!(!holder.may_act(secs(12) + timing::AUTHORITY));
@@ -100,7 +100,7 @@
 #[test]
 fn no_lease_outlives_the_authority() {
     let hosts = hosts();
-    let (holder, _) = leading(&hosts);
+    let (holder, _) = controller(&hosts);
     for millis in (0..5_000).step_by(50) {
         let now = secs(10) + Duration::from_millis(millis);
         let lease = holder.max_lease(now);
@@ -112,10 +112,10 @@
 #[test]
 fn promises_of_all_standbys_carry_an_outage() {
     let hosts = hosts();
-    let (mut holder, _) = leading(&hosts);
+    let (mut holder, _) = controller(&hosts);
     for second in 11..100 {
         for host in [hosts.first, hosts.second] {
-            holder.on_promise(host, secs(second), promise(1), secs(second) + SOON);
+            holder.on_promise(host, secs(second), promise(1), secs(second) + LATENCY);
         }
         assert!(holder.may_act(secs(second + 1)), "at {second} s");
     }
@@ -126,8 +126,8 @@
 #[test]
 fn one_missing_promise_ends_the_authority() {
     let hosts = hosts();
-    let (mut holder, _) = leading(&hosts);
-    holder.on_promise(hosts.first, secs(12), promise(1), secs(12) + SOON);
+    let (mut holder, _) = controller(&hosts);
+    holder.on_promise(hosts.first, secs(12), promise(1), secs(12) + LATENCY);
     assert!(!holder.may_act(secs(13)));
 }
 
@@ -138,15 +138,15 @@
 #[test]
 fn a_restarted_standby_does_not_revive_an_authority() {
     let hosts = hosts();
-    let (mut holder, row) = leading(&hosts);
+    let (mut holder, row) = controller(&hosts);
     for host in [hosts.first, hosts.second] {
-        holder.on_promise(host, secs(40), promise(2), secs(40) + SOON);
+        holder.on_promise(host, secs(40), promise(2), secs(40) + LATENCY);
     }
     assert!(!holder.may_act(secs(41)));
 
     holder.on_row_read(secs(42), Some(&row));
     for host in [hosts.first, hosts.second] {
-        holder.on_promise(host, secs(44), promise(2), secs(44) + SOON);
+        holder.on_promise(host, secs(44), promise(2), secs(44) + LATENCY);
     }
     assert!(
         holder.may_act(secs(45)),
@@ -160,14 +160,14 @@
 #[test]
 fn a_standby_may_restart_in_an_outage() {
     let hosts = hosts();
-    let (mut holder, _) = leading(&hosts);
+    let (mut holder, _) = controller(&hosts);
     for (second, incarnation) in [(12, 1), (13, 2), (14, 2)] {
         for host in [hosts.first, hosts.second] {
             holder.on_promise(
                 host,
                 secs(second),
                 promise(incarnation),
-                secs(second) + SOON,
+                secs(second) + LATENCY,
             );
         }
     }
@@ -179,25 +179,25 @@
 #[test]
 fn standbys_named_by_a_lost_write_have_to_promise_too() {
     let hosts = hosts();
-    let (mut holder, _) = leading(&hosts);
+    let (mut holder, _) = controller(&hosts);
     let now = secs(10) + timing::STANDBY_SILENCE;
     holder.on_row_read(
         now,
         Some(&row(hosts.controller, &[hosts.first, hosts.second])),
     );
     for host in [hosts.first, hosts.other] {
-        holder.on_promise(host, now, promise(1), now + SOON);
+        holder.on_promise(host, now, promise(1), now + LATENCY);
     }
-    holder.choose_standbys(&[hosts.other], now + SOON);
+    holder.choose_standbys(&[hosts.other], now + LATENCY);
     let write = holder
-        .next_write(now + SOON)
+        .next_write(now + LATENCY)
         .expect("a standby was replaced");
     assert!(write.row.standbys.contains(&hosts.other));
     holder.on_write_outcome(write.row.revision, WriteOutcome::Unknown);
 
     let later = now + secs(2);
     for host in [hosts.first, hosts.second] {
-        holder.on_promise(host, later, promise(1), later + SOON);
+        holder.on_promise(host, later, promise(1), later + LATENCY);
     }
     assert!(!holder.may_act(now + secs(3)));
 }
@@ -209,7 +209,7 @@
     let row = row(hosts.controller, &[hosts.first, hosts.second]);
     let mut standby = Standby::new(hosts.first, 3, secs(0));
     standby.on_row_read(Some(&row), secs(10));
-    let given = standby.on_heartbeat(&heard_ask(true), secs(10));
+    let given = standby.on_heartbeat(&heartbeat(true), secs(10));
     assert!(given.given);
     for millis in (0..2_500).step_by(100) {
         let now = secs(10) + Duration::from_millis(millis);
@@ -227,7 +227,7 @@
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first]);
     let mut standby = Standby::new(hosts.first, 4, secs(20));
-    let early = secs(20) + timing::SILENCE + SOON;
+    let early = secs(20) + timing::SILENCE + LATENCY;
     standby.on_row_read(Some(&row), secs(20));
     standby.on_row_read(Some(&row), early);
     assert_eq!(standby.claim(early), None);
@@ -249,7 +249,7 @@
         standby.on_claim_outcome(WriteOutcome::Unknown),
         ClaimOutcome::Unchanged
     );
-    assert!(!standby.on_heartbeat(&heard_ask(true), secs(13)).given);
+    assert!(!standby.on_heartbeat(&heartbeat(true), secs(13)).given);
 
     // The answer was lost, and the claim had taken effect.
     let seat = standby.on_row_read(Some(&claim.row), secs(14));
@@ -264,8 +264,8 @@
     let mut other = Standby::new(hosts.other, 3, secs(0));
     other.on_row_read(Some(&row), secs(10));
     let last = secs(10) + timing::ORPHAN;
-    other.on_row_read(Some(&row), last - SOON);
-    assert_eq!(other.claim(last - SOON), None);
+    other.on_row_read(Some(&row), last - LATENCY);
+    assert_eq!(other.claim(last - LATENCY), None);
     other.on_row_read(Some(&row), last);
     assert!(other.claim(last).is_some());
 }
@@ -274,13 +274,13 @@
 #[test]
 fn a_controller_stops_before_a_host_that_is_not_named_claims() {
     let hosts = hosts();
-    let (mut holder, _) = leading(&hosts);
+    let (mut holder, _) = controller(&hosts);
     let last = secs(9) + timing::ORPHAN;
     for host in [hosts.first, hosts.second] {
-        holder.on_promise(host, secs(11), promise(1), secs(11) + SOON);
-        holder.on_promise(host, last - secs(1), promise(1), last - secs(1) + SOON);
+        holder.on_promise(host, secs(11), promise(1), secs(11) + LATENCY);
+        holder.on_promise(host, last - secs(1), promise(1), last - secs(1) + LATENCY);
     }
-    assert!(!holder.may_act(last - SOON));
+    assert!(!holder.may_act(last - LATENCY));
 }
 
 /// Writes stop for seconds at each planned restart of a controller. It tells its successor which
--- a/crates/core/tests/leadership/failures.rs
+++ b/crates/core/tests/leadership/failures.rs
@@ -13,7 +13,7 @@
 }
 
 /// A world in which both services have taken writes for a while.
-fn running(seed: u64) -> World {
+fn warmed_up(seed: u64) -> World {
     let mut world = World::new(seed);
     world.run(Duration::from_secs(8));
     assert!(acknowledged_since(&world, 0, millis(7_000)) > 0);
@@ -62,11 +62,11 @@
 /// promotion that needs the table. The named standbys keep the row meanwhile.
 #[test]
 fn promotion_while_the_table_is_down() {
-    let mut world = running(1);
-    world.strike(Fault::TableDown, Duration::from_secs(60));
+    let mut world = warmed_up(1);
+    world.inject(Fault::TableDown, Duration::from_secs(60));
     world.run(world.now + Duration::from_secs(10));
     let primary = world.primary(0).unwrap();
-    world.strike(Fault::ServerDown(primary), LONG);
+    world.inject(Fault::ServerDown(primary), LONG);
     let gap = gap(&mut world, 0, Duration::from_secs(4));
     assert!(gap.is_some(), "no write in a new term within 4 s");
     let opened = world.opened[0];
@@ -90,16 +90,16 @@
 /// back with the old row. Cause: a successor that believes the table alone.
 #[test]
 fn successor_knows_of_a_promotion_that_the_table_missed() {
-    let mut world = running(2);
-    world.strike(Fault::TableDown, Duration::from_secs(20));
+    let mut world = warmed_up(2);
+    world.inject(Fault::TableDown, Duration::from_secs(20));
     world.run(world.now + Duration::from_secs(5));
     let primary = world.primary(0).unwrap();
-    world.strike(Fault::ServerDown(primary), LONG);
+    world.inject(Fault::ServerDown(primary), LONG);
     gap(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
     let opened = world.opened[0];
 
     let controller = world.controller_host().unwrap();
-    world.strike(Fault::HostAlone(controller), LONG);
+    world.inject(Fault::HostAlone(controller), LONG);
     world.run(world.now + Duration::from_secs(30));
     let successor = world.controller_host().expect("nobody took over");
     assert_ne!(successor, controller);
@@ -112,21 +112,21 @@
 /// successor that does not ask the other standbys before it begins.
 #[test]
 fn a_successor_that_forgot_asks_the_other_standbys() {
-    let mut world = running(11);
-    world.strike(Fault::TableDown, Duration::from_secs(20));
+    let mut world = warmed_up(11);
+    world.inject(Fault::TableDown, Duration::from_secs(20));
     world.run(world.now + Duration::from_secs(5));
     let primary = world.primary(0).unwrap();
-    world.strike(Fault::ServerDown(primary), LONG);
+    world.inject(Fault::ServerDown(primary), LONG);
     gap(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
     let before = service(&world, 0);
 
     let row = world.table.clone().unwrap();
     let standbys: Vec<usize> = row.standbys.iter().map(|key| world.host(*key)).collect();
     let controller = world.controller_host().unwrap();
-    world.strike(Fault::HostAlone(controller), LONG);
-    world.strike(Fault::RestartControl(standbys[0]), millis(1));
+    world.inject(Fault::HostAlone(controller), LONG);
+    world.inject(Fault::RestartControl(standbys[0]), millis(1));
     let back = Duration::from_secs(30) - world.now;
-    world.strike(Fault::PauseControl(standbys[1]), back);
+    world.inject(Fault::PauseControl(standbys[1]), back);
     world.run(Duration::from_secs(35));
     assert_eq!(world.controller_host(), Some(standbys[0]));
     assert_eq!(service(&world, 0), before);
@@ -138,19 +138,19 @@
 /// that nobody can tell what happened, and that does not wait for the one server that could.
 #[test]
 fn a_successor_with_no_witness_waits_for_all_servers() {
-    let mut world = running(12);
+    let mut world = warmed_up(12);
     let first = world.primary(0).unwrap();
     let (second, third) = ((first + 1) % ZONES, (first + 2) % ZONES);
-    world.strike(Fault::TableDown, Duration::from_secs(12));
-    world.strike(Fault::ServerDown(third), Duration::from_secs(8));
+    world.inject(Fault::TableDown, Duration::from_secs(12));
+    world.inject(Fault::ServerDown(third), Duration::from_secs(8));
     world.run(world.now + Duration::from_secs(3));
-    world.strike(Fault::ServerDown(first), Duration::from_secs(5));
+    world.inject(Fault::ServerDown(first), Duration::from_secs(5));
     gap(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
     assert_eq!(world.primary(0), Some(second));
     let opened = world.opened[0];
 
-    world.strike(Fault::ServerDown(second), Duration::from_secs(15));
-    world.strike(Fault::RestartAll, millis(1));
+    world.inject(Fault::ServerDown(second), Duration::from_secs(15));
+    world.inject(Fault::RestartAll, millis(1));
     // Each acknowledgement is checked against the newest term that was opened.
     world.run(world.now + Duration::from_secs(25));
     assert!(world.opened[0] > opened);
@@ -162,11 +162,11 @@
 /// promotes, the old one wakes up and goes on. Cause: authority that is not measured by a clock.
 #[test]
 fn controller_paused_across_a_takeover() {
-    let mut world = running(3);
+    let mut world = warmed_up(3);
     let controller = world.controller_host().unwrap();
     let primary = world.primary(0).unwrap();
-    world.strike(Fault::PauseControl(controller), Duration::from_secs(12));
-    world.strike(Fault::ServerDown(primary), LONG);
+    world.inject(Fault::PauseControl(controller), Duration::from_secs(12));
+    world.inject(Fault::ServerDown(primary), LONG);
     gap(&mut world, 0, Duration::from_secs(12)).expect("no takeover");
     let successor = world.controller_host().unwrap();
     assert_ne!(successor, controller);
@@ -181,11 +181,11 @@
 /// longer than an authority lasts are they acknowledged without it.
 #[test]
 fn standby_cut_off_in_an_outage_stops_writes_safely() {
-    let mut world = running(4);
-    world.strike(Fault::TableDown, Duration::from_secs(30));
+    let mut world = warmed_up(4);
+    world.inject(Fault::TableDown, Duration::from_secs(30));
     world.run(world.now + Duration::from_secs(5));
     let standby = standby(&world);
-    world.strike(Fault::HostAlone(standby), Duration::from_secs(10));
+    world.inject(Fault::HostAlone(standby), Duration::from_secs(10));
     let cut = world.now;
     world.run(world.now + Duration::from_secs(9));
     assert_eq!(
@@ -202,10 +202,10 @@
 #[test]
 fn table_answers_lost_during_a_promotion() {
     for seed in 5..15 {
-        let mut world = running(seed);
-        world.strike(Fault::AnswersLost, Duration::from_secs(30));
+        let mut world = warmed_up(seed);
+        world.inject(Fault::AnswersLost, Duration::from_secs(30));
         let primary = world.primary(0).unwrap();
-        world.strike(Fault::ServerDown(primary), LONG);
+        world.inject(Fault::ServerDown(primary), LONG);
         gap(&mut world, 0, Duration::from_secs(13)).expect("no promotion");
     }
 }
@@ -215,14 +215,14 @@
 /// is in the new log or known to be lost.
 #[test]
 fn both_sides_of_a_cut_are_alive() {
-    let mut world = running(6);
+    let mut world = warmed_up(6);
     let primary = world.primary(0).unwrap();
     let zone = world.servers[primary].zone;
-    world.strike(
+    world.inject(
         Fault::ServerLags((primary + 1) % ZONES),
         Duration::from_secs(2),
     );
-    world.strike(Fault::ZoneCut(zone), Duration::from_secs(30));
+    world.inject(Fault::ZoneCut(zone), Duration::from_secs(30));
     let gap = gap(&mut world, 0, Duration::from_secs(13));
     assert!(gap.is_some(), "no promotion within 13 s");
     assert!(
@@ -246,19 +246,19 @@
 /// of starts took positions of term 2 for a part of that log.
 #[test]
 fn writes_of_a_term_that_was_passed_over_are_known_to_be_lost() {
-    let mut world = running(7);
+    let mut world = warmed_up(7);
     let first = world.primary(0).unwrap();
     let (second, third) = ((first + 1) % ZONES, (first + 2) % ZONES);
-    world.strike(Fault::ServerLags(second), millis(400));
-    world.strike(Fault::ServerLags(third), LONG);
+    world.inject(Fault::ServerLags(second), millis(400));
+    world.inject(Fault::ServerLags(third), LONG);
     world.run(world.now + millis(300));
-    world.strike(Fault::ServerDown(first), Duration::from_secs(6));
+    world.inject(Fault::ServerDown(first), Duration::from_secs(6));
     gap(&mut world, 0, Duration::from_secs(13)).expect("no second term");
     let passed_over = world.opened[0];
     world.run(world.now + millis(500));
 
     for server in [second, third] {
-        world.strike(Fault::ServerDown(server), LONG);
+        world.inject(Fault::ServerDown(server), LONG);
     }
     gap(&mut world, 0, Duration::from_secs(30)).expect("no third term");
     assert_eq!(world.primary(0), Some(first));
@@ -275,9 +275,9 @@
 #[test]
 fn a_planned_switchover_loses_nothing() {
     for seed in 20..30 {
-        let mut world = running(seed);
+        let mut world = warmed_up(seed);
         let primary = world.primary(0).unwrap();
-        world.strike(Fault::ServerLeaves(primary), LONG);
+        world.inject(Fault::ServerLeaves(primary), LONG);
         gap(&mut world, 0, Duration::from_secs(4)).expect("no switchover");
         assert_ne!(world.primary(0), Some(primary));
         assert_eq!(service(&world, 0).losses, [].into(), "seed {seed}");
@@ -289,9 +289,9 @@
 /// the table does and the promises of before have lapsed.
 #[test]
 fn a_fleet_that_restarts_in_an_outage_comes_back() {
-    let mut world = running(8);
-    world.strike(Fault::TableDown, Duration::from_secs(10));
-    world.strike(Fault::RestartAll, millis(1));
+    let mut world = warmed_up(8);
+    world.inject(Fault::TableDown, Duration::from_secs(10));
+    world.inject(Fault::RestartAll, millis(1));
     world.run(world.now + Duration::from_secs(20));
     let since = world.now - Duration::from_secs(2);
     assert!(acknowledged_since(&world, 0, since) > 0);
@@ -301,9 +301,9 @@
 /// a few seconds.
 #[test]
 fn a_dead_controller_is_replaced() {
-    let mut world = running(9);
+    let mut world = warmed_up(9);
     let controller = world.controller_host().unwrap();
-    world.strike(Fault::HostAlone(controller), LONG);
+    world.inject(Fault::HostAlone(controller), LONG);
     world.run(world.now + Duration::from_secs(6));
     let since = world.now - millis(500);
     assert!(acknowledged_since(&world, 0, since) > 0);
@@ -314,7 +314,7 @@
 /// controller that drops from the row what its own configuration does not name.
 #[test]
 fn a_successor_with_an_older_configuration_forgets_nothing() {
-    let mut world = running(10);
+    let mut world = warmed_up(10);
     let controller = world.controller_host().unwrap();
     let mut older = world.groups();
     older.remove(&world.services[1]);
@@ -322,7 +322,7 @@
         world.controls[host].1.configure(older.clone());
     }
     let before = service(&world, 1);
-    world.strike(Fault::HostAlone(controller), LONG);
+    world.inject(Fault::HostAlone(controller), LONG);
     world.run(world.now + Duration::from_secs(6));
     assert_ne!(world.controller_host(), Some(controller));
     assert_eq!(service(&world, 1), before);
@@ -343,10 +343,10 @@
 fn gap_after_the_death_of_a_primary() {
     let mut gaps = Vec::new();
     for seed in 100..140 {
-        let mut world = running(seed);
+        let mut world = warmed_up(seed);
         world.run(world.now + millis(seed * 37 % 2_000));
         let primary = world.primary(0).unwrap();
-        world.strike(Fault::ServerDown(primary), LONG);
+        world.inject(Fault::ServerDown(primary), LONG);
         gaps.push(gap(&mut world, 0, Duration::from_secs(13)).expect("no promotion"));
         let unknown = |loss: &Loss| !loss.complete;
         assert!(!service(&world, 0).losses.iter().any(unknown));
@@ -362,10 +362,10 @@
 fn gap_after_the_loss_of_a_zone() {
     let mut gaps = Vec::new();
     for seed in 200..240 {
-        let mut world = running(seed);
+        let mut world = warmed_up(seed);
         world.run(world.now + millis(seed * 37 % 2_000));
         let primary = world.primary(0).unwrap();
-        world.strike(Fault::ZoneCut(world.servers[primary].zone), LONG);
+        world.inject(Fault::ZoneCut(world.servers[primary].zone), LONG);
         gaps.push(gap(&mut world, 0, Duration::from_secs(20)).expect("no promotion"));
     }
     report("zone cut", &mut gaps);
@@ -377,10 +377,10 @@
 fn gap_after_the_death_of_a_controller() {
     let mut gaps = Vec::new();
     for seed in 300..340 {
-        let mut world = running(seed);
+        let mut world = warmed_up(seed);
         world.run(world.now + millis(seed * 37 % 2_000));
         let controller = world.controller_host().unwrap();
-        world.strike(Fault::HostAlone(controller), LONG);
+        world.inject(Fault::HostAlone(controller), LONG);
         let start = world.now;
         world.run(world.now + Duration::from_secs(8));
         let mut times: Vec<Duration> = world
--- a/crates/core/tests/leadership/schedules.rs
+++ b/crates/core/tests/leadership/schedules.rs
@@ -29,7 +29,10 @@
             Ok(()) => acknowledged += world.acknowledged.len(),
             Err(_) => {
                 eprintln!("seed {seed}:");
-                world.story.iter().for_each(|line| eprintln!("{line}"));
+                world
+                    .trace_lines
+                    .iter()
+                    .for_each(|line| eprintln!("{line}"));
                 failed.push(seed);
                 if failed.len() >= number("FLAMINGOPOST_STOP").unwrap_or(5) as usize {
                     break;
@@ -55,7 +58,7 @@
             1 => world.rng.random_range(700..4_000),
             _ => world.rng.random_range(4_000..14_000),
         });
-        world.strike(fault, span);
+        world.inject(fault, span);
         let pause = Duration::from_millis(world.rng.random_range(5..2_500));
         world.run(world.now + pause);
     }
--- a/crates/core/tests/leadership/world/control.rs
+++ b/crates/core/tests/leadership/world/control.rs
@@ -20,21 +20,21 @@
 const RPC_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl World {
-    pub fn control_tick(&mut self, host: usize, life: u64) {
+    pub fn control_tick(&mut self, host: usize, generation: u64) {
         let jitter = Duration::from_millis(self.rng.random_range(0..10));
         let place = Place::Control(host);
-        self.at(place, life, STEP + jitter, move |world| {
+        self.run_at(place, generation, STEP + jitter, move |world| {
             world.step(host);
-            world.control_tick(host, life);
+            world.control_tick(host, generation);
         });
     }
 
     pub fn step(&mut self, host: usize) {
         let local = self.local(Place::Control(host));
         let actions = self.controls[host].1.step(local);
-        let life = self.controls[host].0.life;
+        let generation = self.controls[host].0.generation;
         for action in actions {
-            self.carry_out(host, life, action);
+            self.carry_out(host, generation, action);
         }
         self.check_authority();
     }
@@ -65,20 +65,20 @@
         }
     }
 
-    fn carry_out(&mut self, host: usize, life: u64, action: Action) {
+    fn carry_out(&mut self, host: usize, generation: u64, action: Action) {
         match action {
-            Action::Read => self.read(host, life),
+            Action::Read => self.read(host, generation),
             Action::Write {
                 row,
                 replaces: over,
-            } => self.write_row(host, life, row, over),
+            } => self.write_row(host, generation, row, over),
             Action::Heartbeat {
                 host: to,
                 heartbeat: ask,
             } => {
                 let to = self.host(to);
                 let sent = self.local(Place::Control(host));
-                self.call(host, life, to, move |world| {
+                self.call_control(host, generation, to, move |world| {
                     let local = world.local(Place::Control(to));
                     let promise = world.controls[to].1.on_heartbeat(&ask, local);
                     move |world: &mut World| {
@@ -90,7 +90,7 @@
             }
             Action::Release { host: to, epoch } => {
                 let to = self.host(to);
-                self.call(host, life, to, move |world| {
+                self.call_control(host, generation, to, move |world| {
                     let local = world.local(Place::Control(to));
                     let released: Released = world.controls[to].1.release(epoch, local);
                     move |world: &mut World| {
@@ -102,7 +102,7 @@
             }
             Action::Close { to, view } => {
                 for holder in to {
-                    self.send_close(host, life, holder, view.clone());
+                    self.send_close(host, generation, holder, view.clone());
                 }
             }
             Action::Publish { to, view } => {
@@ -114,7 +114,7 @@
                 let index = self.server(server);
                 let sent = self.local(Place::Control(host));
                 let read = |server: &mut Server| server.status();
-                self.order(host, life, index, read, move |world, status| {
+                self.call_server(host, generation, index, read, move |world, status| {
                     world.controls[host].1.on_status(server, sent, status);
                 });
             }
@@ -122,7 +122,7 @@
                 server,
                 term,
                 at_least,
-            } => self.promote(host, life, server, term, at_least),
+            } => self.promote(host, generation, server, term, at_least),
             Action::Follow {
                 server,
                 primary,
@@ -130,30 +130,30 @@
             } => {
                 let (index, primary) = (self.server(server), self.server(primary));
                 let follow = move |server: &mut Server| server.follow(primary, term);
-                self.order(host, life, index, follow, |_, _| {});
+                self.call_server(host, generation, index, follow, |_, _| {});
             }
             Action::Note(note) => self.note(host, note),
         }
     }
 
     fn note(&mut self, host: usize, note: Note) {
-        self.tell(format!("h{host} {note:?}"));
+        self.trace(format!("h{host} {note:?}"));
     }
 
     fn promote(
         &mut self,
         host: usize,
-        life: u64,
+        generation: u64,
         server: ServerKey,
         term: Term,
         at_least: Position,
     ) {
         let index = self.server(server);
         let service = self.servers[index].service;
-        self.tell(format!(
+        self.trace(format!(
             "h{host} orders b{index} to lead {term} from {at_least}"
         ));
-        let hop = self.hop(host, self.servers[index].zone);
+        let hop = self.message_delay(host, self.servers[index].zone);
         let timeout = move |world: &mut World, order| {
             let local = world.local(Place::Control(host));
             world.controls[host]
@@ -163,26 +163,26 @@
         };
         let place = Place::Control(host);
         let Some(delay) = hop else {
-            return self.at(place, life, RPC_TIMEOUT, move |w| {
+            return self.run_at(place, generation, RPC_TIMEOUT, move |w| {
                 timeout(w, OrderOutcome::Unknown)
             });
         };
-        self.after(delay, move |world| {
+        self.schedule(delay, move |world| {
             let order = match world.servers[index].down {
                 true => OrderOutcome::Unknown,
                 false => world.servers[index].promote(term, at_least),
             };
             if order == OrderOutcome::Done {
-                world.tell(format!(
+                world.trace(format!(
                     "b{index} leads {term} from {}",
                     world.servers[index].position()
                 ));
                 let leader = *world.promoted.entry((service, term)).or_insert(index);
                 assert_eq!(leader, index, "two primaries of term {term}");
             }
-            match world.hop(host, world.servers[index].zone) {
-                Some(delay) => world.at(place, life, delay, move |w| timeout(w, order)),
-                None => world.at(place, life, RPC_TIMEOUT, move |w| {
+            match world.message_delay(host, world.servers[index].zone) {
+                Some(delay) => world.run_at(place, generation, delay, move |w| timeout(w, order)),
+                None => world.run_at(place, generation, RPC_TIMEOUT, move |w| {
                     timeout(w, OrderOutcome::Unknown)
                 }),
             }
@@ -190,52 +190,56 @@
     }
 
     /// An order to a server and the way back of its answer; `None` when either is lost.
-    pub fn order<T: 'static>(
+    pub fn call_server<T: 'static>(
         &mut self,
         host: usize,
-        life: u64,
+        generation: u64,
         index: usize,
         order: impl FnOnce(&mut Server) -> T + 'static,
         answer: impl FnOnce(&mut World, Option<T>) + 'static,
     ) {
         let place = Place::Control(host);
         let zone = self.servers[index].zone;
-        let Some(delay) = self.hop(host, zone) else {
-            return self.at(place, life, RPC_TIMEOUT, move |world| answer(world, None));
+        let Some(delay) = self.message_delay(host, zone) else {
+            return self.run_at(place, generation, RPC_TIMEOUT, move |world| {
+                answer(world, None)
+            });
         };
-        self.after(delay, move |world| {
+        self.schedule(delay, move |world| {
             if world.servers[index].down {
-                return world.at(place, life, delay, move |world| answer(world, None));
+                return world.run_at(place, generation, delay, move |world| answer(world, None));
             }
             let result = order(&mut world.servers[index]);
-            match world.hop(host, zone) {
-                Some(delay) => world.at(place, life, delay, move |world| {
+            match world.message_delay(host, zone) {
+                Some(delay) => world.run_at(place, generation, delay, move |world| {
                     answer(world, Some(result));
                     world.step(host);
                 }),
-                None => world.at(place, life, RPC_TIMEOUT, move |world| answer(world, None)),
+                None => world.run_at(place, generation, RPC_TIMEOUT, move |world| {
+                    answer(world, None)
+                }),
             }
         });
     }
 
     /// A call to another control process and its answer.
-    fn call<A: FnOnce(&mut World) + 'static>(
+    fn call_control<A: FnOnce(&mut World) + 'static>(
         &mut self,
         host: usize,
-        life: u64,
+        generation: u64,
         to: usize,
         act: impl FnOnce(&mut World) -> A + 'static,
     ) {
-        let Some(delay) = self.hop_host(host, to) else {
+        let Some(delay) = self.host_message_delay(host, to) else {
             return;
         };
         let there = Place::Control(to);
-        let their_life = self.place(there).life;
-        self.at(there, their_life, delay, move |world| {
+        let their_generation = self.process_at(there).generation;
+        self.run_at(there, their_generation, delay, move |world| {
             let answer = act(world);
             world.step(to);
-            if let Some(delay) = world.hop_host(to, host) {
-                world.at(Place::Control(host), life, delay, move |world| {
+            if let Some(delay) = world.host_message_delay(to, host) {
+                world.run_at(Place::Control(host), generation, delay, move |world| {
                     answer(world);
                     world.step(host);
                 });
@@ -243,26 +247,26 @@
         });
     }
 
-    fn table_hop(&mut self, host: usize) -> Option<Duration> {
+    fn table_delay(&mut self, host: usize) -> Option<Duration> {
         if self.table_down {
             return None;
         }
         let slow = self.table_slow.as_millis() as u64;
         let extra = Duration::from_millis(self.rng.random_range(0..=slow));
-        Some(self.hop(host, PLATFORM)? + extra)
+        Some(self.message_delay(host, PLATFORM)? + extra)
     }
 
-    fn read(&mut self, host: usize, life: u64) {
+    fn read(&mut self, host: usize, generation: u64) {
         let sent = self.local(Place::Control(host));
-        let Some(delay) = self.table_hop(host) else {
+        let Some(delay) = self.table_delay(host) else {
             return;
         };
-        self.after(delay, move |world| {
+        self.schedule(delay, move |world| {
             let row = world.table.clone();
-            let Some(delay) = world.table_hop(host) else {
+            let Some(delay) = world.table_delay(host) else {
                 return;
             };
-            world.at(Place::Control(host), life, delay, move |world| {
+            world.run_at(Place::Control(host), generation, delay, move |world| {
                 let local = world.local(Place::Control(host));
                 world.controls[host]
                     .1
@@ -272,10 +276,10 @@
         });
     }
 
-    fn write_row(&mut self, host: usize, life: u64, row: Row, over: Option<u64>) {
+    fn write_row(&mut self, host: usize, generation: u64, row: Row, over: Option<u64>) {
         let revision = row.revision;
         let place = Place::Control(host);
-        let told = move |world: &mut World, written| {
+        let report = move |world: &mut World, written| {
             let local = world.local(place);
             world.controls[host]
                 .1
@@ -283,14 +287,14 @@
             world.step(host);
         };
         let timeout = move |world: &mut World| {
-            world.at(place, life, TABLE_TIMEOUT, move |w| {
-                told(w, WriteOutcome::Unknown)
+            world.run_at(place, generation, TABLE_TIMEOUT, move |w| {
+                report(w, WriteOutcome::Unknown)
             });
         };
-        let Some(delay) = self.table_hop(host) else {
+        let Some(delay) = self.table_delay(host) else {
             return timeout(self);
         };
-        self.after(delay, move |world| {
+        self.schedule(delay, move |world| {
             let holds = world.table.as_ref().map(|row| row.revision) == over;
             if holds {
                 world.table = Some(row);
@@ -300,8 +304,10 @@
                 false => WriteOutcome::NotDone,
             };
             let lost = world.answers_lost && world.rng.random_range(0..2) == 0;
-            match world.table_hop(host) {
-                Some(delay) if !lost => world.at(place, life, delay, move |w| told(w, written)),
+            match world.table_delay(host) {
+                Some(delay) if !lost => {
+                    world.run_at(place, generation, delay, move |w| report(w, written))
+                }
                 _ => timeout(world),
             }
         });
@@ -310,21 +316,21 @@
     fn send_close(
         &mut self,
         host: usize,
-        life: u64,
+        generation: u64,
         holder: Instance,
         view: flamingopost_core::view::Shard,
     ) {
         let to = self.host(holder.host);
-        let Some(delay) = self.hop_host(host, to) else {
+        let Some(delay) = self.host_message_delay(host, to) else {
             return;
         };
-        let their_life = self.place(Place::Entry(to)).life;
-        self.at(Place::Entry(to), their_life, delay, move |world| {
+        let their_generation = self.process_at(Place::Entry(to)).generation;
+        self.run_at(Place::Entry(to), their_generation, delay, move |world| {
             let (incarnation, version, acknowledged) = world.entries[to].1.close(view);
-            let Some(delay) = world.hop_host(to, host) else {
+            let Some(delay) = world.host_message_delay(to, host) else {
                 return;
             };
-            world.at(Place::Control(host), life, delay, move |world| {
+            world.run_at(Place::Control(host), generation, delay, move |world| {
                 let holder = Instance {
                     host: world.hosts[to],
                     incarnation,
@@ -338,9 +344,9 @@
 
     fn send_view(&mut self, host: usize, holder: Instance, view: flamingopost_core::view::Shard) {
         let to = self.host(holder.host);
-        if let Some(delay) = self.hop_host(host, to) {
-            let life = self.place(Place::Entry(to)).life;
-            self.at(Place::Entry(to), life, delay, move |world| {
+        if let Some(delay) = self.host_message_delay(host, to) {
+            let generation = self.process_at(Place::Entry(to)).generation;
+            self.run_at(Place::Entry(to), generation, delay, move |world| {
                 world.entries[to].1.adopt(view);
             });
         }
--- a/crates/core/tests/leadership/world/entry.rs
+++ b/crates/core/tests/leadership/world/entry.rs
@@ -27,19 +27,19 @@
     renewed: Option<Duration>,
     answered: Option<Duration>,
     probed: Option<Duration>,
-    seen: BTreeMap<ServerKey, Seen>,
+    probes: BTreeMap<ServerKey, ProbeState>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct ProbeState {
     failures: u32,
     broken: u32,
     answered: Option<Duration>,
 }
 
 impl Entry {
-    pub fn new(host: usize, life: u64, _now: Duration) -> Entry {
-        let incarnation = life * 100 + host as u64;
+    pub fn new(host: usize, generation: u64, _now: Duration) -> Entry {
+        let incarnation = generation * 100 + host as u64;
         Entry {
             holder: LeaseHolder::new(incarnation),
             incarnation,
@@ -47,7 +47,7 @@
             renewed: None,
             answered: None,
             probed: None,
-            seen: BTreeMap::new(),
+            probes: BTreeMap::new(),
         }
     }
 
@@ -67,13 +67,13 @@
 
     fn reports(&mut self, now: Duration) -> BTreeMap<ServerKey, Report> {
         let mut reports = BTreeMap::new();
-        for (server, seen) in &mut self.seen {
+        for (server, probes) in &mut self.probes {
             let report = Report {
-                failures: seen.failures,
-                broken: seen.broken,
-                silent: seen.answered.map(|at| now.saturating_sub(at)),
+                failures: probes.failures,
+                broken: probes.broken,
+                silent: probes.answered.map(|at| now.saturating_sub(at)),
             };
-            (seen.failures, seen.broken) = (0, 0);
+            (probes.failures, probes.broken) = (0, 0);
             reports.insert(*server, report);
         }
         reports
@@ -81,43 +81,48 @@
 }
 
 impl World {
-    pub fn entry_tick(&mut self, host: usize, life: u64) {
+    pub fn entry_tick(&mut self, host: usize, generation: u64) {
         let jitter = Duration::from_millis(self.rng.random_range(0..10));
-        self.at(Place::Entry(host), life, STEP + jitter, move |world| {
-            world.entry_step(host, life);
-            world.entry_tick(host, life);
-        });
+        self.run_at(
+            Place::Entry(host),
+            generation,
+            STEP + jitter,
+            move |world| {
+                world.entry_step(host, generation);
+                world.entry_tick(host, generation);
+            },
+        );
     }
 
-    fn entry_step(&mut self, host: usize, life: u64) {
+    fn entry_step(&mut self, host: usize, generation: u64) {
         let now = self.local(Place::Entry(host));
         let entry = &mut self.entries[host].1;
         if entry.renewed.is_none_or(|at| now >= at + timing::RENEWAL) {
-            self.renew(host, life, false);
+            self.renew(host, generation, false);
         }
         let entry = &mut self.entries[host].1;
         if entry.probed.is_none_or(|at| now >= at + PROBE) {
             entry.probed = Some(now);
             for index in 0..self.servers.len() {
-                self.probe(host, life, index);
+                self.probe(host, generation, index);
             }
         }
         if self.writing {
             let service = self.rng.random_range(0..SERVICES);
-            self.write(host, life, service);
+            self.write(host, generation, service);
         }
     }
 
     /// The host stops in good order, with requests still running.
-    pub fn farewell(&mut self, host: usize) {
-        let process = self.place(Place::Entry(host));
+    pub fn stop_entry(&mut self, host: usize) {
+        let process = self.process_at(Place::Entry(host));
         if process.paused <= self.now {
             self.entries[host].1.holder.give_up(0);
-            self.renew(host, process.life, true);
+            self.renew(host, process.generation, true);
         }
     }
 
-    fn renew(&mut self, host: usize, life: u64, stopping: bool) {
+    fn renew(&mut self, host: usize, generation: u64, stopping: bool) {
         let now = self.local(Place::Entry(host));
         let key = self.hosts[host];
         let zone = self.zones[host % ZONES];
@@ -135,22 +140,27 @@
             reports: entry.reports(now),
             stopping,
         };
-        self.at(Place::Entry(host), life, RENEWAL_TIMEOUT, move |world| {
-            let entry = &mut world.entries[host].1;
-            if entry.answered.is_none_or(|at| at < now) && entry.controller == to {
-                entry.controller = (to + 1) % HOSTS;
-            }
-        });
-        let Some(delay) = self.hop_host(host, to) else {
+        self.run_at(
+            Place::Entry(host),
+            generation,
+            RENEWAL_TIMEOUT,
+            move |world| {
+                let entry = &mut world.entries[host].1;
+                if entry.answered.is_none_or(|at| at < now) && entry.controller == to {
+                    entry.controller = (to + 1) % HOSTS;
+                }
+            },
+        );
+        let Some(delay) = self.host_message_delay(host, to) else {
             return;
         };
-        let their_life = self.place(Place::Control(to)).life;
-        self.at(Place::Control(to), their_life, delay, move |world| {
+        let their_generation = self.process_at(Place::Control(to)).generation;
+        self.run_at(Place::Control(to), their_generation, delay, move |world| {
             let local = world.local(Place::Control(to));
             let reply = world.controls[to].1.on_renewal(&renewal, local);
             world.step(to);
-            if let Some(delay) = world.hop_host(to, host) {
-                world.at(Place::Entry(host), life, delay, move |world| {
+            if let Some(delay) = world.host_message_delay(to, host) {
+                world.run_at(Place::Entry(host), generation, delay, move |world| {
                     let now = world.local(Place::Entry(host));
                     let known = match &reply {
                         Reply::Refused { controller } => controller.map(|key| world.host(key)),
@@ -177,16 +187,16 @@
         });
     }
 
-    fn probe(&mut self, host: usize, life: u64, index: usize) {
+    fn probe(&mut self, host: usize, generation: u64, index: usize) {
         let server = self.server_keys[index];
         let zone = self.servers[index].zone;
         let place = Place::Entry(host);
         let failed = move |world: &mut World, broken: u32| {
             let entry = &mut world.entries[host].1;
-            let seen = entry.seen.entry(server).or_default();
-            let first = seen.broken == 0 && broken > 0;
-            seen.failures += 1;
-            seen.broken += broken;
+            let probes = entry.probes.entry(server).or_default();
+            let first = probes.broken == 0 && broken > 0;
+            probes.failures += 1;
+            probes.broken += broken;
             let now = world.local(place);
             let entry = &world.entries[host].1;
             // A host renews at once when a server becomes unreachable.
@@ -195,30 +205,34 @@
                     .renewed
                     .is_none_or(|at| now >= at + timing::RENEWAL / 2)
             {
-                world.renew(host, life, false);
+                world.renew(host, generation, false);
             }
         };
-        let Some(delay) = self.hop(host, zone) else {
-            return self.at(place, life, PROBE_TIMEOUT, move |world| failed(world, 0));
+        let Some(delay) = self.message_delay(host, zone) else {
+            return self.run_at(place, generation, PROBE_TIMEOUT, move |world| {
+                failed(world, 0)
+            });
         };
-        self.after(delay, move |world| {
+        self.schedule(delay, move |world| {
             let down = world.servers[index].down;
-            match world.hop(host, zone) {
-                None => world.at(place, life, PROBE_TIMEOUT, move |world| failed(world, 0)),
+            match world.message_delay(host, zone) {
+                None => world.run_at(place, generation, PROBE_TIMEOUT, move |world| {
+                    failed(world, 0)
+                }),
                 Some(delay) if down => {
-                    world.at(place, life, delay, move |world| failed(world, 1));
+                    world.run_at(place, generation, delay, move |world| failed(world, 1));
                 }
-                Some(delay) => world.at(place, life, delay, move |world| {
+                Some(delay) => world.run_at(place, generation, delay, move |world| {
                     let now = world.local(place);
-                    let seen = world.entries[host].1.seen.entry(server).or_default();
-                    seen.answered = Some(now);
-                    (seen.failures, seen.broken) = (0, 0);
+                    let probes = world.entries[host].1.probes.entry(server).or_default();
+                    probes.answered = Some(now);
+                    (probes.failures, probes.broken) = (0, 0);
                 }),
             }
         });
     }
 
-    fn write(&mut self, host: usize, life: u64, service: usize) {
+    fn write(&mut self, host: usize, generation: u64, service: usize) {
         let place = Place::Entry(host);
         let now = self.local(place);
         let key = self.services[service];
@@ -229,19 +243,19 @@
         let zone = self.servers[index].zone;
         self.writes += 1;
         let id = self.writes;
-        let Some(delay) = self.hop(host, zone) else {
+        let Some(delay) = self.message_delay(host, zone) else {
             return;
         };
-        self.after(delay, move |world| {
+        self.schedule(delay, move |world| {
             let server = &mut world.servers[index];
             let answer = match server.down {
                 true => None,
                 false => server.write(id),
             };
-            let (Some(position), Some(delay)) = (answer, world.hop(host, zone)) else {
+            let (Some(position), Some(delay)) = (answer, world.message_delay(host, zone)) else {
                 return;
             };
-            world.at(place, life, delay, move |world| {
+            world.run_at(place, generation, delay, move |world| {
                 let now = world.local(place);
                 let holder = &mut world.entries[host].1.holder;
                 if holder.acknowledge(key, term, position, now) == Acknowledge::Done {
--- a/crates/core/tests/leadership/world/fault.rs
+++ b/crates/core/tests/leadership/world/fault.rs
@@ -70,16 +70,16 @@
 
 impl World {
     /// Lets `fault` happen now and pass after `span`.
-    pub fn strike(&mut self, fault: Fault, span: Duration) {
-        self.tell(format!("{fault:?} for {span:?}"));
-        self.set(fault, true, span);
-        self.after(span, move |world| {
-            world.tell(format!("{fault:?} is over"));
-            world.set(fault, false, span);
+    pub fn inject(&mut self, fault: Fault, span: Duration) {
+        self.trace(format!("{fault:?} for {span:?}"));
+        self.apply(fault, true, span);
+        self.schedule(span, move |world| {
+            world.trace(format!("{fault:?} is over"));
+            world.apply(fault, false, span);
         });
     }
 
-    fn set(&mut self, fault: Fault, on: bool, span: Duration) {
+    fn apply(&mut self, fault: Fault, on: bool, span: Duration) {
         match fault {
             Fault::ServerDown(server) => self.servers[server].down = on,
             Fault::ServerLags(server) => self.servers[server].lagging = on,
@@ -100,7 +100,7 @@
             Fault::PauseEntry(host) if on => self.entries[host].0.paused = self.now + span,
             Fault::RestartControl(host) if on => self.restart(Place::Control(host)),
             Fault::RestartEntry(host) if on => self.restart(Place::Entry(host)),
-            Fault::StopEntry(host) if on => self.farewell(host),
+            Fault::StopEntry(host) if on => self.stop_entry(host),
             Fault::StopEntry(host) => self.restart(Place::Entry(host)),
             Fault::RestartAll if on => {
                 for host in 0..HOSTS {
@@ -133,7 +133,7 @@
 
     /// Ends all faults at once.
     pub fn heal(&mut self) {
-        self.tell("all faults end".to_owned());
+        self.trace("all faults end".to_owned());
         self.cut = [[false; ZONES + 1]; ZONES + 1];
         self.isolated = [false; HOSTS];
         (self.loss, self.late) = (0, 0);
--- a/crates/core/tests/leadership/world/mod.rs
+++ b/crates/core/tests/leadership/world/mod.rs
@@ -29,12 +29,12 @@
 /// The platform's place in the matrix of cuts.
 pub const PLATFORM: usize = ZONES;
 
-type Act = Box<dyn FnOnce(&mut World)>;
+type Callback = Box<dyn FnOnce(&mut World)>;
 
 /// A process that can be paused and restarted.
 #[derive(Debug, Clone, Copy)]
 pub struct Process {
-    pub life: u64,
+    pub generation: u64,
     pub paused: Duration,
     offset: Duration,
     /// Parts in a thousand by which its clock is fast, plus a thousand.
@@ -51,7 +51,7 @@
 pub struct World {
     pub rng: ChaCha8Rng,
     pub now: Duration,
-    queue: BTreeMap<(Duration, u64), Act>,
+    queue: BTreeMap<(Duration, u64), Callback>,
     sequence: u64,
     pub cut: [[bool; ZONES + 1]; ZONES + 1],
     pub isolated: [bool; HOSTS],
@@ -72,10 +72,10 @@
     /// Newest term of each service that a controller has opened.
     pub opened: Vec<Term>,
     promoted: BTreeMap<(usize, Term), usize>,
-    /// Service, write and position of each write that a caller was told is done.
+    /// Service, write and position of each write that a caller was report is done.
     pub acknowledged: Vec<(usize, u64, Position, Duration)>,
     pub writes: u64,
-    pub story: VecDeque<String>,
+    pub trace_lines: VecDeque<String>,
     pub writing: bool,
 }
 
@@ -122,7 +122,7 @@
             promoted: BTreeMap::new(),
             acknowledged: Vec::new(),
             writes: 0,
-            story: VecDeque::new(),
+            trace_lines: VecDeque::new(),
             writing: true,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
@@ -131,7 +131,7 @@
             let control = world.controller(host, process);
             world.controls.push((process, control));
             let process = world.process(rng.random_range(0..10_000), rng.random_range(995..=1005));
-            let entry = Entry::new(host, process.life, process.local(world.now));
+            let entry = Entry::new(host, process.generation, process.local(world.now));
             world.entries.push((process, entry));
         }
         for host in 0..HOSTS {
@@ -144,7 +144,7 @@
 
     fn process(&mut self, offset: u64, rate: u32) -> Process {
         Process {
-            life: 1,
+            generation: 1,
             paused: Duration::ZERO,
             offset: Duration::from_millis(offset),
             rate,
@@ -153,8 +153,8 @@
 
     fn controller(&self, host: usize, process: Process) -> Controller {
         let local = process.local(self.now);
-        let life = process.life * 100 + host as u64;
-        let mut controller = Controller::new(self.hosts[host], life, local);
+        let generation = process.generation * 100 + host as u64;
+        let mut controller = Controller::new(self.hosts[host], generation, local);
         controller.configure(self.groups());
         let others = (1..HOSTS).map(|step| self.hosts[(host + step) % HOSTS]);
         controller.set_standby_candidates(others.collect());
@@ -185,11 +185,11 @@
             .unwrap()
     }
 
-    pub fn tell(&mut self, text: String) {
-        if self.story.len() > 400 {
-            self.story.pop_front();
+    pub fn trace(&mut self, text: String) {
+        if self.trace_lines.len() > 400 {
+            self.trace_lines.pop_front();
         }
-        self.story
+        self.trace_lines
             .push_back(format!("{:9.3} {text}", self.now.as_secs_f64()));
     }
 
@@ -206,34 +206,34 @@
         self.now = until;
     }
 
-    pub fn after(&mut self, delay: Duration, act: impl FnOnce(&mut World) + 'static) {
+    pub fn schedule(&mut self, delay: Duration, act: impl FnOnce(&mut World) + 'static) {
         self.sequence += 1;
         let key = (self.now + delay, self.sequence);
         self.queue.insert(key, Box::new(act));
     }
 
     /// Runs `act` at a process, when it is not paused and unless it has been restarted.
-    fn at(
+    fn run_at(
         &mut self,
         place: Place,
-        life: u64,
+        generation: u64,
         delay: Duration,
         act: impl FnOnce(&mut World) + 'static,
     ) {
-        self.after(delay, move |world| {
-            let process = world.place(place);
-            if process.life != life {
+        self.schedule(delay, move |world| {
+            let process = world.process_at(place);
+            if process.generation != generation {
                 return;
             }
             if process.paused > world.now {
                 let wait = process.paused - world.now;
-                return world.at(place, life, wait, act);
+                return world.run_at(place, generation, wait, act);
             }
             act(world);
         });
     }
 
-    pub fn place(&self, place: Place) -> Process {
+    pub fn process_at(&self, place: Place) -> Process {
         match place {
             Place::Control(host) => self.controls[host].0,
             Place::Entry(host) => self.entries[host].0,
@@ -241,11 +241,11 @@
     }
 
     pub fn local(&self, place: Place) -> Duration {
-        self.place(place).local(self.now)
+        self.process_at(place).local(self.now)
     }
 
     /// The delay of a message from a host to a zone or the platform; `None` when it is lost.
-    pub fn hop(&mut self, host: usize, to: usize) -> Option<Duration> {
+    pub fn message_delay(&mut self, host: usize, to: usize) -> Option<Duration> {
         let from = host % ZONES;
         if self.cut[from][to] || self.isolated[host] {
             return None;
@@ -260,18 +260,18 @@
     }
 
     /// The same between two hosts.
-    pub fn hop_host(&mut self, from: usize, to: usize) -> Option<Duration> {
+    pub fn host_message_delay(&mut self, from: usize, to: usize) -> Option<Duration> {
         if self.isolated[to] && from != to {
             return None;
         }
-        self.hop(from, to % ZONES)
+        self.message_delay(from, to % ZONES)
     }
 
     fn replicate(&mut self) {
         for index in 0..self.servers.len() {
             self.replicate_one(index);
         }
-        self.after(Duration::from_millis(25), World::replicate);
+        self.schedule(Duration::from_millis(25), World::replicate);
     }
 
     fn replicate_one(&mut self, index: usize) {
@@ -289,7 +289,7 @@
         self.servers[index].replicate(&log, most);
     }
 
-    /// Notes that a caller was told that its write is done.
+    /// Notes that a caller was report that its write is done.
     pub fn acknowledge(&mut self, service: usize, id: u64, position: Position) {
         let opened = self.opened[service];
         invariant::check(Invariant::ReplacedPrimary, position.term >= opened, || {
@@ -299,23 +299,23 @@
     }
 
     pub fn restart(&mut self, place: Place) {
-        self.tell(format!("{place:?} restarts"));
+        self.trace(format!("{place:?} restarts"));
         match place {
             Place::Control(host) => {
                 let mut process = self.controls[host].0;
-                process.life += 1;
+                process.generation += 1;
                 process.paused = self.now + Duration::from_millis(self.rng.random_range(0..800));
                 let controller = self.controller(host, process);
                 self.controls[host] = (process, controller);
-                self.control_tick(host, process.life);
+                self.control_tick(host, process.generation);
             }
             Place::Entry(host) => {
                 let mut process = self.entries[host].0;
-                process.life += 1;
+                process.generation += 1;
                 process.paused = self.now + Duration::from_millis(self.rng.random_range(0..800));
-                let entry = Entry::new(host, process.life, process.local(self.now));
+                let entry = Entry::new(host, process.generation, process.local(self.now));
                 self.entries[host] = (process, entry);
-                self.entry_tick(host, process.life);
+                self.entry_tick(host, process.generation);
             }
         }
     }
--- a/crates/core/tests/leadership/world/server.rs
+++ b/crates/core/tests/leadership/world/server.rs
@@ -68,14 +68,14 @@
         (self.term, self.leads, self.follows) = (term, false, Some(primary));
     }
 
-    /// Takes over at most `most` entries of a primary's log, after dropping what diverges.
-    pub fn replicate(&mut self, log: &[(Term, u64)], most: usize) {
+    /// Takes over at most `limit` entries of a primary's log, after dropping what diverges.
+    pub fn replicate(&mut self, log: &[(Term, u64)], limit: usize) {
         let mut common = self.log.len().min(log.len());
         while common > 0 && self.log[common - 1] != log[common - 1] {
             common -= 1;
         }
         self.log.truncate(common);
-        let until = log.len().min(common + most);
+        let until = log.len().min(common + limit);
         self.log.extend_from_slice(&log[common..until]);
     }
 }
--- a/crates/core/tests/submission.rs
+++ b/crates/core/tests/submission.rs
@@ -210,11 +210,11 @@
         store.land_some(&mut random);
     }
     for operator in &operators {
-        judge(operator, &operators, &store, seed);
+        check_outcome(operator, &operators, &store, seed);
     }
 }
 
-fn judge(operator: &Operator, operators: &[Operator], store: &Store, seed: u64) {
+fn check_outcome(operator: &Operator, operators: &[Operator], store: &Store, seed: u64) {
     let record = operator.submission.record();
     let kept = store.records.get(&record.version);
     let mine = kept.is_some_and(|kept| kept.submission == record.submission);
