--- a/crates/core/src/authority.rs
+++ b/crates/core/src/authority.rs
@@ -1,21 +1,23 @@
-//! Authority over a shard: which one process may grant leases and order promotions.
+//! Authority over a shard: which single process may grant leases and order promotions.
 //!
-//! The row of the shard in the table service names the controller and a few standbys, and only a
-//! compare-and-set of it makes another process the controller. Two things tell a controller that
-//! the row still names it:
+//! The shard's row in the table service names the controller and a few standbys. Another process
+//! becomes the controller only by a compare-and-set of that row. A controller relies on one of two
+//! proofs that the row still names it:
 //!
-//! - a read of the row, for [`timing::AUTHORITY`] from the moment the read was *sent*;
-//! - with the table service gone, promises of *all* named standbys not to claim, each for
-//!   [`timing::PROMISE`] from the moment it was *asked*.
+//! - a read of the row, valid for [`timing::AUTHORITY`] from the moment the read was *sent*;
+//! - while the table service is unavailable, promises of *all* named standbys not to claim the
+//!   shard, each valid for [`timing::PROMISE`] from the moment its heartbeat was *sent*.
 //!
-//! A standby that was restarted does not remember whether it claimed before, so its promise counts
+//! A restarted standby does not remember whether it claimed before. Its promise therefore counts
 //! only if a read sent after its first answer still named the controller, or if the promise of its
-//! earlier process was still running when it was asked.
+//! earlier process was still running when the heartbeat was sent.
 //!
-//! A named standby claims only when its own promise has lapsed, so from then on the second does
-//! not hold; after its compare-and-set it waits [`timing::AUTHORITY`], so the first does not hold
-//! either. A host that the row does not name waits until the row has been unchanged for
-//! [`timing::ORPHAN`], which is also the longest that a controller goes on by promises alone.
+//! A named standby claims only after its own promise has lapsed, which invalidates the second
+//! proof. After its compare-and-set it waits [`timing::AUTHORITY`], which invalidates the first. A
+//! host that the row does not name claims only once the row has been unchanged for
+//! [`timing::ORPHAN`], which is also the longest time that a controller relies on promises alone.
+//!
+//! A *witness* of an epoch is a process that knows every decision made under that epoch.
 
 #[path = "authority_holder.rs"]
 mod holder;
@@ -29,43 +31,46 @@
 
 use crate::row::Row;
 
-/// A controller tells a host that it is there, and may ask it not to claim.
+/// A controller's heartbeat to a host, which may ask the host not to claim the shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Epoch of the asking authority.
+    /// Epoch of the sender's authority.
     pub epoch: u32,
-    /// Whether a promise is wanted.
+    /// Whether the controller asks for a promise not to claim.
     pub wants_promise: bool,
     /// Revision of the controller's row.
     pub revision: u64,
-    /// The row, where the host is not known to have it.
+    /// The row, unless the host is known to have this revision.
     pub row: Option<Row>,
 }
 
 /// The answer to an [`Heartbeat`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Promise {
-    /// The process that answers.
+    /// Incarnation of the answering process.
     pub incarnation: u64,
     /// Whether the host promises not to claim.
     pub given: bool,
-    /// How long the promise runs, counted by the asker from the sending of its ask.
+    /// How long the promise is valid. The controller counts from when it sent its heartbeat.
     pub valid: Duration,
     /// The greatest epoch that the host knows.
     pub epoch: u32,
-    /// Revision up to which the host has the asking authority's row.
+    /// The newest revision of the controller's row that the host has.
     pub revision: u64,
 }
 
-/// A replaced controller's answer to its successor: it has given up.
+/// A host's answer to a successor that asked it to release the shard.
+///
+/// A controller that answers has given up its authority.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Released {
-    /// The process that answers. Only the replaced one knows which leases it granted.
+    /// Incarnation of the answering process. Only the replaced process knows which leases it
+    /// granted.
     pub incarnation: u64,
-    /// How long leases that it granted, or had to wait out itself, may still run.
+    /// How long leases that it granted, or itself had to wait out, may still run.
     pub leases: Duration,
-    /// The epoch of which it knows all that was decided; 0 when there is none.
+    /// The epoch of which this process is a witness, or 0 if there is none.
     pub witnessed_epoch: u32,
-    /// What it knows of the shard.
+    /// The newest row that this process knows.
     pub row: Option<Row>,
 }
--- a/crates/core/src/authority_holder.rs
+++ b/crates/core/src/authority_holder.rs
@@ -6,22 +6,22 @@
 use crate::row::{Row, Service, WriteOutcome};
 use crate::{key::ServiceKey, timing};
 
-/// The authority of a controller over its shard, and the row that it keeps.
+/// A controller's authority over its shard, and the row that it maintains.
 #[derive(Debug)]
 pub struct ShardAuthority {
     own_host: HostKey,
     incarnation: u64,
     epoch: u32,
-    /// The row as it ought to be; the table or the standbys follow.
+    /// The intended row. The table, or the standbys during an outage, receive it afterwards.
     row: Row,
-    /// The table's row as last confirmed by a read or a write's answer.
+    /// The table's row as last confirmed by a read or an acknowledged write.
     confirmed: Confirmed,
-    /// Writes of unknown outcome that may yet take effect, with the standbys they name.
+    /// Writes of unknown outcome, which may yet take effect, with the standbys that they name.
     unsettled: Vec<SentWrite>,
     writing: Option<SentWrite>,
     last_read_sent: Duration,
     standbys: BTreeMap<HostKey, Peer>,
-    /// From when leases may be granted and promotions ordered.
+    /// Time from which leases may be granted and promotions ordered.
     settled_at: Duration,
     predecessor: Option<(HostKey, u64)>,
     replaced: bool,
@@ -31,7 +31,7 @@
 struct Confirmed {
     revision: u64,
     standbys: BTreeSet<HostKey>,
-    /// When the last write that is known to have taken effect was sent.
+    /// When the last write that is known to have succeeded was sent.
     last_write_sent: Duration,
 }
 
@@ -46,29 +46,31 @@
 #[derive(Debug, Default)]
 struct Peer {
     incarnation: u64,
-    /// When this incarnation first answered.
+    /// When this incarnation first answered a heartbeat.
     first_answer: Option<Duration>,
-    /// Whether it is known that no earlier process on the host has claimed.
+    /// Whether it is known that no earlier process on the host has claimed the shard.
     verified: bool,
     heartbeat_sent: Option<Duration>,
-    /// When the last ask that was answered was sent.
+    /// When the last answered heartbeat was sent.
     last_answered: Option<Duration>,
     promised_until: Duration,
     revision: u64,
 }
 
-/// A compare-and-set that is due.
+/// A compare-and-set of the row that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowWrite {
     /// The row to write.
     pub row: Row,
-    /// Revision of the row that it replaces.
+    /// Revision of the row that is replaced.
     pub replaces: u64,
 }
 
 impl ShardAuthority {
-    /// The authority of a process whose claim put `row` into the table. The claim was sent at
-    /// `sent`; `predecessor` is the process that the replaced row named.
+    /// Creates the authority of a process whose claim wrote `row` to the table.
+    ///
+    /// The claim was sent at `sent`. `predecessor` is the controller process that the replaced row
+    /// named.
     pub fn new(
         row: Row,
         predecessor: Option<(HostKey, u64)>,
@@ -76,7 +78,7 @@
         now: Duration,
     ) -> ShardAuthority {
         // The old controller may have sent its last read just before the claim took effect,
-        // which was no later than now. Without a predecessor there is nobody to wait for.
+        // which was no later than `now`. Without a predecessor there is nothing to wait for.
         let settled_at = match predecessor {
             Some(_) => now + timing::AUTHORITY,
             None => now,
@@ -101,22 +103,22 @@
         }
     }
 
-    /// The epoch of this authority.
+    /// Returns the epoch of this authority.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// The row as it ought to be.
+    /// Returns the intended row.
     pub fn row(&self) -> &Row {
         &self.row
     }
 
-    /// Whether another process is known to have replaced this one.
+    /// Reports whether another process is known to have replaced this one.
     pub fn is_replaced(&self) -> bool {
         self.replaced
     }
 
-    /// Until when the row is known to name this process.
+    /// Returns the time until which the row is known to name this process.
     pub fn valid_until(&self) -> Duration {
         if self.replaced {
             return Duration::ZERO;
@@ -125,17 +127,19 @@
         by_read.max(self.valid_until_by_promises())
     }
 
-    /// From when the authority that this one replaced is over.
+    /// Returns the time from which the authority of the predecessor is over.
     pub fn settled_at(&self) -> Duration {
         self.settled_at
     }
 
-    /// Whether this process may act for the shard at `now`.
+    /// Reports whether this process may act for the shard at `now`.
     pub fn may_act(&self, now: Duration) -> bool {
         now >= self.settled_at && now < self.valid_until()
     }
 
-    /// The longest lease that may be granted at `now`: none outlives the authority behind it.
+    /// Returns the longest lease that may be granted at `now`.
+    ///
+    /// No lease outlives the authority under which it is granted.
     pub fn max_lease(&self, now: Duration) -> Duration {
         if !self.may_act(now) {
             return Duration::ZERO;
@@ -143,7 +147,7 @@
         self.valid_until().saturating_sub(now).min(timing::LEASE)
     }
 
-    /// Takes what a read of the table, sent at `sent`, found.
+    /// Handles the result of a table read that was sent at `sent`.
     pub fn on_row_read(&mut self, sent: Duration, row: Option<&Row>) {
         let Some(row) = row else {
             self.replaced = true;
@@ -151,19 +155,20 @@
         };
         let process = (row.controller, row.incarnation);
         if row.epoch != self.epoch || process != (self.own_host, self.incarnation) {
-            // A read that was overtaken by this process's own claim finds an older epoch.
+            // A read that was overtaken by this process's own claim returns an older epoch.
             self.replaced |= row.epoch >= self.epoch;
             return;
         }
         self.last_read_sent = self.last_read_sent.max(sent);
-        // The row still named this process when these had answered, so nobody had claimed.
+        // The row still named this process after these standbys had answered, so none of them
+        // had claimed.
         for peer in self.standbys.values_mut() {
             peer.verified |= peer.first_answer.is_some_and(|met| met <= sent);
         }
         self.confirm_revision(row.revision);
     }
 
-    /// Takes the answer to the write of `revision`.
+    /// Handles the outcome of the write of `revision`.
     pub fn on_write_outcome(&mut self, revision: u64, written: WriteOutcome) {
         let ours = |writing: &SentWrite| writing.revision == revision;
         let Some(writing) = self.writing.take_if(|writing| ours(writing)) else {
@@ -175,25 +180,25 @@
                 self.unsettled.push(writing);
                 self.confirm_revision(revision);
             }
-            // Somebody else's row, or an earlier write of this process that was thought lost:
-            // the next read tells.
+            // The table holds another process's row, or an earlier write of this process whose
+            // answer was lost. The next read distinguishes the two.
             WriteOutcome::NotDone => {}
             WriteOutcome::Unknown => self.mark_unsettled(writing),
         }
     }
 
-    /// Takes a standby's answer, at `now`, to an ask that was sent at `sent`.
+    /// Handles a standby's answer, received at `now`, to a heartbeat that was sent at `sent`.
     pub fn on_promise(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
         if promise.epoch > self.epoch {
-            // Its epoch comes from a row that it has read, so this process has been replaced; or
-            // it is claiming, and the table will tell. Either way its promise is not given.
+            // The standby has read a row of a later epoch, so this process has been replaced; or
+            // the standby is claiming, and the next read shows the outcome. Neither is a promise.
             return;
         }
         let peer = self.standbys.entry(host).or_default();
         if peer.first_answer.is_none() || peer.incarnation != promise.incarnation {
-            // A restarted standby does not know whether it claimed before, and its promise would
-            // revive an authority that its earlier process has replaced. That process cannot have
-            // claimed while its own promise was running.
+            // A restarted standby does not know whether it claimed before, and its promise could
+            // revive an authority that its earlier process has replaced. The earlier process
+            // cannot have claimed while its own promise was running.
             peer.verified &= sent < peer.promised_until;
             peer.incarnation = promise.incarnation;
             peer.first_answer = Some(now);
@@ -206,8 +211,10 @@
         }
     }
 
-    /// Takes the answer of the replaced controller at `host`: its leases are waited for instead
-    /// of its authority.
+    /// Handles a release answer from `host`.
+    ///
+    /// If it comes from the replaced controller, this authority waits for that controller's leases
+    /// instead of its whole authority.
     pub fn on_released(&mut self, host: HostKey, released: &Released, now: Duration) {
         if let Some(row) = &released.row {
             self.learn(row);
@@ -217,7 +224,7 @@
         }
     }
 
-    /// Takes in what another process knows of services.
+    /// Merges the service states that another process knows.
     pub fn learn(&mut self, row: &Row) {
         let before = self.row.services.clone();
         self.row.merge(row);
@@ -226,22 +233,23 @@
         }
     }
 
-    /// Sets the state of a service and returns the revision that has to be committed for it.
+    /// Sets the state of a service and returns the revision that must be committed for it.
     pub fn set_service(&mut self, key: ServiceKey, service: Service) -> u64 {
         self.row.services.insert(key, service);
         self.row.revision += 1;
         self.row.revision
     }
 
-    /// The revision that a successor is sure to know of: it is in the table, or every standby
-    /// that could claim has it.
+    /// Returns the newest revision that every possible successor knows.
+    ///
+    /// It is in the table, or every standby that could claim has it.
     pub fn committed_revision(&self) -> u64 {
         self.confirmed
             .revision
             .max(self.revision_kept_by_standbys())
     }
 
-    /// The write to send at `now`, if one is due and none is under way.
+    /// Returns the write to send at `now`, if one is due and none is in progress.
     pub fn next_write(&mut self, now: Duration) -> Option<RowWrite> {
         if self.replaced || self.writing.is_some() {
             return None;
@@ -265,12 +273,14 @@
         })
     }
 
-    /// Whether no write has failed since the table last answered, so the next need not wait.
+    /// Reports whether no write has an unknown outcome, so that the next needs no backoff.
     pub fn may_write_at_once(&self) -> bool {
         self.unsettled.is_empty()
     }
 
-    /// The asks to send at `now`: heartbeats, and promises where the table is silent.
+    /// Returns the heartbeats to send at `now`.
+    ///
+    /// They request promises while reads of the table are overdue.
     pub fn heartbeats(
         &mut self,
         candidates: &[HostKey],
@@ -309,10 +319,11 @@
         heartbeats
     }
 
-    /// Names standbys among `candidates`, best first, where some are missing or silent. Only
-    /// hosts that answer are named: one that cannot hear this process would claim at once.
+    /// Chooses standbys from `candidates`, best first, to fill or replace missing and silent ones.
+    ///
+    /// Only hosts that answer are chosen: a host that receives no heartbeats would claim at once.
     pub fn choose_standbys(&mut self, candidates: &[HostKey], now: Duration) {
-        // While the table is silent, each new name would only add to those who must promise.
+        // While the table is unavailable, each further standby is one more that must promise.
         if self.replaced || !self.unsettled.is_empty() || self.needs_promises(now) {
             return;
         }
@@ -328,7 +339,8 @@
         );
         let fresh = |host: &&HostKey| self.answered_within(**host, timing::SILENCE, now);
         let others = candidates.iter().filter(|host| **host != self.own_host);
-        // Never fewer than before: naming none would end the authority by promises.
+        // Silent standbys are kept rather than dropped without a replacement: with no standby
+        // named, promises could not extend the authority.
         for host in others.filter(fresh).chain(&lost) {
             if named.len() < timing::STANDBYS {
                 named.insert(*host);
@@ -340,8 +352,9 @@
         }
     }
 
-    /// Gives up, for good, and tells the successor what it has to wait for. `leases` is how long
-    /// the leases that were granted may still run.
+    /// Gives up the authority permanently and returns what the successor has to wait for.
+    ///
+    /// `leases` is how long the granted leases may still run.
     pub fn release(&mut self, leases: Duration, now: Duration) -> Released {
         self.replaced = true;
         Released {
@@ -352,7 +365,7 @@
         }
     }
 
-    /// Hosts from which a successor may want to hear: the predecessor and all who were named.
+    /// Returns the hosts that may be witnesses: the predecessor and every possible standby.
     pub fn possible_witnesses(&self) -> BTreeSet<HostKey> {
         let mut hosts = self.possible_standbys();
         hosts.extend(self.predecessor.map(|(host, _)| host));
@@ -371,7 +384,7 @@
     }
 
     fn valid_until_by_promises(&self) -> Duration {
-        // Without a standby to ask, nobody has promised anything.
+        // With no standby named there is no promise to rely on.
         if self.confirmed.standbys.is_empty() {
             return Duration::ZERO;
         }
@@ -390,8 +403,10 @@
         self.possible_standbys().iter().map(kept).min().unwrap_or(0)
     }
 
-    /// Everybody who may be named in the table: a write whose answer was lost may have taken
-    /// effect, or may yet, and the standbys it names could then claim.
+    /// Returns every host that the table may name as a standby.
+    ///
+    /// A write whose answer was lost may have taken effect, or may yet, and the standbys that it
+    /// names could then claim.
     fn possible_standbys(&self) -> BTreeSet<HostKey> {
         let mut named = self.confirmed.standbys.clone();
         for unsettled in &self.unsettled {
@@ -406,7 +421,7 @@
     fn mark_unsettled(&mut self, lost: SentWrite) {
         let same =
             |write: &SentWrite| (write.revision, write.replaces) == (lost.revision, lost.replaces);
-        // The first sending counts: it bounds from below when the row can have changed.
+        // The first send time is kept: it is a lower bound for when the row can have changed.
         if !self.unsettled.iter().any(same) {
             self.unsettled.push(lost);
         }
@@ -422,7 +437,7 @@
             self.confirmed.last_write_sent = sent.sent;
         }
         self.confirmed.revision = revision;
-        // A write over an earlier revision can no longer take effect.
+        // A write that replaces an earlier revision can no longer take effect.
         self.unsettled.retain(|write| write.replaces >= revision);
     }
 
--- a/crates/core/src/authority_standby.rs
+++ b/crates/core/src/authority_standby.rs
@@ -6,32 +6,35 @@
 use crate::row::{Row, WriteOutcome};
 use crate::timing;
 
-/// What a process that does not control a shard keeps: its promise, what it knows of the row, and
-/// whether it may claim.
+/// State of a process that does not control the shard: its promise, what it knows of the row, and
+/// whether it may claim the shard.
 #[derive(Debug)]
 pub struct Standby {
     own_host: HostKey,
     incarnation: u64,
     started: Duration,
-    /// Until when this process has promised not to claim.
+    /// Time until which this process has promised not to claim.
     promised_until: Duration,
     last_heartbeat: Duration,
+    /// The greatest epoch seen.
     epoch: u32,
-    /// The epoch whose controller has told this process all that it decided.
+    /// The epoch of which this process is a witness.
     witnessed_epoch: u32,
-    /// Everything learnt of the shard's services, from the table and from asks.
+    /// The shard's services as learnt from the table and from heartbeats.
     known_row: Option<Row>,
+    /// The result of the last successful read of the table.
     observed: Option<ObservedRow>,
     attempt: Option<Attempt>,
+    /// Whether an operator allowed this process to claim at once.
     forced: bool,
 }
 
 #[derive(Debug)]
 struct ObservedRow {
     row: Option<Row>,
-    /// When the row was first found as it is.
+    /// When the row was first read with this content.
     first_seen: Duration,
-    /// When it was last found so.
+    /// When it was last read with this content.
     last_seen: Duration,
 }
 
@@ -43,41 +46,41 @@
     sent: Duration,
     replaced_epoch: u32,
     witnessed: bool,
-    /// The answer was lost: only the table can tell how it ended.
+    /// Whether the answer was lost, so that only a read of the table shows the outcome.
     answer_lost: bool,
 }
 
-/// What a claim asks for: replace the row of revision `over` by `row`.
+/// A claim: replace the row of revision `replaces` by `row`, by compare-and-set.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     /// The new row.
     pub row: Row,
-    /// Revision that it replaces; `None` where there is no row.
+    /// Revision that is replaced, or `None` if there is no row.
     pub replaces: Option<u64>,
 }
 
-/// What the table or a claim's answer showed.
+/// What a read of the table or a claim's answer means for this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// Nothing changed for this process.
+    /// This process has not become the controller.
     Unchanged,
-    /// This process has set the row; it controls the shard once the old authority is over.
+    /// The claim succeeded. This process controls the shard once the old authority is over.
     Won {
-        /// The row.
+        /// The row that was written.
         row: Row,
-        /// The process that the replaced row named.
+        /// The controller process that the replaced row named.
         predecessor: Option<(HostKey, u64)>,
         /// When the claim was first sent.
         sent: Duration,
-        /// The epoch that is replaced; 0 where there was no row.
+        /// The epoch that is replaced, or 0 if there was no row.
         replaced_epoch: u32,
-        /// Whether this process knows all that was decided under that epoch.
+        /// Whether this process is a witness of that epoch.
         witnessed: bool,
     },
 }
 
 impl Standby {
-    /// A standby whose process started at `started`.
+    /// Creates the standby of a process that started at `started`.
     pub fn new(own_host: HostKey, incarnation: u64, started: Duration) -> Standby {
         Standby {
             own_host,
@@ -94,20 +97,24 @@
         }
     }
 
-    /// Notes that an authority of `epoch` exists: nothing is promised below it from now on.
+    /// Records that an authority of `epoch` exists. No lower epoch gets a promise from now on.
     pub fn observe_epoch(&mut self, epoch: u32) {
         self.epoch = self.epoch.max(epoch);
     }
 
-    /// Counts silence from `now`: this process has just been replaced, so somebody is there.
+    /// Restarts the silence timer at `now`.
+    ///
+    /// Called when this process has just been replaced, which shows that a controller exists.
     pub fn restart_silence(&mut self, now: Duration) {
         self.last_heartbeat = now;
     }
 
-    /// Answers a controller. A promise forbids this process to claim until it has lapsed.
+    /// Handles a controller's heartbeat and returns the answer.
+    ///
+    /// A promise forbids this process to claim until the promise has lapsed.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Duration) -> Promise {
-        // A claim that may yet take effect: a promise now would let the old controller go on
-        // after this process has replaced it.
+        // A claim in progress may yet take effect. A promise now would let the old controller
+        // continue after this process has replaced it.
         if heartbeat.epoch < self.epoch || self.attempt.is_some() {
             return self.refusal();
         }
@@ -131,7 +138,7 @@
         }
     }
 
-    /// Takes what a read of the table, sent by this process, found.
+    /// Handles the result of a table read by this process.
     pub fn on_row_read(&mut self, row: Option<&Row>, now: Duration) -> ClaimOutcome {
         self.observe_row(row, now);
         let Some(attempt) = &self.attempt else {
@@ -140,14 +147,14 @@
         if row == Some(&attempt.row) {
             return self.win_claim();
         }
-        // The row that the attempt was to replace is gone, so it can no longer take effect.
+        // The row that the attempt would replace is gone, so the attempt can no longer succeed.
         if row.map(|row| row.revision) != attempt.replaces {
             self.attempt = None;
         }
         ClaimOutcome::Unchanged
     }
 
-    /// Takes the answer to a claim.
+    /// Handles the outcome of a claim.
     pub fn on_claim_outcome(&mut self, written: WriteOutcome) -> ClaimOutcome {
         match (written, &mut self.attempt) {
             (WriteOutcome::Done, Some(_)) => self.win_claim(),
@@ -164,14 +171,18 @@
         }
     }
 
-    /// Lets this process claim without waiting for [`timing::ORPHAN`]. An operator says so after
-    /// making sure that the controller and all standbys of the row are gone.
+    /// Allows this process to claim without waiting for [`timing::ORPHAN`].
+    ///
+    /// For operators, who must first make sure that the controller and all standbys that the row
+    /// names are gone.
     pub fn force(&mut self) {
         self.forced = true;
     }
 
-    /// The claim to make at `now`, if one is due. It is repeated as it was while its outcome is
-    /// unknown: the table takes it once at most.
+    /// Returns the claim to send at `now`, if one is due.
+    ///
+    /// The same claim is repeated while its outcome is unknown, which is idempotent: the table
+    /// accepts it at most once.
     pub fn claim(&mut self, now: Duration) -> Option<Claim> {
         if self.attempt.is_none() && self.may_claim(now) {
             self.attempt = Some(self.new_attempt(now));
@@ -183,12 +194,12 @@
         })
     }
 
-    /// What this process knows of the shard; a claimer asks for it.
+    /// Returns the row as this process knows it. A claiming process asks for it.
     pub fn known_row(&self) -> Option<&Row> {
         self.known_row.as_ref()
     }
 
-    /// Takes in what another process knows of the shard.
+    /// Merges a row that was read from the table or received from another process.
     pub fn learn(&mut self, row: &Row) {
         self.epoch = self.epoch.max(row.epoch);
         match &mut self.known_row {
@@ -202,7 +213,7 @@
         }
     }
 
-    /// How often this process reads the row.
+    /// Returns the interval at which this process reads the row.
     pub fn read_interval(&self) -> Duration {
         let table = self.observed.as_ref().and_then(|seen| seen.row.as_ref());
         match table {
@@ -211,12 +222,12 @@
         }
     }
 
-    /// The epoch whose controller has told this process all that it decided; 0 for none.
+    /// Returns the epoch of which this process is a witness, or 0 if there is none.
     pub fn witnessed_epoch(&self) -> u32 {
         self.witnessed_epoch
     }
 
-    /// The greatest epoch seen.
+    /// Returns the greatest epoch seen.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
@@ -245,23 +256,24 @@
         let Some(seen) = &self.observed else {
             return false;
         };
-        // Claiming blocks promises until the table has answered. A table that has just gone away
-        // would not answer, and the controller would stop for want of this promise. A promise is
-        // kept although the wait after the claim covers it as well, as long as PROMISE is not
-        // longer than AUTHORITY: safety does not hang on how the two are set.
+        // A claim blocks promises until the table has answered. If the table has just become
+        // unavailable, it does not answer, and the controller has to stop without this promise.
+        // A promise is kept even though the wait after the claim covers it as well while PROMISE
+        // is not longer than AUTHORITY, so that safety does not depend on these two values.
         if now > seen.last_seen + self.read_interval() * 2 || now < self.promised_until {
             return false;
         }
         match &seen.row {
-            // Nobody has ever had authority; hosts start together, so the table decides.
+            // There has never been a controller. Hosts start together, and the table's compare-and-set
+            // decides between them.
             None => true,
             Some(row) => self.may_replace(row, seen.first_seen, now),
         }
     }
 
     fn may_replace(&self, row: &Row, since: Duration, now: Duration) -> bool {
-        // An earlier process on this host may have promised just before it ended, and this one
-        // would not know of it.
+        // An earlier process on this host may have given a promise just before it ended, and this
+        // process does not know of it.
         let forgotten = now < self.started + timing::PROMISE;
         if self.forced {
             return !forgotten;
@@ -275,8 +287,8 @@
                 let silence = timing::SILENCE + timing::STAGGER * rank;
                 !forgotten && now >= self.last_heartbeat.max(since) + silence
             }
-            // Only a write of the controller changes the row, and it goes on by promises no
-            // longer than this after its last one. Drift is on the waiting side.
+            // Only the controller's writes change the row, and after its last write it relies on
+            // promises for at most this long. Its own limit is shortened by the clock drift.
             None => now >= since + timing::ORPHAN,
         }
     }
