--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -1,19 +1,20 @@
-//! One process's part in the leadership of one shard: standby or controller.
+//! The role of one process in the leadership of one shard: standby or controller.
 //!
 //! A daemon keeps one [`Controller`] for each shard and drives it like this:
 //!
 //! 1. every few tens of milliseconds, and after each event, call [`Controller::step`] and carry
-//!    out the actions, none of which waits for another;
-//! 2. hand each outcome back: [`Controller::on_row_read`], [`Controller::on_write_outcome`],
+//!    out the returned actions, none of which waits for another;
+//! 2. report each outcome: [`Controller::on_row_read`], [`Controller::on_write_outcome`],
 //!    [`Controller::on_promise`], [`Controller::on_released`], [`Controller::on_closed`],
 //!    [`Controller::on_status`], [`Controller::on_promoted`]; an action without an answer in time is
-//!    handed back as unknown, or not at all where there is no such outcome;
-//! 3. answer other processes: [`Controller::on_heartbeat`], [`Controller::release`],
+//!    reported as unknown, or not at all if it has no such outcome;
+//! 3. answer requests of other processes: [`Controller::on_heartbeat`], [`Controller::release`],
 //!    [`Controller::on_renewal`];
-//! 4. tell it of changes: [`Controller::configure`], [`Controller::set_standby_candidates`].
+//! 4. report changes: [`Controller::configure`], [`Controller::set_standby_candidates`].
 //!
-//! A new view is sent to each holder in [`Action::Publish`] and comes with the next grant
-//! otherwise. After a restart everything starts from [`Controller::new`], with a new incarnation.
+//! A new view is sent to each lease holder in [`Action::Publish`]; a holder that misses it receives
+//! it with its next grant. A restarted process starts from [`Controller::new`] with a new
+//! incarnation.
 
 #[path = "leadership_lead.rs"]
 mod lead;
@@ -34,7 +35,7 @@
 use crate::timing;
 use crate::view::{self, Version};
 
-/// One process's part in the leadership of one shard.
+/// The role of one process in the leadership of one shard, and its state.
 #[derive(Debug)]
 pub struct Controller {
     own_host: HostKey,
@@ -42,14 +43,14 @@
     started: Duration,
     role: Role,
     ledger: Ledger,
-    /// Until when leases of an authority that this process replaced, and was then itself
-    /// replaced, may run.
+    /// Time until which leases of the authority that this process replaced may run. It still counts
+    /// after this process is itself replaced.
     inherited_until: Duration,
     groups: BTreeMap<ServiceKey, Group>,
     candidates: Vec<HostKey>,
     last_read_sent: Option<Duration>,
     last_claim_sent: Option<Duration>,
-    /// Whether a claim's outcome is awaited.
+    /// Whether the outcome of a claim is awaited.
     claim_pending: bool,
 }
 
@@ -59,86 +60,87 @@
     Lead(Box<Lead>),
 }
 
-/// The servers of one service, by configuration.
+/// The backend servers of one service, as configured.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
-    /// Its servers, and whether each is to be emptied.
+    /// The servers, and whether each is to be drained.
     pub servers: BTreeMap<ServerKey, Leaving>,
-    /// The primary when the service is first created.
+    /// The first primary, for a service that is new.
     pub first_primary: ServerKey,
 }
 
-/// Whether a server is to be emptied, by configuration or by the platform's list.
+/// Whether a server is to be drained, according to the configuration or the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Leaving {
-    /// It stays.
+    /// The server stays.
     No,
-    /// It gets no new work, and its service another primary.
+    /// The server gets no new work. If it is a primary, its service gets another one.
     Yes,
 }
 
-/// A lease renewal.
+/// An entry host's request to renew its lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Renewal {
-    /// Who asks.
+    /// The process that asks.
     pub holder: Instance,
     /// Its availability zone.
     pub zone: ZoneKey,
-    /// Version of the view that it acts by.
+    /// Version of the view that it uses.
     pub version: Option<Version>,
-    /// What it saw of backend servers.
+    /// Its observations of backend servers.
     pub reports: BTreeMap<ServerKey, Report>,
-    /// Whether it gives up its lease.
+    /// Whether it is stopping and gives up its lease.
     pub stopping: bool,
 }
 
 /// The answer to a [`Renewal`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// A lease.
+    /// The lease is granted.
     Granted {
-        /// The version it is on.
+        /// The view version that the lease is valid for.
         version: Version,
-        /// How long, from the sending of the renewal; zero for a holder that is stopping.
+        /// Duration, counted from when the renewal was sent; zero for a holder that is stopping.
         valid: Duration,
-        /// The view, where the holder has an older one.
+        /// The view, if the holder has an older one.
         view: Option<view::Shard>,
     },
-    /// This process may not grant leases now; `controller` is the one last known.
+    /// This process may not grant leases now.
     Refused {
-        /// Host of the controller.
+        /// Host of the last known controller.
         controller: Option<HostKey>,
     },
 }
 
-/// What a daemon has to do.
+/// An action for the daemon to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Read the shard's row; hand the result to [`Controller::on_row_read`].
+    /// Read the shard's row; pass the result to [`Controller::on_row_read`].
     Read,
-    /// Replace the row of revision `over` by `row`, by compare-and-set; `None`: there must be no
-    /// row. Hand the outcome to [`Controller::on_write_outcome`].
+    /// Replace the row of revision `replaces` by `row`, by compare-and-set. With `None`, the write
+    /// succeeds only if there is no row. Pass the outcome to [`Controller::on_write_outcome`].
     Write {
         /// The new row.
         row: Row,
-        /// Revision of the row that it replaces.
+        /// Revision of the row that is replaced.
         replaces: Option<u64>,
     },
-    /// Send `heartbeat` to a host; hand the answer to [`Controller::on_promise`].
+    /// Send `heartbeat` to a host; pass the answer to [`Controller::on_promise`].
     Heartbeat {
         /// The host.
         host: HostKey,
-        /// What it is asked.
+        /// The message.
         heartbeat: Heartbeat,
     },
-    /// Ask a host to give up below `epoch`; hand the answer to [`Controller::on_released`].
+    /// Ask a host to release authority below `epoch`; pass the answer to
+    /// [`Controller::on_released`].
     Release {
         /// The host.
         host: HostKey,
         /// Epoch of the successor.
         epoch: u32,
     },
-    /// Send `view` to lease holders and have them close what it shows as closed; hand the
+    /// Send `view` to lease holders, which close the terms that it shows as closed; pass the
     /// answers to [`Controller::on_closed`].
     Close {
         /// The holders.
@@ -146,69 +148,69 @@
         /// The view.
         view: view::Shard,
     },
-    /// Send `view` to lease holders; no answer is needed.
+    /// Send `view` to lease holders. No answer is needed.
     Publish {
         /// The holders.
         to: Vec<Instance>,
         /// The view.
         view: view::Shard,
     },
-    /// Ask a server about itself; hand the answer to [`Controller::on_status`].
+    /// Query the status of a server; pass the answer to [`Controller::on_status`].
     QueryStatus(ServerKey),
-    /// Promote a server; hand the outcome to [`Controller::on_promoted`].
+    /// Promote a server; pass the outcome to [`Controller::on_promoted`].
     Promote {
         /// The server.
         server: ServerKey,
-        /// The term it is to lead.
+        /// The term that it is to lead.
         term: Term,
-        /// What its log has to contain.
+        /// The position that its log must contain.
         at_least: Position,
     },
-    /// Let a server follow the primary of a term; no answer is needed.
+    /// Order a server to replicate from the primary of a term. No answer is needed.
     Follow {
-        /// The server.
+        /// The server that is to follow.
         server: ServerKey,
         /// The primary.
         primary: ServerKey,
         /// The term.
         term: Term,
     },
-    /// Something worth a line in the log.
+    /// Write a log line.
     Note(Note),
 }
 
-/// What happened, for the log.
+/// An occurrence to log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Note {
-    /// This process has set the row and waits for the old authority to be over.
+    /// This process has claimed the shard and waits until the old authority is over.
     Claimed {
-        /// Its epoch.
+        /// The epoch of this process's authority.
         epoch: u32,
     },
-    /// It grants leases from now on.
+    /// This process is the controller and grants leases from now on.
     Settled {
-        /// Its epoch.
+        /// The epoch of this process's authority.
         epoch: u32,
     },
-    /// Another process has replaced it.
+    /// Another process has replaced this one as the controller.
     Replaced {
-        /// Its epoch.
+        /// The epoch of this process's authority.
         epoch: u32,
     },
     /// A promotion has begun.
     Promoting {
         /// The service.
         service: ServiceKey,
-        /// Why.
+        /// The reason for the promotion.
         reason: Reason,
     },
-    /// A term is open.
+    /// A new term is open.
     Opened {
         /// The service.
         service: ServiceKey,
         /// The term.
         term: Term,
-        /// Its primary.
+        /// The primary of the term.
         primary: ServerKey,
         /// Time since the promotion began.
         took: Duration,
@@ -217,13 +219,13 @@
     Lost {
         /// The service.
         service: ServiceKey,
-        /// What.
+        /// What was lost.
         loss: Loss,
     },
 }
 
 impl Controller {
-    /// The part of a process that starts at `now` on host `own_host`.
+    /// Creates the state of a process that starts at `now` on `own_host`, as a standby.
     pub fn new(own_host: HostKey, incarnation: u64, now: Duration) -> Controller {
         Controller {
             own_host,
@@ -240,32 +242,33 @@
         }
     }
 
-    /// Sets the services of the shard and their servers.
+    /// Sets the configured services of the shard and their servers.
     pub fn configure(&mut self, groups: BTreeMap<ServiceKey, Group>) {
         self.groups = groups;
     }
 
-    /// Sets the hosts that may be named standbys, best first: some in other zones than this
-    /// one's and each other's come first.
+    /// Sets the hosts that may become standbys, best first.
+    ///
+    /// Hosts in availability zones other than this host's and each other's should come first.
     pub fn set_standby_candidates(&mut self, hosts: Vec<HostKey>) {
         self.candidates = hosts;
     }
 
-    /// Sets the zones in which the platform's list has hosts.
+    /// Sets the availability zones in which the platform lists hosts.
     pub fn set_listed_zones(&mut self, zones: BTreeSet<ZoneKey>) {
         if let Role::Lead(lead) = &mut self.role {
             lead.suspicion.list(zones);
         }
     }
 
-    /// Lets this process claim at once; see [`Standby::force`].
+    /// Allows this process to claim the shard at once; see [`Standby::force`].
     pub fn force(&mut self) {
         if let Role::Standby(standby) = &mut self.role {
             standby.force();
         }
     }
 
-    /// What is due at `now`.
+    /// Returns the actions that are due at `now`.
     pub fn step(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.is_read_due(now) {
@@ -276,7 +279,7 @@
             Role::Standby(standby) => {
                 let pause = timing::RETRY * 2;
                 let paced = self.last_claim_sent.is_none_or(|sent| now >= sent + pause);
-                // A process that has no configuration yet has nothing to control.
+                // A process without a configuration has nothing to control.
                 if !self.claim_pending
                     && paced
                     && !self.groups.is_empty()
@@ -302,8 +305,9 @@
         actions
     }
 
-    /// Takes the row that a read sent at `sent` found; `None` where there is none. A read that
-    /// failed is not handed in.
+    /// Handles the result of a read that was sent at `sent`: the row, or `None` if there is none.
+    ///
+    /// Failed reads are not reported.
     pub fn on_row_read(&mut self, sent: Duration, row: Option<&Row>, now: Duration) {
         match &mut self.role {
             Role::Standby(standby) => {
@@ -314,7 +318,7 @@
         }
     }
 
-    /// Takes the outcome of the write of `revision`.
+    /// Handles the outcome of the write of `revision`.
     pub fn on_write_outcome(&mut self, revision: u64, written: WriteOutcome, now: Duration) {
         if written != WriteOutcome::Done {
             self.last_read_sent = None;
@@ -329,7 +333,7 @@
         }
     }
 
-    /// Answers a controller's ask.
+    /// Handles a controller's heartbeat and returns the answer.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Duration) -> Promise {
         match &mut self.role {
             Role::Standby(standby) => standby.on_heartbeat(heartbeat, now),
@@ -343,14 +347,16 @@
         }
     }
 
-    /// Takes the answer, at `now`, to an ask that was sent at `sent`.
+    /// Handles the answer, received at `now`, to a heartbeat that was sent at `sent`.
     pub fn on_promise(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
         if let Role::Lead(lead) = &mut self.role {
             lead.authority.on_promise(host, sent, promise, now);
         }
     }
 
-    /// Gives up below the successor's `epoch`, and tells it what to wait for and what is known.
+    /// Gives up any authority below the successor's `epoch`.
+    ///
+    /// Returns what the successor has to wait for and what this process knows of the shard.
     pub fn release(&mut self, epoch: u32, now: Duration) -> Released {
         let leases = self.ledger.longest_remaining(now);
         let leases = leases.max(self.inherited_until.saturating_sub(now));
@@ -368,8 +374,8 @@
                 standby.observe_epoch(epoch);
                 Released {
                     incarnation: self.incarnation,
-                    // A claim of this process may have taken effect without its knowledge, and what
-                    // it replaced then is not over yet.
+                    // A claim of this process may have succeeded without its knowledge, and the
+                    // authority that it replaced may not be over yet.
                     leases: match self.last_claim_sent {
                         Some(sent) => leases.max((sent + timing::AUTHORITY).saturating_sub(now)),
                         None => leases,
@@ -381,14 +387,14 @@
         }
     }
 
-    /// Takes a host's answer to [`Action::Release`].
+    /// Handles a host's answer to [`Action::Release`].
     pub fn on_released(&mut self, host: HostKey, released: &Released, now: Duration) {
         if let Role::Lead(lead) = &mut self.role {
             lead.on_released(host, released, now);
         }
     }
 
-    /// Answers a lease renewal.
+    /// Handles a lease renewal and returns the answer.
     pub fn on_renewal(&mut self, renewal: &Renewal, now: Duration) -> Reply {
         match &mut self.role {
             Role::Standby(standby) => Reply::Refused {
@@ -398,8 +404,8 @@
         }
     }
 
-    /// Takes a holder's answer to [`Action::Close`]: the version it acts by now, and the highest
-    /// positions that it has acknowledged.
+    /// Handles a holder's answer to [`Action::Close`]: the view version that it now uses, and the
+    /// highest position that it has acknowledged for each service.
     pub fn on_closed(
         &mut self,
         holder: Instance,
@@ -411,14 +417,14 @@
         }
     }
 
-    /// Takes a server's status, asked for at `sent`, or that it could not be asked.
+    /// Handles the answer to a status query that was sent at `sent`; `None` if the query failed.
     pub fn on_status(&mut self, server: ServerKey, sent: Duration, status: Option<Status>) {
         if let Role::Lead(lead) = &mut self.role {
             lead.on_status(&self.groups, server, sent, status);
         }
     }
 
-    /// Takes the outcome of [`Action::Promote`].
+    /// Handles the outcome of [`Action::Promote`].
     pub fn on_promoted(
         &mut self,
         server: ServerKey,
@@ -431,7 +437,7 @@
         }
     }
 
-    /// Moves `service` to another primary without losing anything, as if its primary were
+    /// Starts a planned switchover of `service`, which loses no writes, as if its primary were
     /// leaving.
     pub fn switch_over(&mut self, service: ServiceKey, now: Duration) {
         if let Role::Lead(lead) = &mut self.role {
@@ -439,7 +445,8 @@
         }
     }
 
-    /// The epoch under which this process may grant leases and order promotions at `now`.
+    /// Returns the epoch under which this process may grant leases and order promotions at `now`,
+    /// or `None` if it may not.
     pub fn leading_epoch(&self, now: Duration) -> Option<u32> {
         match &self.role {
             Role::Lead(lead) if lead.is_leading(now) => Some(lead.authority.epoch()),
@@ -447,7 +454,7 @@
         }
     }
 
-    /// The row as this process knows it.
+    /// Returns the row as this process knows it.
     pub fn row(&self) -> Option<&Row> {
         match &self.role {
             Role::Standby(standby) => standby.known_row(),
@@ -455,7 +462,7 @@
         }
     }
 
-    /// The view that leases are granted on.
+    /// Returns the view that leases are granted for; `None` for a standby.
     pub fn view(&self) -> Option<&view::Shard> {
         match &self.role {
             Role::Standby(_) => None,
--- a/crates/core/src/leadership_lead.rs
+++ b/crates/core/src/leadership_lead.rs
@@ -18,22 +18,22 @@
 use crate::timing;
 use crate::view::{self, State, Version};
 
-/// What a controller keeps while it has a shard.
+/// State of a process while it is the controller of a shard.
 #[derive(Debug)]
 pub(super) struct Lead {
     pub(super) authority: ShardAuthority,
     pub(super) suspicion: Judge,
     phase: Phase,
     view: view::Shard,
-    /// Whether `view` has changed since it was last sent to holders.
+    /// Whether `view` has changed since it was last published.
     view_changed: bool,
     promotions: BTreeMap<ServiceKey, RunningPromotion>,
     statuses: BTreeMap<ServerKey, Status>,
-    /// Servers that last said that they are leaving.
+    /// Servers whose last status said that they are leaving.
     leaving_servers: BTreeSet<ServerKey>,
-    /// When each service was last opened: an older status says nothing of how it is now.
+    /// When each service's newest term was opened. Statuses requested earlier are ignored.
     opened_at: BTreeMap<ServiceKey, Duration>,
-    /// How far each open service's primary had written when it was last asked.
+    /// The position that each open service's primary last reported.
     primary_positions: BTreeMap<ServiceKey, PrimaryPosition>,
     last_status_query: Option<Duration>,
     claim_announced: bool,
@@ -43,19 +43,20 @@
 
 #[derive(Debug)]
 enum Phase {
-    /// Asking those who may know more than the row.
+    /// Asking the hosts and servers that may know of promotions that the row does not show.
     Survey {
         since: Duration,
         asked: Option<Duration>,
+        /// Hosts that have not answered the release request.
         unreleased: BTreeSet<HostKey>,
-        /// Servers that have answered.
+        /// Servers that have reported their status.
         answered: BTreeSet<ServerKey>,
-        /// The epoch that is replaced.
+        /// The epoch of the replaced authority.
         replaced_epoch: u32,
-        /// Whether somebody who was asked, or this process, knows all that was decided under it.
+        /// Whether this process, or a host that has answered, is a witness of that epoch.
         witnessed: bool,
     },
-    /// Granting leases.
+    /// The survey is complete and leases are granted.
     Settled,
 }
 
@@ -63,14 +64,14 @@
 struct RunningPromotion {
     promotion: Promotion,
     started: Duration,
-    /// Version of the view that closes the term.
+    /// Version of the view that closes the term, once there is one.
     closing_version: Option<Version>,
 }
 
-/// What a primary said of its log.
+/// The end of a primary's log, as reported by the primary.
 #[derive(Debug, Clone, Copy)]
 struct PrimaryPosition {
-    /// When it was asked.
+    /// When the status query was sent.
     sent: Duration,
     position: Position,
 }
@@ -198,7 +199,7 @@
         acknowledged: &BTreeMap<ServiceKey, Position>,
     ) {
         for (key, running) in &mut self.promotions {
-            // An answer to an earlier revocation says nothing of this one.
+            // An answer to an earlier revocation does not count for this one.
             if running
                 .closing_version
                 .is_some_and(|closing| version >= closing)
@@ -299,8 +300,8 @@
         }
     }
 
-    /// Before the first lease, hear from everybody who may know of a promotion that the row does
-    /// not show: it may have been made while the table was gone.
+    /// Before the first lease, asks every host and server that may know of a promotion that the row
+    /// does not show. Such a promotion may have been made while the table was unavailable.
     fn survey(
         &mut self,
         groups: &BTreeMap<ServiceKey, Group>,
@@ -330,8 +331,8 @@
         let servers = groups.values().flat_map(|group| group.servers.keys());
         let all_servers = servers.into_iter().all(|server| answered.contains(server));
         let gathered = unreleased.is_empty() || now >= *since + timing::GATHER;
-        // With all memory of the old authority lost, a server that does not answer may lead a
-        // term that was opened in an outage. Its writes would be lost beside those of the row's.
+        // If no witness is left, a server that does not answer may lead a term that was opened
+        // during an outage of the table. Its writes would be lost in favor of the row's primary.
         let timed_out = now >= *since + timing::FORGOTTEN;
         let witness_answered = *witnessed && now >= *since + timing::GATHER;
         let surveyed = (all_servers && gathered) || witness_answered || timed_out;
@@ -343,7 +344,7 @@
         }
     }
 
-    /// The first view: what the row says, with promotions for what is not open.
+    /// Builds the first view from the row and starts promotions of services that are not open.
     fn build_first_view(&mut self, groups: &BTreeMap<ServiceKey, Group>, now: Duration) {
         for (key, group) in groups {
             self.adopt_service(*key, group, now);
--- a/crates/core/src/leadership_promote.rs
+++ b/crates/core/src/leadership_promote.rs
@@ -1,4 +1,4 @@
-//! How a controller carries promotions out.
+//! How a controller carries out promotions.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     ) {
         let keys: Vec<ServiceKey> = self.promotions.keys().copied().collect();
         for key in keys {
-            // Removed while it runs, so that it and the rest can be changed side by side.
+            // Removed for the step, so that it can be changed together with the rest of `self`.
             let Some(mut running) = self.promotions.remove(&key) else {
                 continue;
             };
@@ -108,8 +108,8 @@
                 if let Some(shown) = self.view.services.get_mut(&key) {
                     shown.state = State::Closed { term };
                 }
-                // Holders are told before the row is committed; leases from here on are granted
-                // on the view that closes the term.
+                // The view is published before the row is committed. Leases from here on are
+                // granted for the view that closes the term.
                 self.advance_view();
                 running.closing_version = Some(self.view.version);
                 self.pass_known_written(key, running, ledger, now);
@@ -121,8 +121,10 @@
         }
     }
 
-    /// Holders whose leases are over cannot be asked what they acknowledged; but it was written
-    /// by the time the primary was asked last, if their leases were over by then.
+    /// Passes the last known position of the old primary to the promotion.
+    ///
+    /// Holders whose leases have lapsed cannot be asked what they acknowledged. If their leases had
+    /// lapsed when the primary was last queried, the position that it reported covers their writes.
     fn pass_known_written(
         &mut self,
         key: ServiceKey,
@@ -187,7 +189,8 @@
                 },
             );
         }
-        // What was known of the servers is from before; the others are to follow at once.
+        // The known statuses are from before the promotion. The other servers are ordered to follow
+        // the new primary at once.
         self.statuses.remove(&primary);
         for server in running.promotion.servers().filter(|s| *s != primary) {
             actions.push(Action::Follow {
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -1,4 +1,4 @@
-//! What a controller starts because servers, hosts or the configuration say so.
+//! How a controller reacts to the state of servers, hosts and the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::view::State;
 
 impl Lead {
-    /// Compares what servers say of themselves with the row, and starts what is needed.
+    /// Compares the servers' statuses with the row, and starts the promotions that are needed.
     pub(super) fn reconcile(
         &mut self,
         groups: &BTreeMap<ServiceKey, Group>,
@@ -78,7 +78,8 @@
                 return false;
             };
             let leads = status.leads && status.term == term;
-            // A term of a later epoch is a successor's; this process will learn of it.
+            // A term of a later epoch belongs to a successor, which this process will learn of from
+            // the table.
             let ours = status.term.epoch <= self.authority.epoch();
             ours && (status.term > term || (*server == primary && !leads))
         })
@@ -104,7 +105,7 @@
         for server in group.servers.keys().filter(|server| **server != primary) {
             let behind = |status: &Status| status.term < term || status.leads;
             if self.statuses.get(server).is_some_and(behind) {
-                // Asked again only after the next status, so that one order is under way.
+                // Ordered again only after the next status, so that one order at a time is in progress.
                 self.statuses.remove(server);
                 actions.push(Action::Follow {
                     server: *server,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Shows which servers receive no new work.
+    /// Updates the view's lists of leaving servers, and drops services that are not configured.
     pub(super) fn refresh_leaving(&mut self, groups: &BTreeMap<ServiceKey, Group>) {
         let mut changed = false;
         for (key, group) in groups {
@@ -128,8 +129,8 @@
                 changed = true;
             }
         }
-        // The row keeps what is no longer configured: a controller whose configuration is behind
-        // would otherwise forget a service's terms, and with them what was lost.
+        // The row keeps services that are no longer configured. Otherwise a controller with an
+        // outdated configuration would forget a service's terms and recorded losses.
         let before = self.view.services.len();
         self.view.services.retain(|key, _| groups.contains_key(key));
         self.promotions.retain(|key, _| groups.contains_key(key));
