--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,14 +1,15 @@
-//! Write leases as an entry host holds them: one for each shard of services.
+//! Write leases held by an entry host: one for each shard of services.
 //!
-//! The loop of an entry host, for each shard:
+//! For each shard, an entry host does the following:
 //!
 //! 1. every [`timing::RENEWAL`](crate::timing::RENEWAL), take a [`Ticket`] with
-//!    [`LeaseHolder::renewal_sent`] *before* the renewal goes on the wire;
-//! 2. hand the controller's answer to [`LeaseHolder::on_granted`] with that ticket;
-//! 3. hand a revocation to [`LeaseHolder::close`] and send back what it returns;
-//! 4. hand a pushed view to [`LeaseHolder::adopt`];
-//! 5. for each write: ask [`LeaseHolder::leader`] where it goes and under which term, and when the
-//!    backend server has answered, ask [`LeaseHolder::acknowledge`] whether the caller may be told.
+//!    [`LeaseHolder::renewal_sent`] *before* the renewal is sent;
+//! 2. pass the controller's answer to [`LeaseHolder::on_granted`] with that ticket;
+//! 3. pass a revocation to [`LeaseHolder::close`] and send back what it returns;
+//! 4. pass a pushed view to [`LeaseHolder::adopt`];
+//! 5. for each write: get its primary and its term from [`LeaseHolder::leader`], and after the
+//!    backend server has answered, check with [`LeaseHolder::acknowledge`] whether the write may
+//!    be acknowledged to the caller.
 
 #[path = "lease_ledger.rs"]
 mod ledger;
@@ -57,44 +58,49 @@
 pub struct LeaseHolder {
     incarnation: u64,
     shards: BTreeMap<u16, Lease>,
+    /// The shard of each service.
     shard_of: BTreeMap<ServiceKey, u16>,
+    /// The highest position acknowledged for each service.
     acknowledged: BTreeMap<ServiceKey, Position>,
 }
 
 #[derive(Debug, Default)]
 struct Lease {
     view: Option<view::Shard>,
+    /// When the lease ends; `None` if none was granted.
     until: Option<Duration>,
+    /// Whether this process gave up the lease permanently.
     given_up: bool,
 }
 
-/// A renewal that is on its way, and when it was sent.
+/// A renewal in progress, with the time at which it was sent.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Ticket {
     shard: u16,
     sent: Duration,
 }
 
-/// What a grant led to.
+/// The result of a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Granted {
     /// The lease runs until this time, exclusive.
     Until(Duration),
-    /// It is for an older view than the one acted by, or its view was missing: no lease came of
-    /// it. The next renewal names the version acted by.
+    /// No lease follows from the grant: it is for another view than the current one, its view is
+    /// missing, it has expired, or the lease was given up. The next renewal names the current
+    /// version.
     NoLease,
 }
 
-/// What became of a view that another process sent.
+/// The result of receiving a view from another process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adopted {
-    /// It is newer and acted by from now on.
+    /// The view is newer and is now the current one.
     Newer,
-    /// It is the one already acted by, or older.
+    /// The view is not newer, and the current one is kept.
     Kept,
 }
 
-/// Who leads a service, as far as this host may act on it.
+/// The leader of a service, as far as this host may send writes to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Leader {
     /// Writes may be sent to `primary` and acknowledged.
@@ -104,36 +110,37 @@
         /// Its primary.
         primary: ServerKey,
     },
-    /// `primary` led when the lease ran out; a write sent now could not be acknowledged.
+    /// `primary` led when the lease lapsed. A write sent now could not be acknowledged.
     Lapsed {
         /// The term.
         term: Term,
         /// Its primary.
         primary: ServerKey,
-        /// When the lease ran out; zero where there never was one.
+        /// When the lease lapsed; zero if there never was one.
         since: Duration,
     },
-    /// A promotion is under way.
+    /// A promotion is in progress.
     Closed {
         /// The term that is over.
         term: Term,
     },
-    /// No view names the service.
+    /// No view contains the service.
     Unknown,
 }
 
-/// Whether a caller may be told that its write is done.
+/// Whether a write may be acknowledged to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub enum Acknowledge {
-    /// It may; the position is recorded.
+    /// The write may be acknowledged, and its position is recorded.
     Done,
-    /// It may not, because the term may be over: the outcome is unknown.
+    /// The write may not be acknowledged, because its term may be over. Its outcome is unknown.
     Unknown,
 }
 
 impl LeaseHolder {
-    /// A holder without leases. `incarnation` tells this process from an earlier one on the host.
+    /// Creates a holder without leases. `incarnation` distinguishes this process from earlier ones
+    /// on the host.
     pub fn new(incarnation: u64) -> LeaseHolder {
         LeaseHolder {
             incarnation,
@@ -143,20 +150,22 @@
         }
     }
 
-    /// The number this process drew at its start.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Notes that a renewal for `shard` is sent at `now`. Call it before the renewal is sent: the
-    /// lease is counted from here, and so never outlasts what the controller counts from its
-    /// receipt, however long the renewal or the answer is under way.
+    /// Records that a renewal for `shard` is sent at `now`.
+    ///
+    /// Must be called before the renewal is sent. The lease is counted from this time, and so never
+    /// outlasts the controller's count, which starts when it receives the renewal, however long the
+    /// renewal or the answer takes.
     pub fn renewal_sent(&mut self, shard: u16, now: Duration) -> Ticket {
         Ticket { shard, sent: now }
     }
 
-    /// Takes the controller's answer to the renewal of `ticket`: a lease of `valid` on `version`,
-    /// and the view where it is newer than the one that the renewal named.
+    /// Handles the grant that answers the renewal of `ticket`: a lease of duration `valid` for view
+    /// `version`, and the view itself if it is newer than the one that the renewal named.
     pub fn on_granted(
         &mut self,
         ticket: Ticket,
@@ -168,9 +177,9 @@
         if let Some(view) = view {
             self.adopt(ticket.shard, view);
         }
-        // A grant that was overtaken by a revocation, or whose view never came. The controller
-        // counts every lease that it granted until it ends, so this is a second guard: a lease
-        // always covers the very view that its holder acts by.
+        // The grant was overtaken by a revocation, or its view was never received. The controller
+        // tracks every lease that it granted until it ends, so this is a second safeguard: a lease
+        // is always for the view that its holder uses.
         if self.version(ticket.shard) != Some(version) {
             return Granted::NoLease;
         }
@@ -184,20 +193,21 @@
         Granted::Until(until)
     }
 
-    /// Ends the lease of `shard` for as long as this process lives. Call it before the renewal
-    /// that says so is sent: the controller promotes without waiting for this host as soon as it
-    /// has that renewal, while a request may still be running here, or an earlier grant be on
-    /// its way.
+    /// Ends the lease of `shard` for the lifetime of this process.
+    ///
+    /// Must be called before the renewal that reports it is sent. Once the controller has received
+    /// that renewal it promotes without waiting for this host, while a request may still be running
+    /// here or an earlier grant may still arrive.
     pub fn give_up(&mut self, shard: u16) {
         let lease = self.shards.entry(shard).or_default();
         lease.given_up = true;
         lease.until = None;
     }
 
-    /// Acts by `view` from now on if it is newer than the one acted by.
+    /// Makes `view` the current view of `shard` if it is newer than the present one.
     ///
-    /// A running lease goes on under the newer view: whoever made that view counts this host's
-    /// lease until it ends, whichever version it was granted on.
+    /// A running lease stays valid under the newer view: the controller that made the view counts
+    /// this host's lease until it ends, regardless of the version that it was granted for.
     pub fn adopt(&mut self, shard: u16, view: view::Shard) -> Adopted {
         let current = self.version(shard);
         if current.is_some_and(|current| current >= view.version) {
@@ -210,11 +220,12 @@
         Adopted::Newer
     }
 
-    /// Acts by `view`, which closes terms, and returns the highest position acknowledged for each
+    /// Adopts `view`, which closes terms, and returns the highest position acknowledged for each
     /// service of the shard since this process started.
     ///
-    /// [`LeaseHolder::acknowledge`] takes the same `&mut self`, so no write of a closed term can be
-    /// acknowledged once this has returned, and none that was is missing from the result.
+    /// [`LeaseHolder::acknowledge`] takes the same `&mut self`. No write of a closed term can
+    /// therefore be acknowledged after this has returned, and the result includes every write that
+    /// was acknowledged before.
     pub fn close(&mut self, shard: u16, view: view::Shard) -> BTreeMap<ServiceKey, Position> {
         self.adopt(shard, view);
         self.acknowledged
@@ -224,7 +235,7 @@
             .collect()
     }
 
-    /// Who leads `service` at `now`.
+    /// Returns the leader of `service` at `now`.
     pub fn leader(&self, service: ServiceKey, now: Duration) -> Leader {
         let Some((lease, state)) = self.state(service) else {
             return Leader::Unknown;
@@ -240,9 +251,11 @@
         }
     }
 
-    /// Whether a write that was sent under `term`, and that the backend server has answered with
-    /// `position`, may be acknowledged to its caller at `now`. Read the clock for `now` after the
-    /// answer came, and answer the caller next.
+    /// Decides whether a write may be acknowledged to its caller at `now`, and records it if so.
+    ///
+    /// The write was sent under `term`, and the backend server answered with `position`. `now` must
+    /// be read from the clock after the server's answer arrived, and the caller must be answered
+    /// right afterwards.
     pub fn acknowledge(
         &mut self,
         service: ServiceKey,
@@ -250,13 +263,13 @@
         position: Position,
         now: Duration,
     ) -> Acknowledge {
-        // The old primary of a cut-off zone, or one that was promoted under this host's feet,
-        // answers with a position of another term than the one the write was sent under.
+        // An old primary in a partitioned zone, or one that was promoted after the write was sent,
+        // answers with a position of another term than the one that the write was sent under.
         if position.term != term {
             return Acknowledge::Unknown;
         }
         // The lease may have lapsed, or the term may have been closed, while the statement ran
-        // or while this process was paused: only a check after the answer sees that.
+        // or while this process was paused. Only a check after the answer detects that.
         match self.leader(service, now) {
             Leader::Open { term: open, .. } if open == term => {
                 self.record_acknowledged(service, position)
@@ -265,36 +278,36 @@
         }
     }
 
-    /// Where each term of `service` began.
+    /// Returns where each term of `service` began.
     pub fn history(&self, service: ServiceKey) -> Option<&History> {
         self.service(service).map(|service| &service.history)
     }
 
-    /// What the view acted by says of `service`.
+    /// Returns the state of `service` in the current view.
     pub fn service(&self, service: ServiceKey) -> Option<&view::Service> {
         let shard = self.shard_of.get(&service)?;
         let view = self.shards.get(shard)?.view.as_ref()?;
         view.services.get(&service)
     }
 
-    /// How long the lease of `shard` still runs.
+    /// Returns how long the lease of `shard` still runs.
     pub fn time_left(&self, shard: u16, now: Duration) -> Duration {
         let until = self.shards.get(&shard).and_then(|lease| lease.until);
         until.unwrap_or_default().saturating_sub(now)
     }
 
-    /// Version of the view acted by for `shard`.
+    /// Returns the version of the current view of `shard`.
     pub fn version(&self, shard: u16) -> Option<Version> {
         let view = self.shards.get(&shard)?.view.as_ref()?;
         Some(view.version)
     }
 
-    /// The view acted by for `shard`.
+    /// Returns the current view of `shard`.
     pub fn view(&self, shard: u16) -> Option<&view::Shard> {
         self.shards.get(&shard)?.view.as_ref()
     }
 
-    /// The highest position acknowledged for `service` since this process started.
+    /// Returns the highest position acknowledged for `service` since this process started.
     pub fn acknowledged(&self, service: ServiceKey) -> Option<Position> {
         self.acknowledged.get(&service).copied()
     }
--- a/crates/core/src/lease_ledger.rs
+++ b/crates/core/src/lease_ledger.rs
@@ -3,27 +3,29 @@
 
 use crate::key::HostKey;
 
-/// How long a lease that is over is remembered.
+/// How long a lease that is over is kept.
 const RETENTION: Duration = Duration::from_secs(10 * 60);
 
-/// How often such leases are looked for. Looking at each grant would make a renewal cost as much
-/// as there are holders.
+/// How often such leases are removed. Doing so at each grant would make the cost of a renewal
+/// proportional to the number of holders.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One process of one entry host: after a restart it is another holder, which knows nothing of
-/// what the earlier one acknowledged.
+/// One process of one entry host.
+///
+/// A restarted process is another holder, which does not know what the earlier one acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instance {
     /// The entry host.
     pub host: HostKey,
-    /// The number its process drew at its start.
+    /// The number that its process drew at its start.
     pub incarnation: u64,
 }
 
 /// The leases that one controller has granted, each with the latest time at which it can end.
 ///
-/// A holder counts from the sending of its renewal and leaves a margin for drift; the ledger
-/// counts in full from the grant, so it never believes a lease over that is not.
+/// A holder counts its lease from when it sent the renewal and subtracts a margin for clock drift.
+/// The ledger counts the full duration from the grant, so a lease that it considers over has lapsed
+/// for its holder as well.
 ///
 /// ```
 /// use std::time::Duration;
@@ -38,12 +40,13 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Ledger {
+    /// The time at which each lease ends.
     ends: BTreeMap<Instance, Duration>,
     last_cleanup: Duration,
 }
 
 impl Ledger {
-    /// Notes that `holder` is granted a lease of `valid` at `now`.
+    /// Records that `holder` is granted a lease of duration `valid` at `now`.
     pub fn grant(&mut self, holder: Instance, valid: Duration, now: Duration) {
         let until = self.ends.entry(holder).or_default();
         *until = (*until).max(now + valid);
@@ -53,14 +56,14 @@
         }
     }
 
-    /// Notes that a holder gave its lease up at `now`.
+    /// Records that `holder` gave up its lease at `now`.
     pub fn end(&mut self, holder: Instance, now: Duration) {
         if let Some(until) = self.ends.get_mut(&holder) {
             *until = now.min(*until);
         }
     }
 
-    /// The leases that may still run at `now`, with the times at which they end.
+    /// Returns the leases that may still run at `now`, with the times at which they end.
     pub fn running(&self, now: Duration) -> BTreeMap<Instance, Duration> {
         self.ends
             .iter()
@@ -69,14 +72,15 @@
             .collect()
     }
 
-    /// How long the last of them may run.
+    /// Returns how long the last of the leases may still run.
     pub fn longest_remaining(&self, now: Duration) -> Duration {
         let last = self.ends.values().max().copied().unwrap_or_default();
         last.saturating_sub(now)
     }
 
-    /// When the last lease ended whose holder has none at `now`. Nobody can be asked what such a
-    /// holder acknowledged.
+    /// Returns when the last lease ended whose holder has no lease at `now`.
+    ///
+    /// Such a holder cannot be asked what it acknowledged.
     pub fn last_lapse(&self, now: Duration) -> Option<Duration> {
         let over = self.ends.values().filter(|until| **until <= now);
         over.max().copied()
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,21 +1,24 @@
-//! Which entry hosts take part, from their heartbeats, and which servers are about to leave.
+//! Membership of entry hosts, derived from heartbeats, and backend servers that are leaving.
 //!
-//! A host's lease renewals are the evidence; the platform's list, which lags, is a hint that
-//! makes a host known before its first heartbeat and never one that it is gone.
+//! A host's lease renewals are its heartbeats and decide its state. The platform's list, which
+//! lags, is only a hint: it makes a host known before its first heartbeat, and never marks a host
+//! as gone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::key::{HostKey, ServerKey, ZoneKey};
 
-/// Silence after which a host is suspected.
+/// Time without a heartbeat after which a host is suspected to have failed.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Silence after which a host is taken for gone. Its leases lapse before, and what it had of
-/// budgets is returned by then; a host that was only paused comes back by its next heartbeat.
+/// Time without a heartbeat after which a host is considered gone.
+///
+/// Its leases have lapsed and its share of the budgets has been returned by then. A host that was
+/// only paused returns with its next heartbeat.
 pub const GONE_AFTER: Duration = Duration::from_secs(10);
 
-/// For how long a host that is gone is still shown to operators.
+/// Time without a heartbeat after which a host is no longer shown to operators.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
 
 /// One run of one host's process.
@@ -23,24 +26,24 @@
 pub struct Process {
     /// The host.
     pub host: HostKey,
-    /// The number that the process drew at its start.
+    /// The number that the process drew at its start; a restart draws another.
     pub incarnation: u64,
 }
 
-/// What is known of one process of an entry host.
+/// The last known state of one process of an entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Member {
     /// Its availability zone.
     pub zone: ZoneKey,
-    /// When its last heartbeat came.
+    /// When its last heartbeat was received.
     pub last_heartbeat: Duration,
-    /// Configuration version in force there.
+    /// Configuration version that is in force there.
     pub config: u64,
-    /// Whether it has said that it stops.
+    /// Whether it has reported that it is stopping.
     pub stopping: bool,
 }
 
-/// Whether a host takes part.
+/// The membership state of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, displaydoc::Display)]
 pub enum State {
     /// joining
@@ -55,18 +58,18 @@
     Leaving,
 }
 
-/// What a heartbeat says of its process.
+/// What a heartbeat reveals about its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatEffect {
-    /// It is new: a host that was never seen, or one that was restarted.
+    /// The process is new: its host was never seen before, or was restarted.
     New,
-    /// It is known.
+    /// The process is known.
     Known,
-    /// It was taken for gone and is back, with its memory.
+    /// The process was considered gone and has returned with its state intact.
     Returned,
 }
 
-/// The processes that one controller knows.
+/// The entry host processes that one controller knows.
 ///
 /// ```
 /// use std::time::Duration;
@@ -92,17 +95,17 @@
     listed_hosts: BTreeMap<HostKey, Hint>,
 }
 
-/// What the platform's list says of a host.
+/// A host's state in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Hint {
-    /// It runs, or did a while ago.
+    /// The host runs, or ran a while ago.
     Live,
-    /// It is about to be taken away.
+    /// The host is about to be removed.
     Leaving,
 }
 
 impl Membership {
-    /// A heartbeat of `process` came.
+    /// Records a heartbeat of `process`.
     pub fn heartbeat(&mut self, process: Process, member: Member) -> HeartbeatEffect {
         let before = self.members.insert(process, member);
         match before {
@@ -114,12 +117,12 @@
         }
     }
 
-    /// The platform's list was read.
+    /// Replaces the list of hosts with the platform's newest.
     pub fn set_listed_hosts(&mut self, hosts: BTreeMap<HostKey, Hint>) {
         self.listed_hosts = hosts;
     }
 
-    /// Whether `process` takes part at `now`.
+    /// Returns the state of `process` at `now`.
     pub fn state(&self, process: Process, now: Duration) -> State {
         let Some(member) = self.members.get(&process) else {
             return State::Joining;
@@ -133,14 +136,14 @@
         }
     }
 
-    /// All processes with what is known of them.
+    /// Returns all known processes with their last known states.
     pub fn members(&self) -> impl Iterator<Item = (Process, &Member)> + '_ {
         self.members
             .iter()
             .map(|(process, member)| (*process, member))
     }
 
-    /// Hosts on the platform's list of which no heartbeat came yet.
+    /// Returns the hosts that the platform lists as live but that have sent no heartbeat yet.
     pub fn joining(&self) -> impl Iterator<Item = HostKey> + '_ {
         self.listed_hosts
             .iter()
@@ -148,7 +151,7 @@
             .map(|(host, _)| *host)
     }
 
-    /// Availability zones from which a process was heard lately.
+    /// Returns the availability zones with a process that is not suspected at `now`.
     pub fn zones(&self, now: Duration) -> BTreeSet<ZoneKey> {
         self.members
             .values()
@@ -157,7 +160,7 @@
             .collect()
     }
 
-    /// Forgets processes that have been gone for long; called now and then.
+    /// Removes processes that have been gone for a long time. Should be called periodically.
     pub fn forget(&mut self, now: Duration) {
         self.members
             .retain(|_, member| silence(member, now) < FORGET_AFTER);
@@ -172,7 +175,7 @@
     now.saturating_sub(member.last_heartbeat)
 }
 
-/// Who says that a server is leaving.
+/// The source that reports a server as leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, displaydoc::Display)]
 pub enum Reason {
     /// configuration
@@ -185,8 +188,10 @@
     Server,
 }
 
-/// Servers that receive no new work, and who says so. Each source is replaced as a whole by its
-/// newest word, so a server is taken back once nobody calls it leaving any more.
+/// Servers that receive no new work, with the sources that report them as leaving.
+///
+/// The newest report of a source replaces its previous one as a whole. A server gets work again once
+/// no source reports it as leaving.
 ///
 /// ```
 /// use std::collections::BTreeSet;
@@ -206,7 +211,7 @@
 }
 
 impl LeavingServers {
-    /// `reason` calls exactly `servers` leaving; says whether that is news from it.
+    /// Replaces the servers that `reason` reports as leaving. Returns whether they changed.
     pub fn replace(&mut self, reason: Reason, servers: BTreeSet<ServerKey>) -> bool {
         let current = self.sources.entry(reason).or_default();
         let changed = *current != servers;
@@ -214,7 +219,7 @@
         changed
     }
 
-    /// One server's own word; the others' stand.
+    /// Adds or removes one server for `reason`. Returns whether that changed anything.
     pub fn set_leaving(&mut self, reason: Reason, server: ServerKey, leaving: bool) -> bool {
         let current = self.sources.entry(reason).or_default();
         match leaving {
@@ -223,12 +228,12 @@
         }
     }
 
-    /// All servers that receive no new work.
+    /// Returns all servers that receive no new work.
     pub fn servers(&self) -> BTreeSet<ServerKey> {
         self.sources.values().flatten().copied().collect()
     }
 
-    /// Who calls `server` leaving.
+    /// Returns the sources that report `server` as leaving.
     pub fn reasons(&self, server: ServerKey) -> impl Iterator<Item = Reason> + '_ {
         self.sources
             .iter()
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -1,17 +1,17 @@
 //! Promotion of one service: from the close of its term to the opening of the next.
 //!
-//! 1. *Prepare* (planned switchovers only): wait until a replica is close behind.
-//! 2. *Close*: the row says that the term is over, and every holder of a running lease is told.
-//!    The next step waits until the row is committed and each holder has answered or its lease
-//!    has lapsed.
-//! 3. *Choose* the reachable server whose data reach furthest, and wait a bounded time for one
-//!    that has all that was acknowledged.
-//! 4. *Promote* it. The order names its term and is repeated until the server says that it leads
-//!    that term; its log ends there, and the term begins there.
-//! 5. *Open* the term: the row says so, and once that is committed, holders are told.
+//! 1. *Prepare* (planned switchovers only): wait until a replica is close behind the primary.
+//! 2. *Close*: record in the row that the term is closed, and revoke every running lease. The next
+//!    step waits until the row is committed and each holder has answered or its lease has lapsed.
+//! 3. *Choose* the reachable server with the highest replication position, and wait a bounded time
+//!    for one that has every acknowledged write.
+//! 4. *Promote* that server. The order names the new term and is repeated until the server reports
+//!    that it leads that term. The term begins at the position that the server reports then.
+//! 5. *Open* the term: record it in the row, and once that is committed, send the new view to the
+//!    lease holders.
 //!
-//! A successor resumes from the row: a closed term is promoted again from step 3, under a term
-//! of the successor's own epoch.
+//! A succeeding controller resumes from the row: for a closed term it starts at step 3, with a new
+//! term of its own epoch.
 
 #[path = "promotion_next.rs"]
 mod next;
@@ -29,7 +29,7 @@
 use crate::timing;
 use crate::view::State;
 
-/// One promotion under way.
+/// One promotion in progress.
 #[derive(Debug)]
 pub struct Promotion {
     key: ServiceKey,
@@ -37,16 +37,18 @@
     servers: BTreeSet<ServerKey>,
     service: Service,
     step: Step,
+    /// Holders that have not answered the revocation, with the times at which their leases end.
     awaited_holders: BTreeMap<Instance, Duration>,
-    /// Whether every holder told what it had acknowledged.
+    /// Whether `acknowledged` covers every write that any holder can have acknowledged.
     acknowledged_complete: bool,
+    /// The highest position known to have been acknowledged or written.
     acknowledged: Option<Position>,
     statuses: BTreeMap<ServerKey, Status>,
     /// The greatest term that any server knows or was ordered to lead.
     greatest_term: Term,
     last_status_query: Option<Duration>,
     last_revocation: Option<Duration>,
-    /// How far all servers together had got, and when that last changed.
+    /// The sum of all servers' log positions, and when it last changed.
     progress: (u64, Duration),
 }
 
@@ -79,7 +81,7 @@
 }
 
 impl Promotion {
-    /// A promotion of the service `key`, which the row shows as `service`.
+    /// Creates a promotion of the service `key`, whose state in the row is `service`.
     pub fn new(
         key: ServiceKey,
         servers: BTreeSet<ServerKey>,
@@ -104,7 +106,7 @@
             service,
             step,
             awaited_holders: BTreeMap::new(),
-            // A rival's term may have had holders that nobody here knows of.
+            // A rival's term may have had lease holders that this controller does not know of.
             acknowledged_complete: !closed && reason != Reason::Rival,
             acknowledged: None,
             statuses: BTreeMap::new(),
@@ -114,29 +116,31 @@
         }
     }
 
-    /// The service.
+    /// Returns the key of the service.
     pub fn key(&self) -> ServiceKey {
         self.key
     }
 
-    /// The servers of its group.
+    /// Returns the servers of the service.
     pub fn servers(&self) -> impl Iterator<Item = ServerKey> + '_ {
         self.servers.iter().copied()
     }
 
-    /// Why it gets another primary.
+    /// Returns why the service gets another primary.
     pub fn reason(&self) -> Reason {
         self.reason
     }
 
-    /// Tells up to where the old primary is known to have written, and whether anything past
-    /// that can only have been acknowledged by the holders that are about to be asked.
+    /// Records the position up to which the old primary is known to have written.
+    ///
+    /// `complete` states that anything past it can only have been acknowledged by the holders whose
+    /// leases are about to be revoked.
     pub fn set_known_written(&mut self, position: Position, complete: bool) {
         self.acknowledged = self.acknowledged.max(Some(position));
         self.acknowledged_complete &= complete;
     }
 
-    /// Gives up waiting for a planned switchover's old primary, which has become unreachable.
+    /// Turns a planned switchover into a failover, because the old primary is unreachable.
     pub fn on_primary_unreachable(&mut self) {
         if self.reason == Reason::Leaving {
             self.reason = Reason::Unreachable;
@@ -146,25 +150,27 @@
         }
     }
 
-    /// Tells that the closed state is in the row of `revision` and in the view, and which leases
-    /// were running when it got there. Leases granted later are on that view.
+    /// Records that the closed state is in the row of `revision` and in the view.
+    ///
+    /// `running` are the leases that were running at that time. Leases granted later are for that
+    /// view.
     pub fn begin_closing(&mut self, revision: u64, running: BTreeMap<Instance, Duration>) {
         self.awaited_holders = running;
         self.step = Step::Closing { revision };
     }
 
-    /// Tells that the open state is in the row of `revision`.
+    /// Records that the open state is in the row of `revision`.
     pub fn begin_opening(&mut self, revision: u64) {
         self.step = Step::Opening { revision };
     }
 
-    /// Takes a holder's answer to the revocation.
+    /// Handles a holder's answer to the revocation.
     pub fn on_closed(&mut self, holder: Instance, acknowledged: Option<Position>) {
         self.awaited_holders.remove(&holder);
         self.acknowledged = self.acknowledged.max(acknowledged);
     }
 
-    /// Takes a server's status, or that it could not be asked.
+    /// Handles a server's status, or `None` if the query failed.
     pub fn on_status(&mut self, server: ServerKey, status: Option<Status>) {
         let Some(status) = status else {
             self.statuses.remove(&server);
@@ -189,8 +195,9 @@
         }
     }
 
-    /// Takes the answer to a promotion order. `Done` and `Unknown` alike are settled by the
-    /// server's own status.
+    /// Handles the outcome of a promotion order.
+    ///
+    /// After both `Done` and `Unknown`, the server's own status decides.
     pub fn on_promoted(
         &mut self,
         server: ServerKey,
@@ -222,8 +229,10 @@
         }
     }
 
-    /// What to do at `now`, under the authority of `epoch`, whose row is committed up to
-    /// `committed`.
+    /// Advances the promotion and returns the actions that are due at `now`.
+    ///
+    /// `epoch` is that of the controller's authority, and `committed` the committed revision of its
+    /// row.
     pub fn step(&mut self, epoch: u32, committed: u64, now: Duration) -> Vec<PromotionAction> {
         let mut actions = Vec::new();
         self.track_progress(now);
@@ -298,8 +307,8 @@
     fn revoke(&mut self, now: Duration) -> Option<PromotionAction> {
         let awaited = self.awaited_holders.len();
         self.awaited_holders.retain(|_, until| *until > now);
-        // A lease that lapsed without an answer: its holder may have acknowledged more than
-        // anybody knows.
+        // A lease lapsed without an answer. Its holder may have acknowledged writes that are not
+        // covered by `acknowledged`.
         self.acknowledged_complete &= awaited == self.awaited_holders.len();
         if self.awaited_holders.is_empty()
             || self
@@ -318,7 +327,8 @@
         let Step::Choosing { since, not_before } = self.step else {
             return None;
         };
-        // A term of a later epoch: this controller has been replaced and will learn of it.
+        // A term of a later epoch shows that this controller has been replaced. It will learn of
+        // that from the table.
         if now < not_before || self.greatest_term.epoch > epoch {
             return None;
         }
@@ -347,8 +357,8 @@
             return None;
         };
         if now >= since + timing::CONFIRM {
-            // It may have taken the term and may yet say so; the next order uses a greater one,
-            // and nobody is told of a term that was not opened.
+            // The server may have taken the term and may yet report it. The next order uses a
+            // greater term, and a term that was not opened is never published.
             self.statuses.remove(&server);
             self.step = Step::Choosing {
                 since,
@@ -379,7 +389,8 @@
         }
     }
 
-    /// The server to promote at `now`, where the choice began at `since`, if it is time.
+    /// Returns the server to promote at `now`, or `None` if the choice, which began at `since`, has
+    /// to wait longer.
     fn choose_server(&self, since: Duration, now: Duration) -> Option<(ServerKey, Status)> {
         let waited = now.saturating_sub(since);
         let replaced = self.service.primary.filter(|_| self.avoids_replaced());
@@ -391,8 +402,8 @@
             .all(|s| self.statuses.contains_key(s));
         let gathered = all_answered || waited >= self.answer_timeout();
         let known_complete = self.acknowledged_complete && self.acknowledged.is_some();
-        // Everybody has been asked, the old primary is gone, and nothing moves any more: more
-        // waiting brings nothing.
+        // All candidates have answered, the old primary is gone, and replication has stopped:
+        // waiting longer gains nothing.
         let gone = replaced.is_none_or(|server| !self.statuses.contains_key(&server));
         let stalled = now >= self.progress.1.max(since) + timing::STILL;
         let is_final = all_answered && gone && stalled;
@@ -403,8 +414,8 @@
                 best
             }
             _ if waited < self.catch_up_timeout() && !is_final => None,
-            // Nobody else has all, or nobody else is there: the replaced primary is taken if
-            // it can be reached and has more.
+            // No other server has everything, or no other server is reachable: the replaced
+            // primary is chosen if it is reachable and has the highest position.
             _ => self.most_advanced(|_| true),
         }
     }
@@ -418,7 +429,7 @@
 
     fn answer_timeout(&self) -> Duration {
         match self.reason {
-            // The one that does not answer may be the one that led the greater term.
+            // The server that has not answered may be the one that led the greater term.
             Reason::Rival => timing::CATCH_UP,
             _ => timing::GATHER,
         }
@@ -428,7 +439,8 @@
         !matches!(self.reason, Reason::Rival | Reason::Created(_))
     }
 
-    /// Data decide; among equals, one that stays, then the one that is wanted or leads already.
+    /// Returns the server with the highest position. Ties go to a server that is not leaving, then
+    /// to the preferred one: the configured first primary, or else the present primary.
     fn most_advanced(&self, filter: impl Fn(&ServerKey) -> bool) -> Option<(ServerKey, Status)> {
         let wanted = match self.reason {
             Reason::Created(first) => Some(first),
@@ -460,7 +472,8 @@
         let lost = self
             .acknowledged
             .filter(|p| !service.history.covers(start, *p));
-        // An earlier promotion that this one goes back behind may have lost more than it knew.
+        // This promotion may start before an earlier one did whose record of losses is incomplete.
+        // Its own record is incomplete then as well.
         let incomplete_loss = |loss: &Loss| loss.opened > start.term && !loss.complete;
         let complete = self.acknowledged_complete && !service.losses.iter().any(incomplete_loss);
         if lost.is_some() || !(complete || created) {
--- a/crates/core/src/promotion_next.rs
+++ b/crates/core/src/promotion_next.rs
@@ -9,60 +9,61 @@
 /// Why a service gets another primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// It is new; this server is to be its first primary.
+    /// The service is new, and this server is to be its first primary.
     Created(ServerKey),
-    /// Hosts cannot reach its primary.
+    /// Entry hosts cannot reach the primary.
     Unreachable,
-    /// Its primary is leaving and still there.
+    /// The primary is leaving and still reachable.
     Leaving,
     /// A server knows a greater term than the row, or the primary does not lead its term.
     Rival,
-    /// An earlier controller closed the term and did not get further.
+    /// An earlier controller closed the term and opened no other.
     Resumed,
 }
 
-/// What a backend server says of itself.
+/// A backend server's report of its own state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
-    /// The greatest term it knows.
+    /// The greatest term that the server knows.
     pub term: Term,
-    /// Whether it leads that term.
+    /// Whether it is the primary of that term.
     pub leads: bool,
     /// The last entry of its log.
     pub position: Position,
-    /// How old its data may be.
+    /// Upper bound of the staleness of its data.
     pub age: Duration,
-    /// Whether it is about to be taken away.
+    /// Whether it is about to be removed from the platform.
     pub leaving: bool,
 }
 
-/// How an order to a backend server ended.
+/// The outcome of an order to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The server did as told.
+    /// The server carried out the order.
     Done,
-    /// The server refuses: it knows a greater term, or lacks data.
+    /// The server refused: it knows a greater term, or its log lacks the required position.
     Refused,
-    /// No answer came: it may have done it, or may yet.
+    /// No answer was received. The server may have carried out the order, or may yet do so.
     Unknown,
 }
 
-/// What a promotion wants done.
+/// An action that a promotion asks its controller to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PromotionAction {
-    /// Put this state into the row, and tell [`Promotion::begin_closing`] or [`Promotion::begin_opening`].
+    /// Write this state to the row, and call [`Promotion::begin_closing`] or
+    /// [`Promotion::begin_opening`].
     Commit(Service),
-    /// Send the view, in which the term is closed, to these holders.
+    /// Send the view, in which the term is closed, to these lease holders.
     Revoke(Vec<Instance>),
-    /// Ask these servers for their status.
+    /// Query the status of these servers.
     QueryStatus(Vec<ServerKey>),
-    /// Promote `server` in `term` if its data reach `at_least`.
+    /// Promote `server` to the primary of `term` if its log contains `at_least`.
     Promote {
         /// The server.
         server: ServerKey,
-        /// The term it is to lead.
+        /// The term that it is to lead.
         term: Term,
-        /// What its log has to contain.
+        /// The position that its log must contain.
         at_least: Position,
     },
     /// The new term is open and committed.
--- a/crates/core/src/row.rs
+++ b/crates/core/src/row.rs
@@ -1,4 +1,4 @@
-//! The row of one shard in the table service: who controls it, and the state of its services.
+//! The row of one shard in the table service: its controller and the state of its services.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,82 +8,84 @@
 use crate::term::Term;
 use crate::view::State;
 
-/// What the table service keeps about one shard.
+/// The state of one shard that the table service stores.
 ///
-/// `revision` grows with every change, whoever makes it, so it names the row in one table: a
-/// write names the revision that it replaces.
+/// `revision` grows with every change, no matter which process makes it, and so identifies the
+/// content of the row: each write names the revision that it replaces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Epoch of the controller's authority; grows by compare-and-set only.
+    /// Epoch of the controller's authority. Grows only by compare-and-set.
     pub epoch: u32,
-    /// Changes of the row since it was made.
+    /// Number of changes of the row since its creation.
     pub revision: u64,
     /// Host of the controller.
     pub controller: HostKey,
-    /// The controller's process on that host.
+    /// Incarnation of the controller's process on that host.
     pub incarnation: u64,
-    /// Hosts that may claim the shard when the controller is silent.
+    /// Hosts that may claim the shard when the controller sends no heartbeats.
     pub standbys: BTreeSet<HostKey>,
     /// The state of each service.
     pub services: BTreeMap<ServiceKey, Service>,
 }
 
-/// What the row says of one service.
+/// The state of one service in the row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Whether writes may be acknowledged, and by whom.
+    /// Whether writes may be acknowledged, and the primary.
     pub state: State,
     /// The primary of the newest term, also when that term is over.
     pub primary: Option<ServerKey>,
-    /// Where each term began that led to the newest one.
+    /// Where the newest term began, and each term that it descends from.
     pub history: History,
-    /// Where every term began that was ever opened, also those of which nothing was kept: a server
-    /// that still has their log may be the only one left some day.
+    /// Where every term began that was ever opened, including terms of which nothing was kept. A
+    /// server that still has such a term's log may be the only one left at a later promotion.
     pub origins: BTreeMap<Term, Origin>,
-    /// What promotions have lost, oldest first.
+    /// The losses of past promotions, oldest first.
     pub losses: BTreeSet<Loss>,
 }
 
 /// Where a term began.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Origin {
-    /// The term whose log it went on from; `None` for the first.
+    /// The term whose log it continues; `None` for the first.
     pub parent: Option<Term>,
-    /// The log position there.
+    /// The log position at which it begins.
     pub start: u64,
 }
 
-/// What one promotion lost or may have lost.
+/// The writes that one promotion lost or may have lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Loss {
     /// The term that the promotion opened.
     pub opened: Term,
-    /// Where it began; what an older term wrote past this point is lost.
+    /// Where that term begins. Writes of older terms past this point are lost.
     pub start: u64,
-    /// The highest position known to have been acknowledged, or written and perhaps
+    /// The highest position known to have been acknowledged, or to have been written and possibly
     /// acknowledged by a holder that is gone, if it is past `start`.
     pub acknowledged: Option<Position>,
-    /// Whether nothing past `acknowledged` can have been acknowledged. Where not, a lease holder
-    /// could not be asked; a session that has such a position is told when it comes.
+    /// Whether nothing past `acknowledged` can have been acknowledged. If `false`, a lease holder
+    /// could not be asked, and a session that has such a position is told of the loss with its
+    /// next statement.
     pub complete: bool,
 }
 
-/// How a compare-and-set of the row ended.
+/// The outcome of a compare-and-set of the row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Done,
-    /// It did not and will not: the table held another row, or the request never left.
+    /// The write did not and will not take effect: the table held another row, or the request was
+    /// never sent.
     NotDone,
-    /// No answer came: it may have taken effect, or may yet.
+    /// No answer was received. The write may have taken effect, or may yet do so.
     Unknown,
 }
 
 impl Row {
-    /// Adds what `other` knows of services and this row does not.
+    /// Merges the service states of `other` into this row.
     ///
-    /// A service only moves upward: a term opens, closes, and is followed by a greater one. So
-    /// the later of two states is known without knowing in which order the rows were made.
+    /// A service's state only moves forward: a term opens, closes, and is followed by a greater
+    /// one. The later of two states can therefore be told without knowing which row is newer.
     pub fn merge(&mut self, other: &Row) {
         for (key, service) in &other.services {
             match self.services.get_mut(key) {
@@ -97,7 +99,7 @@
 }
 
 impl Service {
-    /// A service that has no primary yet.
+    /// Creates a service that has no primary yet.
     pub fn without_primary() -> Service {
         Service {
             state: State::Closed {
@@ -110,11 +112,12 @@
         }
     }
 
-    /// The terms that led to the log whose last entry is `last`.
+    /// Returns the history of the terms that led to the log whose last entry is `last`.
     ///
-    /// Where the term of that entry is not known, an earlier controller opened it and was lost
-    /// before the row said so. It may have gone on from any term and anywhere, so writes of all
-    /// others count as lost: some are reported that were kept, but none is lost without a report.
+    /// If the term of that entry is unknown, an earlier controller opened it and failed before the
+    /// row recorded it. It may have continued any term from any position, so the writes of all
+    /// other terms count as lost. Some kept writes may be reported as lost, but no write is lost
+    /// without a report.
     pub fn lineage(&self, last: Position) -> History {
         if last.log == 0 || self.history.start(last.term).is_some() {
             return self.history.up_to(last);
@@ -133,7 +136,7 @@
         history
     }
 
-    /// Opens `term` with `primary`, whose log ends in `last`.
+    /// Opens `term` with `primary`, whose log ends at `last`.
     pub fn open(&mut self, term: Term, primary: ServerKey, last: Position) {
         self.history = self.lineage(last);
         let origin = Origin {
@@ -150,8 +153,8 @@
         if other.rank() > self.rank() {
             self.state = other.state;
             self.primary = other.primary;
-            // The later state knows which terms led to it; one more from the earlier state could
-            // make what was dropped pass for kept.
+            // The later state has the complete history of its log. An additional term from the
+            // earlier state could make dropped writes count as kept.
             self.history = other.history.clone();
         }
         for (term, origin) in &other.origins {
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -1,16 +1,16 @@
-//! Submission of a configuration: one compare-and-set decides between racing operators.
+//! Submission of a configuration: a compare-and-set decides between concurrent operators.
 //!
 //! The body is in the object store under its digest before the head names it, so no host ever
-//! hears of a version whose body cannot be had. The head and the record of the new version are
-//! written together or not at all; version `base + 1` has one record, and its submission id says
-//! whose it is. That settles every lost answer by one read.
+//! learns of a version whose body is not available. The head and the record of the new version are
+//! written atomically. Version `base + 1` has a single record, whose submission id identifies the
+//! submission that created it, so one read resolves the outcome after a lost answer.
 
 use crate::digest::Digest;
 
-/// How often a submission tries again before its operator is told that it did not work out.
+/// Retry budget of a submission: the number of failed steps that are retried before it fails.
 const MAX_RETRIES: u8 = 4;
 
-/// What is known of an accepted version.
+/// The record of an accepted version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
     /// The version, from 1.
@@ -19,11 +19,11 @@
     pub digest: Digest,
     /// Id that its operator's tool drew for the submission.
     pub submission: String,
-    /// Who submitted it.
+    /// The operator who submitted it.
     pub operator: String,
 }
 
-/// One submission under way.
+/// One submission in progress.
 ///
 /// ```
 /// use flamingopost_core::digest::Digest;
@@ -39,7 +39,7 @@
 /// assert_eq!(step, Step::PutBody);
 /// assert_eq!(submission.next(Event::BodyPut(Ok(()))), Step::ReadHead);
 /// assert_eq!(submission.next(Event::HeadRead(Ok(None))), Step::Write);
-/// // The answer is lost: the record of version 1 says whose it became.
+/// // The answer is lost: the record of version 1 shows which submission created it.
 /// assert_eq!(submission.next(Event::Written(Err(Effect::Unknown))), Step::ReadRecord);
 /// let found = Event::RecordRead(Ok(Some(submission.record().clone())));
 /// assert_eq!(submission.next(found), Step::Finish(Outcome::Accepted));
@@ -48,35 +48,37 @@
 pub struct Submission {
     record: Record,
     retries_left: u8,
+    /// Whether a write had an unknown outcome.
     in_doubt: bool,
 }
 
-/// What a failed request may have done.
+/// The possible effect of a failed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// None: the request did nothing and will not.
     None,
-    /// Perhaps what it asked for.
+    /// Unknown: the request may have taken effect, or may yet.
     Unknown,
 }
 
-/// What came of the last step.
+/// The result of the last step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The body was put into the object store, or not.
+    /// Result of putting the body into the object store.
     BodyPut(Result<(), Effect>),
-    /// The store was asked for the body: whether it is there, whole.
+    /// Result of looking up the body: whether the store has it in full.
     BodyRead(Result<bool, Effect>),
-    /// The head was read: the record of the newest version, or none when there is no version.
+    /// Result of reading the head: the record of the newest version, or `None` if there is no
+    /// version.
     HeadRead(Result<Option<Record>, Effect>),
-    /// The compare-and-set was answered: whether it took effect.
+    /// Result of the compare-and-set: whether it took effect.
     Written(Result<bool, Effect>),
-    /// The record of the version that was tried for was read.
+    /// Result of reading the record of the version that is submitted.
     RecordRead(Result<Option<Record>, Effect>),
 }
 
 impl Event {
-    /// Whether the step failed; the next one should not follow at once.
+    /// Reports whether the step failed, in which case the next one should follow after a backoff.
     pub fn is_failure(&self) -> bool {
         match self {
             Event::BodyPut(result) => result.is_err(),
@@ -87,45 +89,46 @@
     }
 }
 
-/// What to do next.
+/// The next step of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Put the body into the object store under its digest.
     PutBody,
-    /// Look whether the store has the body.
+    /// Look up whether the store has the body.
     ReadBody,
     /// Read the head and remember its tag.
     ReadHead,
     /// Write head and record together, guarded by the tag of the head last read and by the
     /// absence of the record.
     Write,
-    /// Read the record of the version that is tried for.
+    /// Read the record of the version that is submitted.
     ReadRecord,
-    /// Tell the operator.
+    /// Report the outcome to the operator.
     Finish(Outcome),
 }
 
-/// What the operator is told.
+/// The outcome that is reported to the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The version is accepted.
     Accepted,
-    /// Another submission came first; the record is that of the newest version known.
+    /// Another submission was accepted first. Contains the record of the newest known version.
     Conflict(Box<Record>),
-    /// The base is newer than the newest version there is.
+    /// The base version is newer than the newest version.
     NoSuchBase {
-        /// The newest version; 0 when there is none.
+        /// The newest version, or 0 if there is none.
         newest: u64,
     },
-    /// The platform cannot be reached; this attempt did nothing and will not.
+    /// The platform is unreachable. This attempt did nothing and will not.
     Unavailable,
-    /// The platform gave no answer; whether the version is accepted is not known. Submitting
-    /// again with the same id finds out.
+    /// The platform gave no answer, and it is unknown whether the version was accepted. Submitting
+    /// again with the same id resolves this.
     Unknown,
 }
 
 impl Submission {
-    /// Starts to submit `record`, whose version is the base's successor.
+    /// Starts the submission of `record`, whose version is the base's successor, and returns the
+    /// first step.
     pub fn new(record: Record) -> (Submission, Step) {
         let submission = Submission {
             record,
@@ -135,18 +138,18 @@
         (submission, Step::PutBody)
     }
 
-    /// The record that is to be accepted.
+    /// Returns the record that is submitted.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// What to do after `event`.
+    /// Handles the result of the last step and returns the next one.
     pub fn next(&mut self, event: Event) -> Step {
         match event {
             Event::BodyPut(Ok(())) => Step::ReadHead,
             Event::BodyPut(Err(Effect::None)) => self.retry(Step::PutBody),
-            // The store may have it: where only answers are lost, putting it again would never
-            // get further.
+            // The store may have the body. If only answers are lost, putting it again would never
+            // make progress.
             Event::BodyPut(Err(Effect::Unknown)) => self.retry(Step::ReadBody),
             Event::BodyRead(Ok(true)) => Step::ReadHead,
             Event::BodyRead(Ok(false)) => self.retry(Step::PutBody),
@@ -167,7 +170,7 @@
         let base = self.record.version - 1;
         match head {
             _ if newest == base => Step::Write,
-            // A submission sent again by its operator finds that it was accepted before.
+            // An operator sent a submission again that had already been accepted.
             Some(head) if newest == self.record.version => self.finish_with(head),
             Some(_) if newest > base => Step::ReadRecord,
             _ => Step::Finish(Outcome::NoSuchBase { newest }),
@@ -175,8 +178,8 @@
     }
 
     fn on_write_error(&mut self, effect: Effect) -> Step {
-        // The write may take effect even after the record has been read and not found. Writing
-        // again is harmless then: the record's absence guards it, so at most one of both wins.
+        // The write may take effect even after a read has found no record. Writing again is
+        // harmless: both writes require that the record is absent, so at most one takes effect.
         self.in_doubt |= effect == Effect::Unknown;
         self.retry(Step::ReadRecord)
     }
