--- a/crates/core/src/authority_standby.rs
+++ b/crates/core/src/authority_standby.rs
@@ -274,9 +274,9 @@
     fn may_replace(&self, row: &Row, since: Duration, now: Duration) -> bool {
         // An earlier process on this host may have given a promise just before it ended, and this
         // process does not know of it.
-        let forgotten = now < self.started + timing::PROMISE;
+        let may_have_promised = now < self.started + timing::PROMISE;
         if self.forced {
-            return !forgotten;
+            return !may_have_promised;
         }
         if row.standbys.is_empty() {
             let own = row.controller == self.own_host;
@@ -285,7 +285,7 @@
         match rank(&row.standbys, self.own_host) {
             Some(rank) => {
                 let silence = timing::SILENCE + timing::STAGGER * rank;
-                !forgotten && now >= self.last_heartbeat.max(since) + silence
+                !may_have_promised && now >= self.last_heartbeat.max(since) + silence
             }
             // Only the controller's writes change the row, and after its last write it relies on
             // promises for at most this long. Its own limit is shortened by the clock drift.
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -66,10 +66,10 @@
     (holder, row)
 }
 
-fn heartbeat(promise: bool) -> Heartbeat {
+fn heartbeat(wants_promise: bool) -> Heartbeat {
     Heartbeat {
         epoch: 1,
-        wants_promise: promise,
+        wants_promise,
         revision: 1,
         row: None,
     }
@@ -87,7 +87,7 @@
 /// seconds, and the old controller counted its authority from the arrival. A successor waits from
 /// its own write, which may have followed the read at once.
 #[test]
-fn authority_is_dated_from_the_sending_of_a_read() {
+fn authority_is_counted_from_when_the_read_was_sent() {
     let hosts = hosts();
     let (mut holder, row) = controller(&hosts);
     holder.on_row_read(secs(12), Some(&row));
@@ -110,7 +110,7 @@
 
 /// Writes stop when the table service goes away, although nothing of ours is broken.
 #[test]
-fn promises_of_all_standbys_carry_an_outage() {
+fn promises_of_all_standbys_extend_the_authority_in_an_outage() {
     let hosts = hosts();
     let (mut holder, _) = controller(&hosts);
     for second in 11..100 {
@@ -223,7 +223,7 @@
 
 /// Two controllers at once: a standby restarts, does not remember its promise, and claims.
 #[test]
-fn a_restarted_standby_waits_out_what_it_may_have_promised() {
+fn a_restarted_standby_waits_until_earlier_promises_have_lapsed() {
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first]);
     let mut standby = Standby::new(hosts.first, 4, secs(20));
@@ -238,7 +238,7 @@
 
 /// The old controller goes on by a promise that was given while the claim was under way.
 #[test]
-fn a_claimer_promises_nothing_until_the_table_has_answered() {
+fn a_standby_with_a_pending_claim_gives_no_promise() {
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first]);
     let mut standby = Standby::new(hosts.first, 3, secs(0));
@@ -258,7 +258,7 @@
 
 /// A host that nobody has heard of takes a shard over from a healthy controller.
 #[test]
-fn a_host_that_is_not_named_waits_long() {
+fn an_unnamed_host_claims_only_after_the_orphan_timeout() {
     let hosts = hosts();
     let row = row(hosts.controller, &[hosts.first]);
     let mut other = Standby::new(hosts.other, 3, secs(0));
@@ -272,7 +272,7 @@
 
 /// A controller that has only promises goes on for longer than a host that is not named waits.
 #[test]
-fn a_controller_stops_before_a_host_that_is_not_named_claims() {
+fn a_controller_stops_before_an_unnamed_host_claims() {
     let hosts = hosts();
     let (mut holder, _) = controller(&hosts);
     let last = secs(9) + timing::ORPHAN;
@@ -287,7 +287,7 @@
 /// leases it granted, and only those are waited for; an answer by a later process on its host
 /// says nothing of them.
 #[test]
-fn a_released_authority_is_not_waited_out() {
+fn a_successor_waits_only_for_the_leases_of_a_released_authority() {
     let hosts = hosts();
     let row = row(hosts.first, &[hosts.second]);
     let predecessor = Some((hosts.controller, 7));
--- a/crates/core/tests/leadership/failures.rs
+++ b/crates/core/tests/leadership/failures.rs
@@ -26,7 +26,7 @@
 }
 
 /// Time from `since` to the first write that is acknowledged in a term after the present one.
-fn gap(world: &mut World, service: usize, within: Duration) -> Option<Duration> {
+fn time_to_new_term(world: &mut World, service: usize, within: Duration) -> Option<Duration> {
     let (since, over) = (world.now, world.opened[service]);
     let end = world.now + within;
     while world.now < end {
@@ -67,19 +67,19 @@
     world.run(world.now + Duration::from_secs(10));
     let primary = world.primary(0).unwrap();
     world.inject(Fault::ServerDown(primary), LONG);
-    let gap = gap(&mut world, 0, Duration::from_secs(4));
+    let gap = time_to_new_term(&mut world, 0, Duration::from_secs(4));
     assert!(gap.is_some(), "no write in a new term within 4 s");
     let opened = world.opened[0];
-    let known = |world: &World| {
+    let term_in_table = |world: &World| {
         world.table.as_ref().unwrap().services[&world.services[0]]
             .state
             .term()
     };
-    assert!(known(&world) < opened);
+    assert!(term_in_table(&world) < opened);
 
     world.run(world.now + Duration::from_secs(60));
     assert_eq!(
-        known(&world),
+        term_in_table(&world),
         opened,
         "the table learns of the term when it is back"
     );
@@ -95,7 +95,7 @@
     world.run(world.now + Duration::from_secs(5));
     let primary = world.primary(0).unwrap();
     world.inject(Fault::ServerDown(primary), LONG);
-    gap(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
+    time_to_new_term(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
     let opened = world.opened[0];
 
     let controller = world.controller_host().unwrap();
@@ -117,7 +117,7 @@
     world.run(world.now + Duration::from_secs(5));
     let primary = world.primary(0).unwrap();
     world.inject(Fault::ServerDown(primary), LONG);
-    gap(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
+    time_to_new_term(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
     let before = service(&world, 0);
 
     let row = world.table.clone().unwrap();
@@ -145,7 +145,7 @@
     world.inject(Fault::ServerDown(third), Duration::from_secs(8));
     world.run(world.now + Duration::from_secs(3));
     world.inject(Fault::ServerDown(first), Duration::from_secs(5));
-    gap(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
+    time_to_new_term(&mut world, 0, Duration::from_secs(4)).expect("no promotion in the outage");
     assert_eq!(world.primary(0), Some(second));
     let opened = world.opened[0];
 
@@ -167,7 +167,7 @@
     let primary = world.primary(0).unwrap();
     world.inject(Fault::PauseControl(controller), Duration::from_secs(12));
     world.inject(Fault::ServerDown(primary), LONG);
-    gap(&mut world, 0, Duration::from_secs(12)).expect("no takeover");
+    time_to_new_term(&mut world, 0, Duration::from_secs(12)).expect("no takeover");
     let successor = world.controller_host().unwrap();
     assert_ne!(successor, controller);
 
@@ -206,7 +206,7 @@
         world.inject(Fault::AnswersLost, Duration::from_secs(30));
         let primary = world.primary(0).unwrap();
         world.inject(Fault::ServerDown(primary), LONG);
-        gap(&mut world, 0, Duration::from_secs(13)).expect("no promotion");
+        time_to_new_term(&mut world, 0, Duration::from_secs(13)).expect("no promotion");
     }
 }
 
@@ -214,7 +214,7 @@
 /// zone still reach it. Their leases lapse before the new term opens, so each acknowledged write
 /// is in the new log or known to be lost.
 #[test]
-fn both_sides_of_a_cut_are_alive() {
+fn both_sides_of_a_partition_are_alive() {
     let mut world = warmed_up(6);
     let primary = world.primary(0).unwrap();
     let zone = world.servers[primary].zone;
@@ -223,7 +223,7 @@
         Duration::from_secs(2),
     );
     world.inject(Fault::ZoneCut(zone), Duration::from_secs(30));
-    let gap = gap(&mut world, 0, Duration::from_secs(13));
+    let gap = time_to_new_term(&mut world, 0, Duration::from_secs(13));
     assert!(gap.is_some(), "no promotion within 13 s");
     assert!(
         world.servers[primary].leads,
@@ -245,7 +245,7 @@
 /// first server is promoted with its old log. Cause, found by schedules 58, 99 and 112: a history
 /// of starts took positions of term 2 for a part of that log.
 #[test]
-fn writes_of_a_term_that_was_passed_over_are_known_to_be_lost() {
+fn writes_of_an_abandoned_term_are_reported_as_lost() {
     let mut world = warmed_up(7);
     let first = world.primary(0).unwrap();
     let (second, third) = ((first + 1) % ZONES, (first + 2) % ZONES);
@@ -253,14 +253,14 @@
     world.inject(Fault::ServerLags(third), LONG);
     world.run(world.now + millis(300));
     world.inject(Fault::ServerDown(first), Duration::from_secs(6));
-    gap(&mut world, 0, Duration::from_secs(13)).expect("no second term");
+    time_to_new_term(&mut world, 0, Duration::from_secs(13)).expect("no second term");
     let passed_over = world.opened[0];
     world.run(world.now + millis(500));
 
     for server in [second, third] {
         world.inject(Fault::ServerDown(server), LONG);
     }
-    gap(&mut world, 0, Duration::from_secs(30)).expect("no third term");
+    time_to_new_term(&mut world, 0, Duration::from_secs(30)).expect("no third term");
     assert_eq!(world.primary(0), Some(first));
     let service = service(&world, 0);
     assert!(service.origins.contains_key(&passed_over));
@@ -278,7 +278,7 @@
         let mut world = warmed_up(seed);
         let primary = world.primary(0).unwrap();
         world.inject(Fault::ServerLeaves(primary), LONG);
-        gap(&mut world, 0, Duration::from_secs(4)).expect("no switchover");
+        time_to_new_term(&mut world, 0, Duration::from_secs(4)).expect("no switchover");
         assert_ne!(world.primary(0), Some(primary));
         assert_eq!(service(&world, 0).losses, [].into(), "seed {seed}");
     }
@@ -313,7 +313,7 @@
 /// is added, and before the news is everywhere, a host that has not heard it takes over. Cause: a
 /// controller that drops from the row what its own configuration does not name.
 #[test]
-fn a_successor_with_an_older_configuration_forgets_nothing() {
+fn a_successor_with_an_older_configuration_keeps_all_services() {
     let mut world = warmed_up(10);
     let controller = world.controller_host().unwrap();
     let mut older = world.groups();
@@ -340,14 +340,14 @@
 /// Writes are away for long after a primary died. The gap from its death to the first write that
 /// another one acknowledged, in simulated time, over forty schedules without other faults.
 #[test]
-fn gap_after_the_death_of_a_primary() {
+fn failover_gap_after_a_primary_fails() {
     let mut gaps = Vec::new();
     for seed in 100..140 {
         let mut world = warmed_up(seed);
         world.run(world.now + millis(seed * 37 % 2_000));
         let primary = world.primary(0).unwrap();
         world.inject(Fault::ServerDown(primary), LONG);
-        gaps.push(gap(&mut world, 0, Duration::from_secs(13)).expect("no promotion"));
+        gaps.push(time_to_new_term(&mut world, 0, Duration::from_secs(13)).expect("no promotion"));
         let unknown = |loss: &Loss| !loss.complete;
         assert!(!service(&world, 0).losses.iter().any(unknown));
     }
@@ -359,14 +359,14 @@
 /// The same where the zone of the primary is cut off with two lease holders, and in a third of
 /// the schedules with the controller too.
 #[test]
-fn gap_after_the_loss_of_a_zone() {
+fn failover_gap_after_a_zone_is_cut_off() {
     let mut gaps = Vec::new();
     for seed in 200..240 {
         let mut world = warmed_up(seed);
         world.run(world.now + millis(seed * 37 % 2_000));
         let primary = world.primary(0).unwrap();
         world.inject(Fault::ZoneCut(world.servers[primary].zone), LONG);
-        gaps.push(gap(&mut world, 0, Duration::from_secs(20)).expect("no promotion"));
+        gaps.push(time_to_new_term(&mut world, 0, Duration::from_secs(20)).expect("no promotion"));
     }
     report("zone cut", &mut gaps);
     assert!(gaps[gaps.len() - 1] < Duration::from_secs(13));
@@ -374,7 +374,7 @@
 
 /// Writes stop for a moment when the controller's host dies, with all servers well.
 #[test]
-fn gap_after_the_death_of_a_controller() {
+fn write_gap_after_a_controller_fails() {
     let mut gaps = Vec::new();
     for seed in 300..340 {
         let mut world = warmed_up(seed);
--- a/crates/core/tests/leadership/schedules.rs
+++ b/crates/core/tests/leadership/schedules.rs
@@ -18,14 +18,14 @@
 /// servers, or two controllers, act at once. Any order of cuts, outages, pauses, restarts, lost
 /// and late messages may lead there. Each seed is one such order.
 #[test]
-fn random_schedules_keep_every_promise() {
-    let first = number("FLAMINGOPOST_SEED").unwrap_or(1);
-    let count = number("FLAMINGOPOST_SCHEDULES").unwrap_or(SCHEDULES);
+fn random_schedules_uphold_the_invariants() {
+    let first = env_number("FLAMINGOPOST_SEED").unwrap_or(1);
+    let count = env_number("FLAMINGOPOST_SCHEDULES").unwrap_or(SCHEDULES);
     let mut acknowledged = 0;
     let mut failed = Vec::new();
     for seed in first..first + count {
         let mut world = World::new(seed);
-        match catch_unwind(AssertUnwindSafe(|| schedule(&mut world))) {
+        match catch_unwind(AssertUnwindSafe(|| run_schedule(&mut world))) {
             Ok(()) => acknowledged += world.acknowledged.len(),
             Err(_) => {
                 eprintln!("seed {seed}:");
@@ -34,7 +34,7 @@
                     .iter()
                     .for_each(|line| eprintln!("{line}"));
                 failed.push(seed);
-                if failed.len() >= number("FLAMINGOPOST_STOP").unwrap_or(5) as usize {
+                if failed.len() >= env_number("FLAMINGOPOST_STOP").unwrap_or(5) as usize {
                     break;
                 }
             }
@@ -44,11 +44,11 @@
     assert!(failed.is_empty(), "failed seeds: {failed:?}");
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-fn schedule(world: &mut World) {
+fn run_schedule(world: &mut World) {
     world.run(Duration::from_secs(8));
     let end = world.now + Duration::from_millis(world.rng.random_range(8_000..30_000));
     while world.now < end {
@@ -66,11 +66,11 @@
     world.run(world.now + Duration::from_secs(14));
     world.heal();
     world.run(world.now + SETTLE);
-    finish(world);
+    check_recovery(world);
 }
 
 /// After all faults: every service takes writes, and each acknowledged write is kept or reported.
-fn finish(world: &mut World) {
+fn check_recovery(world: &mut World) {
     let host = world.controller_host().expect("nobody controls the shard");
     let row = world.controls[host]
         .1
--- a/crates/core/tests/leadership/world/control.rs
+++ b/crates/core/tests/leadership/world/control.rs
@@ -40,15 +40,15 @@
     }
 
     fn check_authority(&mut self) {
-        let mut leading = Vec::new();
+        let mut controllers = Vec::new();
         for host in 0..HOSTS {
             let local = self.local(Place::Control(host));
             if let Some(epoch) = self.controls[host].1.leading_epoch(local) {
-                leading.push((host, epoch));
+                controllers.push((host, epoch));
             }
         }
-        assert!(leading.len() <= 1, "two authorities: {leading:?}");
-        for (host, _) in leading {
+        assert!(controllers.len() <= 1, "two authorities: {controllers:?}");
+        for (host, _) in controllers {
             let Some(view) = self.controls[host].1.view() else {
                 continue;
             };
@@ -68,19 +68,16 @@
     fn carry_out(&mut self, host: usize, generation: u64, action: Action) {
         match action {
             Action::Read => self.read(host, generation),
-            Action::Write {
-                row,
-                replaces: over,
-            } => self.write_row(host, generation, row, over),
+            Action::Write { row, replaces } => self.write_row(host, generation, row, replaces),
             Action::Heartbeat {
                 host: to,
-                heartbeat: ask,
+                heartbeat,
             } => {
                 let to = self.host(to);
                 let sent = self.local(Place::Control(host));
                 self.call_control(host, generation, to, move |world| {
                     let local = world.local(Place::Control(to));
-                    let promise = world.controls[to].1.on_heartbeat(&ask, local);
+                    let promise = world.controls[to].1.on_heartbeat(&heartbeat, local);
                     move |world: &mut World| {
                         let from = world.hosts[to];
                         let now = world.local(Place::Control(host));
@@ -154,7 +151,7 @@
             "h{host} orders b{index} to lead {term} from {at_least}"
         ));
         let hop = self.message_delay(host, self.servers[index].zone);
-        let timeout = move |world: &mut World, order| {
+        let answer = move |world: &mut World, order| {
             let local = world.local(Place::Control(host));
             world.controls[host]
                 .1
@@ -164,7 +161,7 @@
         let place = Place::Control(host);
         let Some(delay) = hop else {
             return self.run_at(place, generation, RPC_TIMEOUT, move |w| {
-                timeout(w, OrderOutcome::Unknown)
+                answer(w, OrderOutcome::Unknown)
             });
         };
         self.schedule(delay, move |world| {
@@ -177,13 +174,13 @@
                     "b{index} leads {term} from {}",
                     world.servers[index].position()
                 ));
-                let leader = *world.promoted.entry((service, term)).or_insert(index);
-                assert_eq!(leader, index, "two primaries of term {term}");
+                let primary = *world.promoted.entry((service, term)).or_insert(index);
+                assert_eq!(primary, index, "two primaries of term {term}");
             }
             match world.message_delay(host, world.servers[index].zone) {
-                Some(delay) => world.run_at(place, generation, delay, move |w| timeout(w, order)),
+                Some(delay) => world.run_at(place, generation, delay, move |w| answer(w, order)),
                 None => world.run_at(place, generation, RPC_TIMEOUT, move |w| {
-                    timeout(w, OrderOutcome::Unknown)
+                    answer(w, OrderOutcome::Unknown)
                 }),
             }
         });
@@ -234,8 +231,8 @@
             return;
         };
         let there = Place::Control(to);
-        let their_generation = self.process_at(there).generation;
-        self.run_at(there, their_generation, delay, move |world| {
+        let peer_generation = self.process_at(there).generation;
+        self.run_at(there, peer_generation, delay, move |world| {
             let answer = act(world);
             world.step(to);
             if let Some(delay) = world.host_message_delay(to, host) {
@@ -276,7 +273,7 @@
         });
     }
 
-    fn write_row(&mut self, host: usize, generation: u64, row: Row, over: Option<u64>) {
+    fn write_row(&mut self, host: usize, generation: u64, row: Row, replaces: Option<u64>) {
         let revision = row.revision;
         let place = Place::Control(host);
         let report = move |world: &mut World, written| {
@@ -295,11 +292,11 @@
             return timeout(self);
         };
         self.schedule(delay, move |world| {
-            let holds = world.table.as_ref().map(|row| row.revision) == over;
-            if holds {
+            let accepted = world.table.as_ref().map(|row| row.revision) == replaces;
+            if accepted {
                 world.table = Some(row);
             }
-            let written = match holds {
+            let written = match accepted {
                 true => WriteOutcome::Done,
                 false => WriteOutcome::NotDone,
             };
@@ -324,8 +321,8 @@
         let Some(delay) = self.host_message_delay(host, to) else {
             return;
         };
-        let their_generation = self.process_at(Place::Entry(to)).generation;
-        self.run_at(Place::Entry(to), their_generation, delay, move |world| {
+        let peer_generation = self.process_at(Place::Entry(to)).generation;
+        self.run_at(Place::Entry(to), peer_generation, delay, move |world| {
             let (incarnation, version, acknowledged) = world.entries[to].1.close(view);
             let Some(delay) = world.host_message_delay(to, host) else {
                 return;
--- a/crates/core/tests/leadership/world/entry.rs
+++ b/crates/core/tests/leadership/world/entry.rs
@@ -154,8 +154,8 @@
         let Some(delay) = self.host_message_delay(host, to) else {
             return;
         };
-        let their_generation = self.process_at(Place::Control(to)).generation;
-        self.run_at(Place::Control(to), their_generation, delay, move |world| {
+        let peer_generation = self.process_at(Place::Control(to)).generation;
+        self.run_at(Place::Control(to), peer_generation, delay, move |world| {
             let local = world.local(Place::Control(to));
             let reply = world.controls[to].1.on_renewal(&renewal, local);
             world.step(to);
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -11,22 +11,22 @@
 
 const SHARD: u16 = 3;
 const LEASE: Duration = Duration::from_millis(2_500);
-const FIRST: Term = Term { epoch: 1, count: 0 };
-const SECOND: Term = Term { epoch: 1, count: 1 };
+const FIRST_TERM: Term = Term { epoch: 1, count: 0 };
+const SECOND_TERM: Term = Term { epoch: 1, count: 1 };
 
 struct Fixture {
     service: ServiceKey,
-    old: ServerKey,
-    new: ServerKey,
+    old_primary: ServerKey,
+    new_primary: ServerKey,
 }
 
-fn names() -> Fixture {
+fn fixture() -> Fixture {
     let mut services = Names::default();
     let mut servers = Names::default();
     Fixture {
         service: services.intern("auction-ledger"),
-        old: servers.intern("a"),
-        new: servers.intern("b"),
+        old_primary: servers.intern("a"),
+        new_primary: servers.intern("b"),
     }
 }
 
@@ -43,30 +43,30 @@
     shard
 }
 
-fn opened(names: &Fixture) -> Shard {
+fn opened(fixture: &Fixture) -> Shard {
     let state = State::Open {
-        term: FIRST,
-        primary: names.old,
+        term: FIRST_TERM,
+        primary: fixture.old_primary,
     };
-    view(1, names.service, state)
+    view(1, fixture.service, state)
 }
 
-fn closed(names: &Fixture) -> Shard {
-    view(2, names.service, State::Closed { term: FIRST })
+fn closed(fixture: &Fixture) -> Shard {
+    view(2, fixture.service, State::Closed { term: FIRST_TERM })
 }
 
-fn reopened(names: &Fixture) -> Shard {
+fn reopened(fixture: &Fixture) -> Shard {
     let state = State::Open {
-        term: SECOND,
-        primary: names.new,
+        term: SECOND_TERM,
+        primary: fixture.new_primary,
     };
-    view(3, names.service, state)
+    view(3, fixture.service, state)
 }
 
-fn leased(names: &Fixture) -> LeaseHolder {
+fn leased(fixture: &Fixture) -> LeaseHolder {
     let mut holder = LeaseHolder::new(1);
     let ticket = holder.renewal_sent(SHARD, at(1_000));
-    let view = opened(names);
+    let view = opened(fixture);
     holder.on_granted(ticket, view.version, LEASE, Some(view), at(1_010));
     holder
 }
@@ -80,63 +80,76 @@
 /// bid. Cause: a lease that is checked only before the statement is sent.
 #[test]
 fn an_answer_after_the_lease_is_not_acknowledged() {
-    let names = names();
-    let mut holder = leased(&names);
+    let fixture = fixture();
+    let mut holder = leased(&fixture);
     let open = Leader::Open {
-        term: FIRST,
-        primary: names.old,
+        term: FIRST_TERM,
+        primary: fixture.old_primary,
     };
-    assert_eq!(holder.leader(names.service, at(3_000)), open);
+    assert_eq!(holder.leader(fixture.service, at(3_000)), open);
 
     let resumed = at(60_000);
-    let answer = holder.acknowledge(names.service, FIRST, write(FIRST, 7), resumed);
+    let answer = holder.acknowledge(fixture.service, FIRST_TERM, write(FIRST_TERM, 7), resumed);
     assert_eq!(answer, Acknowledge::Unknown);
-    assert_eq!(holder.acknowledged(names.service), None);
+    assert_eq!(holder.acknowledged(fixture.service), None);
 }
 
 /// A lease outlives what the controller waits for, because the renewal's answer was under way
 /// for two seconds. Cause: a lease counted from the answer's arrival.
 #[test]
-fn a_lease_runs_from_the_sending_of_its_renewal() {
-    let names = names();
+fn a_lease_is_counted_from_when_its_renewal_was_sent() {
+    let fixture = fixture();
     let mut holder = LeaseHolder::new(1);
     let ticket = holder.renewal_sent(SHARD, at(1_000));
-    let view = opened(&names);
+    let view = opened(&fixture);
     let late = at(3_000);
     holder.on_granted(ticket, view.version, LEASE, Some(view), late);
     assert!(holder.time_left(SHARD, late) < at(500));
-    let answer = holder.acknowledge(names.service, FIRST, write(FIRST, 7), at(3_500));
+    let answer = holder.acknowledge(fixture.service, FIRST_TERM, write(FIRST_TERM, 7), at(3_500));
     assert_eq!(answer, Acknowledge::Unknown);
 }
 
 /// A host counts a lease on a view that it does not act by: a grant was overtaken by the
 /// revocation. No write of the closed term may come of it.
 #[test]
-fn a_grant_overtaken_by_a_revocation_is_no_lease() {
-    let names = names();
-    let mut holder = leased(&names);
+fn a_grant_overtaken_by_a_revocation_gives_no_lease() {
+    let fixture = fixture();
+    let mut holder = leased(&fixture);
     let ticket = holder.renewal_sent(SHARD, at(1_500));
-    holder.close(SHARD, closed(&names));
-    let version = opened(&names).version;
-    let granted = holder.on_granted(ticket, version, LEASE, Some(opened(&names)), at(1_600));
+    holder.close(SHARD, closed(&fixture));
+    let version = opened(&fixture).version;
+    let granted = holder.on_granted(ticket, version, LEASE, Some(opened(&fixture)), at(1_600));
     assert_eq!(granted, Granted::NoLease);
-    let over = Leader::Closed { term: FIRST };
-    assert_eq!(holder.leader(names.service, at(1_600)), over);
+    let over = Leader::Closed { term: FIRST_TERM };
+    assert_eq!(holder.leader(fixture.service, at(1_600)), over);
 }
 
 /// The controller promotes a replica that lacks an acknowledged write, although a better one was
 /// there. Cause: a revocation answered without what had been acknowledged.
 #[test]
-fn a_revocation_tells_what_was_acknowledged() {
-    let names = names();
-    let mut holder = leased(&names);
+fn a_revocation_returns_the_acknowledged_positions() {
+    let fixture = fixture();
+    let mut holder = leased(&fixture);
     for log in [5, 9, 7] {
-        let answer = holder.acknowledge(names.service, FIRST, write(FIRST, log), at(1_100));
+        let answer = holder.acknowledge(
+            fixture.service,
+            FIRST_TERM,
+            write(FIRST_TERM, log),
+            at(1_100),
+        );
         assert_eq!(answer, Acknowledge::Done);
     }
-    let acknowledged = holder.close(SHARD, closed(&names));
-    assert_eq!(acknowledged.get(&names.service), Some(&write(FIRST, 9)));
-    let late = holder.acknowledge(names.service, FIRST, write(FIRST, 10), at(1_200));
+    let acknowledged = holder.close(SHARD, closed(&fixture));
+    assert_eq!(
+        acknowledged.get(&fixture.service),
+        Some(&write(FIRST_TERM, 9))
+    );
+    let late = holder.acknowledge(
+        fixture.service,
+        FIRST_TERM,
+        write(FIRST_TERM, 10),
+        at(1_200),
+    );
     assert_eq!(late, Acknowledge::Unknown);
 }
 
@@ -144,12 +157,17 @@
 /// term. Cause: a lease thrown away with the view it was granted on.
 #[test]
 fn a_pushed_view_is_used_under_the_running_lease() {
-    let names = names();
-    let mut holder = leased(&names);
-    holder.close(SHARD, closed(&names));
-    assert_eq!(holder.adopt(SHARD, reopened(&names)), Adopted::Newer);
-    assert_eq!(holder.adopt(SHARD, closed(&names)), Adopted::Kept);
-    let done = holder.acknowledge(names.service, SECOND, write(SECOND, 11), at(2_000));
+    let fixture = fixture();
+    let mut holder = leased(&fixture);
+    holder.close(SHARD, closed(&fixture));
+    assert_eq!(holder.adopt(SHARD, reopened(&fixture)), Adopted::Newer);
+    assert_eq!(holder.adopt(SHARD, closed(&fixture)), Adopted::Kept);
+    let done = holder.acknowledge(
+        fixture.service,
+        SECOND_TERM,
+        write(SECOND_TERM, 11),
+        at(2_000),
+    );
     assert_eq!(done, Acknowledge::Done);
 }
 
@@ -157,41 +175,46 @@
 /// backend server's own position was ignored.
 #[test]
 fn a_position_of_another_term_is_not_acknowledged() {
-    let names = names();
-    let mut holder = leased(&names);
-    holder.adopt(SHARD, reopened(&names));
-    let answer = holder.acknowledge(names.service, SECOND, write(FIRST, 12), at(1_100));
+    let fixture = fixture();
+    let mut holder = leased(&fixture);
+    holder.adopt(SHARD, reopened(&fixture));
+    let answer = holder.acknowledge(
+        fixture.service,
+        SECOND_TERM,
+        write(FIRST_TERM, 12),
+        at(1_100),
+    );
     assert_eq!(answer, Acknowledge::Unknown);
 }
 
 /// A lease without the view it covers says nothing about who leads.
 #[test]
-fn a_grant_whose_view_never_came_is_no_lease() {
-    let names = names();
+fn a_grant_without_its_view_gives_no_lease() {
+    let fixture = fixture();
     let mut holder = LeaseHolder::new(1);
     let ticket = holder.renewal_sent(SHARD, at(0));
-    let version = opened(&names).version;
+    let version = opened(&fixture).version;
     assert_eq!(
         holder.on_granted(ticket, version, LEASE, None, at(1)),
         Granted::NoLease
     );
-    assert_eq!(holder.leader(names.service, at(1)), Leader::Unknown);
+    assert_eq!(holder.leader(fixture.service, at(1)), Leader::Unknown);
 }
 
 /// A write is acknowledged by a primary that has been replaced: a host that was stopping had given
 /// its lease up, so nobody waited for it, and a request that was still running there came to an
 /// end, or an earlier grant arrived.
 #[test]
-fn a_lease_that_was_given_up_is_over() {
-    let fixture = names();
+fn a_lease_that_was_given_up_stays_over() {
+    let fixture = fixture();
     let mut holder = leased(&fixture);
     let earlier = holder.renewal_sent(SHARD, at(1_100));
     holder.give_up(SHARD);
-    let write = write(FIRST, 7);
-    let answer = holder.acknowledge(fixture.service, FIRST, write, at(1_150));
+    let write = write(FIRST_TERM, 7);
+    let answer = holder.acknowledge(fixture.service, FIRST_TERM, write, at(1_150));
     assert_eq!(answer, Acknowledge::Unknown);
     let granted = holder.on_granted(earlier, opened(&fixture).version, LEASE, None, at(1_200));
     assert_eq!(granted, Granted::NoLease);
-    let answer = holder.acknowledge(fixture.service, FIRST, write, at(1_250));
+    let answer = holder.acknowledge(fixture.service, FIRST_TERM, write, at(1_250));
     assert_eq!(answer, Acknowledge::Unknown);
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -39,7 +39,7 @@
 
 /// The list has lost a host that works: a lagging list must not cost callers their host.
 #[test]
-fn a_host_that_is_not_listed_lives_by_its_heartbeats() {
+fn an_unlisted_host_is_live_while_it_sends_heartbeats() {
     let host = Directory::default().hosts.intern("bole-1");
     let mut membership = Membership::default();
     membership.heartbeat(process(host, 1), heartbeat(1));
@@ -51,7 +51,7 @@
 /// A host restarts within a second. What its earlier process held may still be in use, so both
 /// are kept apart until the earlier one has been silent for long.
 #[test]
-fn a_restart_is_another_process() {
+fn a_restarted_host_is_a_new_process() {
     let host = Directory::default().hosts.intern("bole-1");
     let mut membership = Membership::default();
     assert_eq!(
@@ -111,7 +111,7 @@
 /// An operator drains a server that the platform has called leaving as well. Taking back the
 /// drain alone must not send work to a server that is about to be switched off.
 #[test]
-fn a_server_comes_back_when_nobody_calls_it_leaving() {
+fn a_server_returns_when_no_source_reports_it_as_leaving() {
     let mut directory = Directory::default();
     let (first, second) = (
         directory.servers.intern("bole-a"),
--- a/crates/core/tests/promotion.rs
+++ b/crates/core/tests/promotion.rs
@@ -13,12 +13,12 @@
 use flamingopost_core::timing;
 use flamingopost_core::view::State;
 
-const TERM: Term = Term { epoch: 1, count: 0 };
-const NEXT: Term = Term { epoch: 1, count: 1 };
-const CLOSE: u64 = 2;
-const OPEN: u64 = 3;
+const OLD_TERM: Term = Term { epoch: 1, count: 0 };
+const NEW_TERM: Term = Term { epoch: 1, count: 1 };
+const CLOSED_REVISION: u64 = 2;
+const OPEN_REVISION: u64 = 3;
 
-struct Trial {
+struct Scenario {
     promotion: Promotion,
     now: Duration,
     committed: u64,
@@ -27,19 +27,19 @@
     far: ServerKey,
 }
 
-fn trial(reason: Reason) -> Trial {
+fn scenario(reason: Reason) -> Scenario {
     let mut names = Names::default();
     let [old, near, far] = ["old", "near", "far"].map(|name| names.intern(name));
     let mut service = Service::without_primary();
     service.state = State::Open {
-        term: TERM,
+        term: OLD_TERM,
         primary: old,
     };
     service.primary = Some(old);
-    service.history.open(TERM, 0);
+    service.history.open(OLD_TERM, 0);
     let now = Duration::from_secs(10);
     let servers = BTreeSet::from([old, near, far]);
-    Trial {
+    Scenario {
         promotion: Promotion::new(ServiceKey::default(), servers, service, reason, now),
         now,
         committed: 1,
@@ -57,12 +57,15 @@
 }
 
 fn at(log: u64) -> Position {
-    Position { term: TERM, log }
+    Position {
+        term: OLD_TERM,
+        log,
+    }
 }
 
 fn replica(log: u64) -> Status {
     Status {
-        term: TERM,
+        term: OLD_TERM,
         leads: false,
         position: at(log),
         age: Duration::ZERO,
@@ -78,12 +81,12 @@
     }
 }
 
-impl Trial {
+impl Scenario {
     /// What is wanted now, apart from questions.
-    fn next(&mut self) -> Vec<PromotionAction> {
-        let mut next = self.promotion.step(1, self.committed, self.now);
-        next.retain(|next| !matches!(next, PromotionAction::QueryStatus(_)));
-        next
+    fn step(&mut self) -> Vec<PromotionAction> {
+        let mut actions = self.promotion.step(1, self.committed, self.now);
+        actions.retain(|action| !matches!(action, PromotionAction::QueryStatus(_)));
+        actions
     }
 
     fn pass(&mut self, span: Duration) {
@@ -92,38 +95,38 @@
 
     /// Closes the term with one lease running until `until`.
     fn close(&mut self, until: Duration) {
-        let next = self.next();
-        let [PromotionAction::Commit(closed)] = &next[..] else {
-            panic!("{next:?}");
+        let actions = self.step();
+        let [PromotionAction::Commit(closed)] = &actions[..] else {
+            panic!("{actions:?}");
         };
-        assert_eq!(closed.state, State::Closed { term: TERM });
+        assert_eq!(closed.state, State::Closed { term: OLD_TERM });
         let running = BTreeMap::from([(holder(), until)]);
-        self.promotion.begin_closing(CLOSE, running);
-        assert_eq!(self.next(), [PromotionAction::Revoke(vec![holder()])]);
+        self.promotion.begin_closing(CLOSED_REVISION, running);
+        assert_eq!(self.step(), [PromotionAction::Revoke(vec![holder()])]);
     }
 
     fn closed(&mut self, acknowledged: u64) {
         self.promotion.on_closed(holder(), Some(at(acknowledged)));
-        self.committed = CLOSE;
+        self.committed = CLOSED_REVISION;
     }
 
     fn order(&mut self) -> Option<(ServerKey, Term)> {
-        self.next().into_iter().find_map(|next| match next {
+        self.step().into_iter().find_map(|action| match action {
             PromotionAction::Promote { server, term, .. } => Some((server, term)),
             _ => None,
         })
     }
 
     fn open(&mut self) -> Service {
-        let next = self.next();
-        let [PromotionAction::Commit(open)] = &next[..] else {
-            panic!("{next:?}");
+        let actions = self.step();
+        let [PromotionAction::Commit(open)] = &actions[..] else {
+            panic!("{actions:?}");
         };
         let open = open.clone();
-        self.promotion.begin_opening(OPEN);
-        assert_eq!(self.next(), [], "the new term is not committed yet");
-        self.committed = OPEN;
-        assert_eq!(self.next(), [PromotionAction::Done]);
+        self.promotion.begin_opening(OPEN_REVISION);
+        assert_eq!(self.step(), [], "the new term is not committed yet");
+        self.committed = OPEN_REVISION;
+        assert_eq!(self.step(), [PromotionAction::Done]);
         open
     }
 }
@@ -131,38 +134,44 @@
 /// A write of the old term is acknowledged after the new one has begun. Cause: a promotion before
 /// every holder had answered or its lease had lapsed, or before the row said that the term is over.
 #[test]
-fn nothing_is_promoted_while_a_lease_may_run() {
-    let mut trial = trial(Reason::Unreachable);
-    let until = trial.now + Duration::from_secs(2);
-    trial.close(until);
-    trial.promotion.on_status(trial.near, Some(replica(9)));
-    trial.promotion.on_status(trial.far, Some(replica(9)));
-    trial.committed = CLOSE;
-    while trial.now < until {
-        assert_eq!(trial.order(), None);
-        trial.pass(Duration::from_millis(50));
+fn no_server_is_promoted_while_a_lease_may_run() {
+    let mut scenario = scenario(Reason::Unreachable);
+    let until = scenario.now + Duration::from_secs(2);
+    scenario.close(until);
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(9)));
+    scenario.promotion.on_status(scenario.far, Some(replica(9)));
+    scenario.committed = CLOSED_REVISION;
+    while scenario.now < until {
+        assert_eq!(scenario.order(), None);
+        scenario.pass(Duration::from_millis(50));
     }
-    trial.committed = CLOSE - 1;
-    assert_eq!(trial.order(), None);
-    trial.committed = CLOSE;
-    assert!(trial.order().is_some());
+    scenario.committed = CLOSED_REVISION - 1;
+    assert_eq!(scenario.order(), None);
+    scenario.committed = CLOSED_REVISION;
+    assert!(scenario.order().is_some());
 }
 
 /// An acknowledged write is lost although a replica has it: the nearer one was promoted.
 #[test]
-fn the_replica_that_has_all_is_taken() {
-    let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(9);
-    trial.promotion.on_status(trial.near, Some(replica(8)));
-    assert_eq!(trial.order(), None, "another may have it");
-    trial.pass(timing::RETRY);
-    trial.promotion.on_status(trial.far, Some(replica(9)));
-    assert_eq!(trial.order(), Some((trial.far, NEXT)));
+fn the_replica_with_every_acknowledged_write_is_chosen() {
+    let mut scenario = scenario(Reason::Unreachable);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(9);
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(8)));
+    assert_eq!(scenario.order(), None, "another may have it");
+    scenario.pass(timing::RETRY);
+    scenario.promotion.on_status(scenario.far, Some(replica(9)));
+    assert_eq!(scenario.order(), Some((scenario.far, NEW_TERM)));
 
-    trial.promotion.on_status(trial.far, Some(leads(NEXT, 9)));
-    let open = trial.open();
-    assert_eq!(open.history.start(NEXT), Some(9));
+    scenario
+        .promotion
+        .on_status(scenario.far, Some(leads(NEW_TERM, 9)));
+    let open = scenario.open();
+    assert_eq!(open.history.start(NEW_TERM), Some(9));
     assert!(open.losses.is_empty());
 }
 
@@ -171,26 +180,28 @@
 /// order names what the log has to contain, and the server refuses.
 #[test]
 fn an_order_names_the_log_that_it_needs() {
-    let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(9);
-    trial.promotion.on_status(trial.near, Some(replica(9)));
+    let mut scenario = scenario(Reason::Unreachable);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(9);
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(9)));
     let order = PromotionAction::Promote {
-        server: trial.near,
-        term: NEXT,
+        server: scenario.near,
+        term: NEW_TERM,
         at_least: at(9),
     };
-    assert_eq!(trial.next(), [order]);
+    assert_eq!(scenario.step(), [order]);
 }
 
 /// All writes of a term are lost, because a server that missed that term has the longer log: it
 /// led the term before, and wrote on behind a cut.
 #[test]
 fn a_longer_log_of_an_older_term_is_not_taken() {
-    let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
-    trial.promotion.on_closed(holder(), None);
-    trial.committed = CLOSE;
+    let mut scenario = scenario(Reason::Unreachable);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.promotion.on_closed(holder(), None);
+    scenario.committed = CLOSED_REVISION;
     let before = Position {
         term: Term::default(),
         log: 50,
@@ -199,24 +210,30 @@
         position: before,
         ..replica(50)
     };
-    trial.promotion.on_status(trial.far, Some(stray));
-    trial.promotion.on_status(trial.near, Some(replica(7)));
-    assert_eq!(trial.order(), Some((trial.near, NEXT)));
+    scenario.promotion.on_status(scenario.far, Some(stray));
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(7)));
+    assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
 }
 
 /// A caller's acknowledged write is gone and no record says so.
 #[test]
-fn what_no_server_has_is_recorded_as_lost() {
-    let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(9);
-    trial.promotion.on_status(trial.near, Some(replica(7)));
-    trial.promotion.on_status(trial.far, Some(replica(6)));
-    assert_eq!(trial.order(), None);
-    trial.pass(timing::STILL);
-    assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial.promotion.on_status(trial.near, Some(leads(NEXT, 7)));
-    let open = trial.open();
+fn writes_that_no_server_has_are_recorded_as_lost() {
+    let mut scenario = scenario(Reason::Unreachable);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(9);
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(7)));
+    scenario.promotion.on_status(scenario.far, Some(replica(6)));
+    assert_eq!(scenario.order(), None);
+    scenario.pass(timing::STILL);
+    assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(leads(NEW_TERM, 7)));
+    let open = scenario.open();
     let loss = open.losses.first().expect("a loss is recorded");
     assert_eq!(
         (loss.start, loss.acknowledged, loss.complete),
@@ -226,47 +243,53 @@
 
 /// A loss passes for complete although a holder that was cut off may have acknowledged more.
 #[test]
-fn a_holder_that_could_not_be_asked_makes_the_record_incomplete() {
-    let mut trial = trial(Reason::Unreachable);
-    let until = trial.now + timing::LEASE;
-    trial.close(until);
-    trial.committed = CLOSE;
-    trial.now = until;
-    trial.promotion.on_status(trial.near, Some(replica(7)));
-    trial.promotion.on_status(trial.far, Some(replica(6)));
-    assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial.promotion.on_status(trial.near, Some(leads(NEXT, 7)));
-    let open = trial.open();
+fn an_unreachable_holder_makes_the_loss_record_incomplete() {
+    let mut scenario = scenario(Reason::Unreachable);
+    let until = scenario.now + timing::LEASE;
+    scenario.close(until);
+    scenario.committed = CLOSED_REVISION;
+    scenario.now = until;
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(7)));
+    scenario.promotion.on_status(scenario.far, Some(replica(6)));
+    assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(leads(NEW_TERM, 7)));
+    let open = scenario.open();
     assert!(!open.losses.first().expect("it says so").complete);
 }
 
 /// A loss passes for complete, found by schedule 111335: the promotion before could not ask
 /// everybody, and this one goes back to a log from before it.
 #[test]
-fn an_open_question_stays_open() {
-    let mut trial = trial(Reason::Unreachable);
+fn an_incomplete_loss_record_is_carried_forward() {
+    let mut scenario = scenario(Reason::Unreachable);
     let mut service = Service::without_primary();
-    service.open(TERM, trial.old, Position::default());
-    service.open(NEXT, trial.near, at(5));
+    service.open(OLD_TERM, scenario.old, Position::default());
+    service.open(NEW_TERM, scenario.near, at(5));
     service.losses.insert(Loss {
-        opened: NEXT,
+        opened: NEW_TERM,
         start: 5,
         acknowledged: None,
         complete: false,
     });
-    let servers = BTreeSet::from([trial.old, trial.near, trial.far]);
+    let servers = BTreeSet::from([scenario.old, scenario.near, scenario.far]);
     let key = ServiceKey::default();
-    trial.promotion = Promotion::new(key, servers, service, Reason::Unreachable, trial.now);
-    trial.next();
-    trial.promotion.begin_closing(CLOSE, BTreeMap::new());
-    trial.committed = CLOSE;
-    trial.promotion.on_status(trial.far, Some(replica(8)));
-    trial.pass(timing::GATHER);
-    trial.next();
-    trial.pass(timing::GATHER);
-    let (server, term) = trial.order().expect("one is there");
-    trial.promotion.on_status(server, Some(leads(term, 8)));
-    let open = trial.open();
+    scenario.promotion = Promotion::new(key, servers, service, Reason::Unreachable, scenario.now);
+    scenario.step();
+    scenario
+        .promotion
+        .begin_closing(CLOSED_REVISION, BTreeMap::new());
+    scenario.committed = CLOSED_REVISION;
+    scenario.promotion.on_status(scenario.far, Some(replica(8)));
+    scenario.pass(timing::GATHER);
+    scenario.step();
+    scenario.pass(timing::GATHER);
+    let (server, term) = scenario.order().expect("one is there");
+    scenario.promotion.on_status(server, Some(leads(term, 8)));
+    let open = scenario.open();
     assert!(
         open.losses
             .iter()
@@ -278,131 +301,156 @@
 /// schedule 104963: a server is known to have followed that term, and the one that led it has not
 /// answered yet. Cause: a choice made as soon as somebody has all that the row's term wrote.
 #[test]
-fn a_rival_is_waited_for() {
-    let mut trial = trial(Reason::Rival);
-    trial.close(trial.now + timing::LEASE);
-    trial.promotion.set_known_written(at(9), true);
-    trial.closed(9);
+fn a_promotion_waits_for_the_rival_to_answer() {
+    let mut scenario = scenario(Reason::Rival);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.promotion.set_known_written(at(9), true);
+    scenario.closed(9);
     let follows = Status {
-        term: NEXT,
+        term: NEW_TERM,
         ..replica(9)
     };
-    trial.promotion.on_status(trial.old, Some(leads(TERM, 9)));
-    trial.promotion.on_status(trial.far, Some(follows));
-    assert_eq!(trial.order(), None, "the rival may answer yet");
+    scenario
+        .promotion
+        .on_status(scenario.old, Some(leads(OLD_TERM, 9)));
+    scenario.promotion.on_status(scenario.far, Some(follows));
+    assert_eq!(scenario.order(), None, "the rival may answer yet");
     let rival = Status {
-        position: Position { term: NEXT, log: 8 },
-        ..leads(NEXT, 8)
+        position: Position {
+            term: NEW_TERM,
+            log: 8,
+        },
+        ..leads(NEW_TERM, 8)
     };
-    trial.promotion.on_status(trial.near, Some(rival));
+    scenario.promotion.on_status(scenario.near, Some(rival));
     // Nobody knows on which log the rival's term went on, so the last write may be missing there.
-    assert_eq!(trial.order(), None);
-    trial.pass(timing::STILL);
+    assert_eq!(scenario.order(), None);
+    scenario.pass(timing::STILL);
     let after = Term { epoch: 1, count: 2 };
-    assert_eq!(trial.order(), Some((trial.near, after)));
-    trial.promotion.on_status(
-        trial.near,
+    assert_eq!(scenario.order(), Some((scenario.near, after)));
+    scenario.promotion.on_status(
+        scenario.near,
         Some(Status {
             term: after,
             ..rival
         }),
     );
-    assert!(!trial.open().losses.iter().any(|loss| loss.complete));
+    assert!(!scenario.open().losses.iter().any(|loss| loss.complete));
 }
 
 /// The service hangs, or gets two primaries of one term, because the answer to a promotion was
 /// lost. The server's own status tells what became of it.
 #[test]
-fn a_lost_answer_is_settled_by_the_status() {
-    let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(7);
-    trial.promotion.on_status(trial.near, Some(replica(7)));
-    assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial
+fn a_lost_answer_is_resolved_by_the_status() {
+    let mut scenario = scenario(Reason::Unreachable);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(7);
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(7)));
+    assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
+    scenario
         .promotion
-        .on_promoted(trial.near, NEXT, OrderOutcome::Unknown, trial.now);
-    trial.pass(timing::RETRY);
+        .on_promoted(scenario.near, NEW_TERM, OrderOutcome::Unknown, scenario.now);
+    scenario.pass(timing::RETRY);
     assert_eq!(
-        trial.order(),
-        Some((trial.near, NEXT)),
+        scenario.order(),
+        Some((scenario.near, NEW_TERM)),
         "the same order again"
     );
-    trial.promotion.on_status(trial.near, Some(leads(NEXT, 7)));
-    assert_eq!(trial.open().history.start(NEXT), Some(7));
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(leads(NEW_TERM, 7)));
+    assert_eq!(scenario.open().history.start(NEW_TERM), Some(7));
 }
 
 /// A server that may yet take the term is given up for another, and both lead it. Cause: the same
 /// term ordered twice.
 #[test]
-fn another_server_gets_another_term() {
-    let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(7);
-    trial.promotion.on_status(trial.near, Some(replica(8)));
-    trial.promotion.on_status(trial.far, Some(replica(7)));
-    assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial.pass(timing::CONFIRM);
-    assert_eq!(trial.order(), None);
-    trial.pass(timing::RETRY);
+fn each_promoted_server_gets_its_own_term() {
+    let mut scenario = scenario(Reason::Unreachable);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(7);
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(8)));
+    scenario.promotion.on_status(scenario.far, Some(replica(7)));
+    assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
+    scenario.pass(timing::CONFIRM);
+    assert_eq!(scenario.order(), None);
+    scenario.pass(timing::RETRY);
     let after = Term { epoch: 1, count: 2 };
-    assert_eq!(trial.order(), Some((trial.far, after)));
+    assert_eq!(scenario.order(), Some((scenario.far, after)));
 }
 
 /// A promotion never ends because a server knows a greater term than the row.
 #[test]
 fn a_refusal_leads_to_a_greater_term() {
-    let mut trial = trial(Reason::Unreachable);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(7);
-    trial.promotion.on_status(trial.near, Some(replica(7)));
-    assert_eq!(trial.order(), Some((trial.near, NEXT)));
-    trial
+    let mut scenario = scenario(Reason::Unreachable);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(7);
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(7)));
+    assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
+    scenario
         .promotion
-        .on_promoted(trial.near, NEXT, OrderOutcome::Refused, trial.now);
+        .on_promoted(scenario.near, NEW_TERM, OrderOutcome::Refused, scenario.now);
     let known = Term { epoch: 1, count: 5 };
     let knows = Status {
         term: known,
         ..replica(7)
     };
-    trial.promotion.on_status(trial.near, Some(knows));
-    trial.pass(timing::RETRY);
+    scenario.promotion.on_status(scenario.near, Some(knows));
+    scenario.pass(timing::RETRY);
     let greater = Term { epoch: 1, count: 6 };
-    assert_eq!(trial.order(), Some((trial.near, greater)));
+    assert_eq!(scenario.order(), Some((scenario.near, greater)));
 }
 
 /// A switchover loses the writes that the replica had not got yet.
 #[test]
-fn a_switchover_waits_for_everything() {
-    let mut trial = trial(Reason::Leaving);
-    trial.promotion.on_status(trial.old, Some(leads(TERM, 100)));
+fn a_switchover_waits_until_the_replica_has_every_write() {
+    let mut scenario = scenario(Reason::Leaving);
+    scenario
+        .promotion
+        .on_status(scenario.old, Some(leads(OLD_TERM, 100)));
     let behind = Status {
         age: Duration::from_secs(5),
         ..replica(40)
     };
-    trial.promotion.on_status(trial.near, Some(behind));
-    assert_eq!(trial.next(), [], "writes go on while no replica is near");
-    trial.promotion.on_status(trial.near, Some(replica(99)));
-    assert_eq!(trial.next(), []);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(101);
-    trial.promotion.on_status(trial.old, Some(leads(TERM, 102)));
-    trial.pass(timing::CATCH_UP);
-    assert_eq!(trial.order(), None, "not all is there yet");
-    trial.promotion.on_status(trial.near, Some(replica(102)));
-    assert_eq!(trial.order(), Some((trial.near, NEXT)));
+    scenario.promotion.on_status(scenario.near, Some(behind));
+    assert_eq!(scenario.step(), [], "writes go on while no replica is near");
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(99)));
+    assert_eq!(scenario.step(), []);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(101);
+    scenario
+        .promotion
+        .on_status(scenario.old, Some(leads(OLD_TERM, 102)));
+    scenario.pass(timing::CATCH_UP);
+    assert_eq!(scenario.order(), None, "not all is there yet");
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(102)));
+    assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
 }
 
 /// A switchover whose replica never arrives ends in a loss instead of staying where it was.
 #[test]
-fn a_switchover_that_cannot_be_whole_stays_with_the_old_primary() {
-    let mut trial = trial(Reason::Leaving);
-    trial.promotion.on_status(trial.old, Some(leads(TERM, 100)));
-    trial.promotion.on_status(trial.near, Some(replica(99)));
-    assert_eq!(trial.next(), []);
-    trial.close(trial.now + timing::LEASE);
-    trial.closed(100);
-    trial.next();
-    trial.pass(timing::CATCH_UP_PLANNED);
-    assert_eq!(trial.order(), Some((trial.old, NEXT)));
+fn a_switchover_without_a_caught_up_replica_stays_with_the_old_primary() {
+    let mut scenario = scenario(Reason::Leaving);
+    scenario
+        .promotion
+        .on_status(scenario.old, Some(leads(OLD_TERM, 100)));
+    scenario
+        .promotion
+        .on_status(scenario.near, Some(replica(99)));
+    assert_eq!(scenario.step(), []);
+    scenario.close(scenario.now + timing::LEASE);
+    scenario.closed(100);
+    scenario.step();
+    scenario.pass(timing::CATCH_UP_PLANNED);
+    assert_eq!(scenario.order(), Some((scenario.old, NEW_TERM)));
 }
--- a/crates/core/tests/row.rs
+++ b/crates/core/tests/row.rs
@@ -35,7 +35,7 @@
 /// it has written; then a server of the second term is. Cause: the second term was forgotten when
 /// it was passed over, and with it what it had cut off.
 #[test]
-fn a_return_to_a_log_that_was_passed_over() {
+fn a_promotion_of_an_abandoned_log_knows_what_was_cut_off() {
     let first = at(0, 0);
     let service = opened(&[first, at(0, 1312), at(0, 1313), at(1, 1784)]);
     assert!(matches!(
@@ -65,7 +65,7 @@
 /// A lost write passes for kept, found by schedule 130995: a term of which the row knows nothing
 /// is part of the only log that is left. Where it began is not known, nor on which log it went on.
 #[test]
-fn a_term_that_nobody_recorded_vouches_for_no_other() {
+fn writes_before_an_unrecorded_term_count_as_lost() {
     let mut service = opened(&[at(0, 0), at(0, 1370)]);
     let unknown = at(7, 1056);
     let next = Term { epoch: 2, count: 0 };
--- a/crates/core/tests/submission.rs
+++ b/crates/core/tests/submission.rs
@@ -19,7 +19,7 @@
 /// Two operators edit version 3 at the same moment. The second one's write loses; they are told
 /// who was first, and nothing of theirs is half in force.
 #[test]
-fn the_slower_of_two_operators_learns_who_was_first() {
+fn the_slower_of_two_operators_gets_a_conflict() {
     let (mut slower, _) = Submission::new(record(3, "slower"));
     slower.next(Event::BodyPut(Ok(())));
     assert_eq!(
@@ -36,7 +36,7 @@
 /// back. The operator is told that the outcome is unknown, not that nothing was done; when they
 /// submit again with the same id they learn that it had been accepted.
 #[test]
-fn an_answer_lost_for_good_is_settled_by_the_same_id() {
+fn a_permanently_lost_answer_is_resolved_by_the_same_id() {
     let (mut submission, _) = Submission::new(record(0, "mine"));
     submission.next(Event::BodyPut(Ok(())));
     submission.next(Event::HeadRead(Ok(None)));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_outage_before_the_write_is_certain() {
+fn an_outage_before_the_write_is_reported_as_unavailable() {
     let (mut submission, mut step) = Submission::new(record(0, "mine"));
     while step == Step::PutBody {
         step = submission.next(Event::BodyPut(Err(Effect::None)));
@@ -87,8 +87,8 @@
 impl Store {
     fn write(&mut self, tag: Option<u64>, record: &Record) -> bool {
         let current = self.head.as_ref().map(|head| head.version);
-        let holds = current == tag && !self.records.contains_key(&record.version);
-        if holds {
+        let accepted = current == tag && !self.records.contains_key(&record.version);
+        if accepted {
             assert!(
                 self.bodies.contains(&record.digest),
                 "a version without its body"
@@ -101,10 +101,10 @@
             self.head = Some(record.clone());
             self.records.insert(record.version, record.clone());
         }
-        holds
+        accepted
     }
 
-    fn land_some(&mut self, random: &mut ChaCha8Rng) {
+    fn apply_some_late(&mut self, random: &mut ChaCha8Rng) {
         for (tag, record) in std::mem::take(&mut self.late) {
             match random.random_ratio(1, 2) {
                 true => drop(self.write(tag, &record)),
@@ -177,7 +177,7 @@
 
 /// Operators race while the store loses answers, goes down and lets writes take effect late.
 /// What each of them is told has to be true in the end.
-fn schedule(seed: u64) {
+fn run_schedule(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut store = Store::default();
     let mut operators: Vec<Operator> = Vec::new();
@@ -199,7 +199,7 @@
             };
             operators.push(operator);
         }
-        store.land_some(&mut random);
+        store.apply_some_late(&mut random);
         if !operators.is_empty() {
             let chosen = random.random_range(0..operators.len());
             operators[chosen].act(&mut store, &mut random);
@@ -207,7 +207,7 @@
     }
     store.down = false;
     while !store.late.is_empty() {
-        store.land_some(&mut random);
+        store.apply_some_late(&mut random);
     }
     for operator in &operators {
         check_outcome(operator, &operators, &store, seed);
@@ -241,12 +241,12 @@
 }
 
 #[test]
-fn what_operators_are_told_is_true() {
+fn reported_outcomes_are_true() {
     let schedules = match std::env::var("FLAMINGOPOST_SCHEDULES") {
         Ok(count) => count.parse().expect("FLAMINGOPOST_SCHEDULES is a number"),
         Err(_) => 500,
     };
     for seed in 0..schedules {
-        schedule(seed);
+        run_schedule(seed);
     }
 }
