--- a/crates/core/src/authority_holder.rs
+++ b/crates/core/src/authority_holder.rs
@@ -6,39 +6,39 @@
 use crate::row::{Row, Service, WriteOutcome};
 use crate::{key::ServiceKey, timing};
 
-/// The authority of a controller over its shard, and the row that it keeps.
+/// A controller's authority over its shard, and the row that it maintains.
 #[derive(Debug)]
 pub struct ShardAuthority {
-    me: HostKey,
+    own_host: HostKey,
     incarnation: u64,
     epoch: u32,
-    /// The row as it ought to be; the table or the standbys follow.
+    /// The intended row. The table, or the standbys during an outage, receive it afterwards.
     row: Row,
-    /// The table's row as last confirmed by a read or a write's answer.
+    /// The table's row as last confirmed by a read or an acknowledged write.
     confirmed: Confirmed,
-    /// Writes of unknown outcome that may yet take effect, with the standbys they name.
-    unsettled: Vec<Sent>,
-    writing: Option<Sent>,
-    read_sent: Duration,
+    /// Writes of unknown outcome, which may yet take effect, with the standbys that they name.
+    unsettled: Vec<SentWrite>,
+    writing: Option<SentWrite>,
+    last_read_sent: Duration,
     standbys: BTreeMap<HostKey, Peer>,
-    /// From when leases may be granted and promotions ordered.
-    settled: Duration,
+    /// Time from which leases may be granted and promotions ordered.
+    settled_at: Duration,
     predecessor: Option<(HostKey, u64)>,
-    over: bool,
+    replaced: bool,
 }
 
 #[derive(Debug)]
 struct Confirmed {
     revision: u64,
     standbys: BTreeSet<HostKey>,
-    /// When the last write that is known to have taken effect was sent.
-    written: Duration,
+    /// When the last write that is known to have succeeded was sent.
+    last_write_sent: Duration,
 }
 
 #[derive(Debug)]
-struct Sent {
+struct SentWrite {
     revision: u64,
-    over: u64,
+    replaces: u64,
     standbys: BTreeSet<HostKey>,
     sent: Duration,
 }
@@ -46,29 +46,31 @@
 #[derive(Debug, Default)]
 struct Peer {
     incarnation: u64,
-    /// When this incarnation first answered.
-    met: Option<Duration>,
-    /// Whether it is known that no earlier process on the host has claimed.
-    vouched: bool,
-    asked: Option<Duration>,
-    /// When the last ask that was answered was sent.
-    answered: Option<Duration>,
-    promised: Duration,
+    /// When this incarnation first answered a heartbeat.
+    first_answer: Option<Duration>,
+    /// Whether it is known that no earlier process on the host has claimed the shard.
+    verified: bool,
+    heartbeat_sent: Option<Duration>,
+    /// When the last answered heartbeat was sent.
+    last_answered: Option<Duration>,
+    promised_until: Duration,
     revision: u64,
 }
 
-/// A compare-and-set that is due.
+/// A compare-and-set of the row that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowWrite {
     /// The row to write.
     pub row: Row,
-    /// Revision of the row that it replaces.
+    /// Revision of the row that is replaced.
     pub replaces: u64,
 }
 
 impl ShardAuthority {
-    /// The authority of a process whose claim put `row` into the table. The claim was sent at
-    /// `sent`; `predecessor` is the process that the replaced row named.
+    /// Creates the authority of a process whose claim wrote `row` to the table.
+    ///
+    /// The claim was sent at `sent`. `predecessor` is the controller process that the replaced row
+    /// named.
     pub fn new(
         row: Row,
         predecessor: Option<(HostKey, u64)>,
@@ -76,66 +78,68 @@
         now: Duration,
     ) -> ShardAuthority {
         // The old controller may have sent its last read just before the claim took effect,
-        // which was no later than now. Without a predecessor there is nobody to wait for.
-        let settled = match predecessor {
+        // which was no later than `now`. Without a predecessor there is nothing to wait for.
+        let settled_at = match predecessor {
             Some(_) => now + timing::AUTHORITY_DURATION,
             None => now,
         };
         ShardAuthority {
-            me: row.controller,
+            own_host: row.controller,
             incarnation: row.incarnation,
             epoch: row.epoch,
             confirmed: Confirmed {
                 revision: row.revision,
                 standbys: row.standbys.clone(),
-                written: sent,
+                last_write_sent: sent,
             },
             row,
             unsettled: Vec::new(),
             writing: None,
-            read_sent: sent,
+            last_read_sent: sent,
             standbys: BTreeMap::new(),
-            settled,
+            settled_at,
             predecessor,
-            over: false,
+            replaced: false,
         }
     }
 
-    /// The epoch of this authority.
+    /// Returns the epoch of this authority.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// The row as it ought to be.
+    /// Returns the intended row.
     pub fn row(&self) -> &Row {
         &self.row
     }
 
-    /// Whether another process is known to have replaced this one.
+    /// Reports whether another process is known to have replaced this one.
     pub fn is_replaced(&self) -> bool {
-        self.over
+        self.replaced
     }
 
-    /// Until when the row is known to name this process.
+    /// Returns the time until which the row is known to name this process.
     pub fn valid_until(&self) -> Duration {
-        if self.over {
+        if self.replaced {
             return Duration::ZERO;
         }
-        let by_read = self.read_sent + timing::less_drift(timing::AUTHORITY_DURATION);
-        by_read.max(self.until_by_promises())
+        let by_read = self.last_read_sent + timing::less_drift(timing::AUTHORITY_DURATION);
+        by_read.max(self.valid_until_by_promises())
     }
 
-    /// From when the authority that this one replaced is over.
+    /// Returns the time from which the authority of the predecessor is over.
     pub fn settled_at(&self) -> Duration {
-        self.settled
+        self.settled_at
     }
 
-    /// Whether this process may act for the shard at `now`.
+    /// Reports whether this process may act for the shard at `now`.
     pub fn may_act(&self, now: Duration) -> bool {
-        now >= self.settled && now < self.valid_until()
+        now >= self.settled_at && now < self.valid_until()
     }
 
-    /// The longest lease that may be granted at `now`: none outlives the authority behind it.
+    /// Returns the longest lease that may be granted at `now`.
+    ///
+    /// No lease outlives the authority under which it is granted.
     pub fn max_lease(&self, now: Duration) -> Duration {
         if !self.may_act(now) {
             return Duration::ZERO;
@@ -145,81 +149,84 @@
             .min(timing::LEASE_DURATION)
     }
 
-    /// Takes what a read of the table, sent at `sent`, found.
+    /// Handles the result of a table read that was sent at `sent`.
     pub fn on_row_read(&mut self, sent: Duration, row: Option<&Row>) {
         let Some(row) = row else {
-            self.over = true;
+            self.replaced = true;
             return;
         };
         let process = (row.controller, row.incarnation);
-        if row.epoch != self.epoch || process != (self.me, self.incarnation) {
-            // A read that was overtaken by this process's own claim finds an older epoch.
-            self.over |= row.epoch >= self.epoch;
+        if row.epoch != self.epoch || process != (self.own_host, self.incarnation) {
+            // A read that was overtaken by this process's own claim returns an older epoch.
+            self.replaced |= row.epoch >= self.epoch;
             return;
         }
-        self.read_sent = self.read_sent.max(sent);
-        // The row still named this process when these had answered, so nobody had claimed.
+        self.last_read_sent = self.last_read_sent.max(sent);
+        // The row still named this process after these standbys had answered, so none of them
+        // had claimed.
         for peer in self.standbys.values_mut() {
-            peer.vouched |= peer.met.is_some_and(|met| met <= sent);
+            peer.verified |= peer.first_answer.is_some_and(|met| met <= sent);
         }
-        self.confirm(row.revision);
+        self.confirm_revision(row.revision);
     }
 
-    /// Takes the answer to the write of `revision`.
+    /// Handles the outcome of the write of `revision`.
     pub fn on_write_outcome(&mut self, revision: u64, written: WriteOutcome) {
-        let ours = |writing: &Sent| writing.revision == revision;
+        let ours = |writing: &SentWrite| writing.revision == revision;
         let Some(writing) = self.writing.take_if(|writing| ours(writing)) else {
             return;
         };
         match written {
             WriteOutcome::Done => {
-                self.read_sent = self.read_sent.max(writing.sent);
+                self.last_read_sent = self.last_read_sent.max(writing.sent);
                 self.unsettled.push(writing);
-                self.confirm(revision);
+                self.confirm_revision(revision);
             }
-            // Somebody else's row, or an earlier write of this process that was thought lost:
-            // the next read tells.
+            // The table holds another process's row, or an earlier write of this process whose
+            // answer was lost. The next read distinguishes the two.
             WriteOutcome::NotDone => {}
-            WriteOutcome::Unknown => self.unsettle(writing),
+            WriteOutcome::Unknown => self.mark_unsettled(writing),
         }
     }
 
-    /// Takes a standby's answer, at `now`, to an ask that was sent at `sent`.
+    /// Handles a standby's answer, received at `now`, to a heartbeat that was sent at `sent`.
     pub fn on_promise(&mut self, host: HostKey, sent: Duration, promise: Promise, now: Duration) {
         if promise.epoch > self.epoch {
-            // Its epoch comes from a row that it has read, so this process has been replaced; or
-            // it is claiming, and the table will tell. Either way its promise is not given.
+            // The standby has read a row of a later epoch, so this process has been replaced; or
+            // the standby is claiming, and the next read shows the outcome. Neither is a promise.
             return;
         }
         let peer = self.standbys.entry(host).or_default();
-        if peer.met.is_none() || peer.incarnation != promise.incarnation {
-            // A restarted standby does not know whether it claimed before, and its promise would
-            // revive an authority that its earlier process has replaced. That process cannot have
-            // claimed while its own promise was running.
-            peer.vouched &= sent < peer.promised;
+        if peer.first_answer.is_none() || peer.incarnation != promise.incarnation {
+            // A restarted standby does not know whether it claimed before, and its promise could
+            // revive an authority that its earlier process has replaced. The earlier process
+            // cannot have claimed while its own promise was running.
+            peer.verified &= sent < peer.promised_until;
             peer.incarnation = promise.incarnation;
-            peer.met = Some(now);
+            peer.first_answer = Some(now);
         }
-        peer.answered = peer.answered.max(Some(sent));
+        peer.last_answered = peer.last_answered.max(Some(sent));
         peer.revision = promise.revision;
         if promise.given {
             let until = sent + timing::less_drift(promise.valid);
-            peer.promised = peer.promised.max(until);
+            peer.promised_until = peer.promised_until.max(until);
         }
     }
 
-    /// Takes the answer of the replaced controller at `host`: its leases are waited for instead
-    /// of its authority.
+    /// Handles a release answer from `host`.
+    ///
+    /// If it comes from the replaced controller, this authority waits for that controller's leases
+    /// instead of its whole authority.
     pub fn on_released(&mut self, host: HostKey, released: &Released, now: Duration) {
         if let Some(row) = &released.row {
             self.learn(row);
         }
         if self.predecessor == Some((host, released.incarnation)) {
-            self.settled = self.settled.min(now + released.leases);
+            self.settled_at = self.settled_at.min(now + released.leases);
         }
     }
 
-    /// Takes in what another process knows of services.
+    /// Merges the service states that another process knows.
     pub fn learn(&mut self, row: &Row) {
         let before = self.row.services.clone();
         self.row.merge(row);
@@ -228,33 +235,36 @@
         }
     }
 
-    /// Sets the state of a service and returns the revision that has to be committed for it.
+    /// Sets the state of a service and returns the revision that must be committed for it.
     pub fn set_service(&mut self, key: ServiceKey, service: Service) -> u64 {
         self.row.services.insert(key, service);
         self.row.revision += 1;
         self.row.revision
     }
 
-    /// The revision that a successor is sure to know of: it is in the table, or every standby
-    /// that could claim has it.
+    /// Returns the newest revision that every possible successor knows.
+    ///
+    /// It is in the table, or every standby that could claim has it.
     pub fn committed_revision(&self) -> u64 {
-        self.confirmed.revision.max(self.kept_by_standbys())
+        self.confirmed
+            .revision
+            .max(self.revision_kept_by_standbys())
     }
 
-    /// The write to send at `now`, if one is due and none is under way.
+    /// Returns the write to send at `now`, if one is due and none is in progress.
     pub fn next_write(&mut self, now: Duration) -> Option<RowWrite> {
-        if self.over || self.writing.is_some() {
+        if self.replaced || self.writing.is_some() {
             return None;
         }
-        if now >= self.confirmed.written + self.touch_after() {
+        if now >= self.confirmed.last_write_sent + self.touch_interval() {
             self.touch();
         }
         if self.row.revision <= self.confirmed.revision {
             return None;
         }
-        let writing = Sent {
+        let writing = SentWrite {
             revision: self.row.revision,
-            over: self.confirmed.revision,
+            replaces: self.confirmed.revision,
             standbys: self.row.standbys.clone(),
             sent: now,
         };
@@ -265,57 +275,61 @@
         })
     }
 
-    /// Whether no write has failed since the table last answered, so the next need not wait.
+    /// Reports whether no write has an unknown outcome, so that the next needs no backoff.
     pub fn may_write_at_once(&self) -> bool {
         self.unsettled.is_empty()
     }
 
-    /// The asks to send at `now`: heartbeats, and promises where the table is silent.
+    /// Returns the heartbeats to send at `now`.
+    ///
+    /// They request promises while reads of the table are overdue.
     pub fn heartbeats(
         &mut self,
         candidates: &[HostKey],
         now: Duration,
     ) -> Vec<(HostKey, Heartbeat)> {
-        if self.over {
+        if self.replaced {
             return Vec::new();
         }
-        let (promise, keep) = (self.needs_promises(now), self.needs_keeping(now));
-        let mut hosts = self.named();
-        let silent = |host: &HostKey| !self.heard(*host, timing::STANDBY_TIMEOUT, now);
+        let (wants_promise, keep_copies) =
+            (self.needs_promises(now), self.needs_standby_copies(now));
+        let mut hosts = self.possible_standbys();
+        let silent = |host: &HostKey| !self.answered_within(*host, timing::STANDBY_TIMEOUT, now);
         if self.row.standbys.len() < timing::STANDBY_COUNT || self.row.standbys.iter().any(silent) {
-            hosts.extend(candidates.iter().filter(|host| **host != self.me));
+            hosts.extend(candidates.iter().filter(|host| **host != self.own_host));
         }
-        let mut asks = Vec::new();
+        let mut heartbeats = Vec::new();
         for host in hosts {
             let peer = self.standbys.entry(host).or_default();
             let behind = peer.revision < self.row.revision;
-            let pause = match keep && behind {
+            let pause = match keep_copies && behind {
                 true => timing::RESEND_INTERVAL,
                 false => timing::HEARTBEAT_INTERVAL,
             };
-            if peer.asked.is_some_and(|asked| now < asked + pause) {
+            if peer.heartbeat_sent.is_some_and(|sent| now < sent + pause) {
                 continue;
             }
-            peer.asked = Some(now);
-            let ask = Heartbeat {
+            peer.heartbeat_sent = Some(now);
+            let heartbeat = Heartbeat {
                 epoch: self.epoch,
-                wants_promise: promise,
+                wants_promise,
                 revision: self.row.revision,
                 row: behind.then(|| self.row.clone()),
             };
-            asks.push((host, ask));
+            heartbeats.push((host, heartbeat));
         }
-        asks
+        heartbeats
     }
 
-    /// Names standbys among `candidates`, best first, where some are missing or silent. Only
-    /// hosts that answer are named: one that cannot hear this process would claim at once.
+    /// Chooses standbys from `candidates`, best first, to fill or replace missing and silent ones.
+    ///
+    /// Only hosts that answer are chosen: a host that receives no heartbeats would claim at once.
     pub fn choose_standbys(&mut self, candidates: &[HostKey], now: Duration) {
-        // While the table is silent, each new name would only add to those who must promise.
-        if self.over || !self.unsettled.is_empty() || self.needs_promises(now) {
+        // While the table is unavailable, each further standby is one more that must promise.
+        if self.replaced || !self.unsettled.is_empty() || self.needs_promises(now) {
             return;
         }
-        let silent = |host: &&HostKey| !self.heard(**host, timing::STANDBY_TIMEOUT, now);
+        let silent = |host: &&HostKey| !self.answered_within(**host, timing::STANDBY_TIMEOUT, now);
         let (lost, mut named): (Vec<HostKey>, BTreeSet<HostKey>) = (
             self.row.standbys.iter().filter(silent).copied().collect(),
             self.row
@@ -325,9 +339,10 @@
                 .copied()
                 .collect(),
         );
-        let fresh = |host: &&HostKey| self.heard(**host, timing::CONTROLLER_TIMEOUT, now);
-        let others = candidates.iter().filter(|host| **host != self.me);
-        // Never fewer than before: naming none would end the authority by promises.
+        let fresh = |host: &&HostKey| self.answered_within(**host, timing::CONTROLLER_TIMEOUT, now);
+        let others = candidates.iter().filter(|host| **host != self.own_host);
+        // Silent standbys are kept rather than dropped without a replacement: with no standby
+        // named, promises could not extend the authority.
         for host in others.filter(fresh).chain(&lost) {
             if named.len() < timing::STANDBY_COUNT {
                 named.insert(*host);
@@ -339,59 +354,62 @@
         }
     }
 
-    /// Gives up, for good, and tells the successor what it has to wait for. `leases` is how long
-    /// the leases that were granted may still run.
+    /// Gives up the authority permanently and returns what the successor has to wait for.
+    ///
+    /// `leases` is how long the granted leases may still run.
     pub fn release(&mut self, leases: Duration, now: Duration) -> Released {
-        self.over = true;
+        self.replaced = true;
         Released {
             incarnation: self.incarnation,
-            leases: leases.max(self.settled.saturating_sub(now)),
+            leases: leases.max(self.settled_at.saturating_sub(now)),
             witnessed_epoch: self.epoch,
             row: Some(self.row.clone()),
         }
     }
 
-    /// Hosts from which a successor may want to hear: the predecessor and all who were named.
+    /// Returns the hosts that may be witnesses: the predecessor and every possible standby.
     pub fn possible_witnesses(&self) -> BTreeSet<HostKey> {
-        let mut hosts = self.named();
+        let mut hosts = self.possible_standbys();
         hosts.extend(self.predecessor.map(|(host, _)| host));
-        hosts.remove(&self.me);
+        hosts.remove(&self.own_host);
         hosts
     }
 
-    fn vouched(&self, host: HostKey) -> Option<&Peer> {
-        self.standbys.get(&host).filter(|peer| peer.vouched)
+    fn verified_peer(&self, host: HostKey) -> Option<&Peer> {
+        self.standbys.get(&host).filter(|peer| peer.verified)
     }
 
-    fn heard(&self, host: HostKey, within: Duration, now: Duration) -> bool {
+    fn answered_within(&self, host: HostKey, within: Duration, now: Duration) -> bool {
         let peer = self.standbys.get(&host);
-        let answered = peer.and_then(|peer| peer.answered);
+        let answered = peer.and_then(|peer| peer.last_answered);
         answered.is_some_and(|answered| now < answered + within)
     }
 
-    fn until_by_promises(&self) -> Duration {
-        // Without a standby to ask, nobody has promised anything.
+    fn valid_until_by_promises(&self) -> Duration {
+        // With no standby named there is no promise to rely on.
         if self.confirmed.standbys.is_empty() {
             return Duration::ZERO;
         }
-        let promised = |host: &HostKey| self.vouched(*host).map(|peer| peer.promised);
-        let least = self.named().iter().map(promised).min();
+        let promised = |host: &HostKey| self.verified_peer(*host).map(|peer| peer.promised_until);
+        let least = self.possible_standbys().iter().map(promised).min();
         let least = least.flatten().unwrap_or_default();
-        let orphaned = self.confirmed.written + timing::less_drift(timing::ORPHAN_TIMEOUT);
+        let orphaned = self.confirmed.last_write_sent + timing::less_drift(timing::ORPHAN_TIMEOUT);
         least.min(orphaned)
     }
 
-    fn kept_by_standbys(&self) -> u64 {
+    fn revision_kept_by_standbys(&self) -> u64 {
         if self.confirmed.standbys.is_empty() {
             return 0;
         }
-        let kept = |host: &HostKey| self.vouched(*host).map_or(0, |peer| peer.revision);
-        self.named().iter().map(kept).min().unwrap_or(0)
+        let kept = |host: &HostKey| self.verified_peer(*host).map_or(0, |peer| peer.revision);
+        self.possible_standbys().iter().map(kept).min().unwrap_or(0)
     }
 
-    /// Everybody who may be named in the table: a write whose answer was lost may have taken
-    /// effect, or may yet, and the standbys it names could then claim.
-    fn named(&self) -> BTreeSet<HostKey> {
+    /// Returns every host that the table may name as a standby.
+    ///
+    /// A write whose answer was lost may have taken effect, or may yet, and the standbys that it
+    /// names could then claim.
+    fn possible_standbys(&self) -> BTreeSet<HostKey> {
         let mut named = self.confirmed.standbys.clone();
         for unsettled in &self.unsettled {
             named.extend(unsettled.standbys.iter().copied());
@@ -402,39 +420,40 @@
         named
     }
 
-    fn unsettle(&mut self, lost: Sent) {
-        let same = |write: &Sent| (write.revision, write.over) == (lost.revision, lost.over);
-        // The first sending counts: it bounds from below when the row can have changed.
+    fn mark_unsettled(&mut self, lost: SentWrite) {
+        let same =
+            |write: &SentWrite| (write.revision, write.replaces) == (lost.revision, lost.replaces);
+        // The first send time is kept: it is a lower bound for when the row can have changed.
         if !self.unsettled.iter().any(same) {
             self.unsettled.push(lost);
         }
     }
 
-    fn confirm(&mut self, revision: u64) {
+    fn confirm_revision(&mut self, revision: u64) {
         if revision < self.confirmed.revision {
             return;
         }
         let sent = self.unsettled.iter().chain(&self.writing);
         if let Some(sent) = sent.into_iter().find(|write| write.revision == revision) {
             self.confirmed.standbys = sent.standbys.clone();
-            self.confirmed.written = sent.sent;
+            self.confirmed.last_write_sent = sent.sent;
         }
         self.confirmed.revision = revision;
-        // A write over an earlier revision can no longer take effect.
-        self.unsettled.retain(|write| write.over >= revision);
+        // A write that replaces an earlier revision can no longer take effect.
+        self.unsettled.retain(|write| write.replaces >= revision);
     }
 
     fn needs_promises(&self, now: Duration) -> bool {
-        now >= self.read_sent + timing::ROW_READ_OVERDUE
+        now >= self.last_read_sent + timing::ROW_READ_OVERDUE
     }
 
-    fn needs_keeping(&self, now: Duration) -> bool {
+    fn needs_standby_copies(&self, now: Duration) -> bool {
         let writing = self.writing.as_ref();
         let slow = writing.is_some_and(|writing| now >= writing.sent + timing::ROW_WRITE_OVERDUE);
         slow || !self.unsettled.is_empty() || self.needs_promises(now)
     }
 
-    fn touch_after(&self) -> Duration {
+    fn touch_interval(&self) -> Duration {
         match self.confirmed.standbys.is_empty() {
             true => timing::ROW_REFRESH_INTERVAL_NO_STANDBY,
             false => timing::ROW_REFRESH_INTERVAL,
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -1,4 +1,4 @@
-//! What a controller starts because servers, hosts or the configuration say so.
+//! How a controller reacts to the state of servers, hosts and the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::view::State;
 
 impl Lead {
-    /// Compares what servers say of themselves with the row, and starts what is needed.
+    /// Compares the servers' statuses with the row, and starts the promotions that are needed.
     pub(super) fn reconcile(
         &mut self,
         groups: &BTreeMap<ServiceKey, Group>,
@@ -21,20 +21,20 @@
         actions: &mut Vec<Action>,
     ) {
         if self
-            .status_asked
+            .last_status_query
             .is_none_or(|asked| now >= asked + timing::STATUS_INTERVAL)
         {
-            self.status_asked = Some(now);
-            self.judge.expire(now);
+            self.last_status_query = Some(now);
+            self.suspicion.expire(now);
             let servers = groups.values().flat_map(|group| group.servers.keys());
             actions.extend(servers.map(|server| Action::QueryStatus(*server)));
         }
         for (key, group) in groups {
             if !self.view.services.contains_key(key) {
-                self.adopt(*key, group, now);
-                self.bump();
+                self.adopt_service(*key, group, now);
+                self.advance_view();
             }
-            match self.state(*key) {
+            match self.service_state(*key) {
                 Some(State::Open { term, primary }) => {
                     self.reconcile_open(*key, group, term, primary, now, actions);
                 }
@@ -52,8 +52,8 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let unreachable = self.judge.reachability(primary, now) == Reachability::Unreachable;
-        let dead = unreachable && self.judge.has_cooled_down(key, now);
+        let unreachable = self.suspicion.reachability(primary, now) == Reachability::Unreachable;
+        let dead = unreachable && self.suspicion.has_cooled_down(key, now);
         if let Some(running) = self.promotions.get_mut(&key) {
             if dead {
                 running.promotion.on_primary_unreachable();
@@ -61,14 +61,14 @@
             return;
         }
         if dead {
-            self.judge.record_promotion(key, now);
-            self.begin(key, group, Reason::Unreachable, now);
+            self.suspicion.record_promotion(key, now);
+            self.begin_promotion(key, group, Reason::Unreachable, now);
         } else if self.has_rival(group, term, primary) {
-            self.begin(key, group, Reason::Rival, now);
-        } else if self.is_leaving(group, primary) && self.has_heir(group, primary) {
-            self.begin(key, group, Reason::Leaving, now);
+            self.begin_promotion(key, group, Reason::Rival, now);
+        } else if self.is_leaving(group, primary) && self.has_replacement(group, primary) {
+            self.begin_promotion(key, group, Reason::Leaving, now);
         } else {
-            self.follow(group, term, primary, actions);
+            self.order_followers(group, term, primary, actions);
         }
     }
 
@@ -78,27 +78,34 @@
                 return false;
             };
             let leads = status.leads && status.term == term;
-            // A term of a later epoch is a successor's; this process will learn of it.
-            let ours = status.term.epoch <= self.holder.epoch();
+            // A term of a later epoch belongs to a successor, which this process will learn of from
+            // the table.
+            let ours = status.term.epoch <= self.authority.epoch();
             ours && (status.term > term || (*server == primary && !leads))
         })
     }
 
     pub(super) fn is_leaving(&self, group: &Group, server: ServerKey) -> bool {
         let stays = group.servers.get(&server) == Some(&Leaving::No);
-        !stays || self.leaving.contains(&server)
+        !stays || self.leaving_servers.contains(&server)
     }
 
-    fn has_heir(&self, group: &Group, primary: ServerKey) -> bool {
+    fn has_replacement(&self, group: &Group, primary: ServerKey) -> bool {
         let mut others = group.servers.keys().filter(|server| **server != primary);
         others.any(|s| !self.is_leaving(group, *s) && self.statuses.contains_key(s))
     }
 
-    fn follow(&mut self, group: &Group, term: Term, primary: ServerKey, actions: &mut Vec<Action>) {
+    fn order_followers(
+        &mut self,
+        group: &Group,
+        term: Term,
+        primary: ServerKey,
+        actions: &mut Vec<Action>,
+    ) {
         for server in group.servers.keys().filter(|server| **server != primary) {
             let behind = |status: &Status| status.term < term || status.leads;
             if self.statuses.get(server).is_some_and(behind) {
-                // Asked again only after the next status, so that one order is under way.
+                // Ordered again only after the next status, so that one order at a time is in progress.
                 self.statuses.remove(server);
                 actions.push(Action::Follow {
                     server: *server,
@@ -109,8 +116,8 @@
         }
     }
 
-    /// Shows which servers receive no new work.
-    pub(super) fn refresh(&mut self, groups: &BTreeMap<ServiceKey, Group>) {
+    /// Updates the view's lists of leaving servers, and drops services that are not configured.
+    pub(super) fn refresh_leaving(&mut self, groups: &BTreeMap<ServiceKey, Group>) {
         let mut changed = false;
         for (key, group) in groups {
             let leaving = group.servers.keys().filter(|s| self.is_leaving(group, **s));
@@ -122,13 +129,13 @@
                 changed = true;
             }
         }
-        // The row keeps what is no longer configured: a controller whose configuration is behind
-        // would otherwise forget a service's terms, and with them what was lost.
+        // The row keeps services that are no longer configured. Otherwise a controller with an
+        // outdated configuration would forget a service's terms and recorded losses.
         let before = self.view.services.len();
         self.view.services.retain(|key, _| groups.contains_key(key));
         self.promotions.retain(|key, _| groups.contains_key(key));
         if changed || before != self.view.services.len() {
-            self.bump();
+            self.advance_view();
         }
     }
 }
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -1,17 +1,17 @@
 //! Promotion of one service: from the close of its term to the opening of the next.
 //!
-//! 1. *Prepare* (planned switchovers only): wait until a replica is close behind.
-//! 2. *Close*: the row says that the term is over, and every holder of a running lease is told.
-//!    The next step waits until the row is committed and each holder has answered or its lease
-//!    has lapsed.
-//! 3. *Choose* the reachable server whose data reach furthest, and wait a bounded time for one
-//!    that has all that was acknowledged.
-//! 4. *Promote* it. The order names its term and is repeated until the server says that it leads
-//!    that term; its log ends there, and the term begins there.
-//! 5. *Open* the term: the row says so, and once that is committed, holders are told.
+//! 1. *Prepare* (planned switchovers only): wait until a replica is close behind the primary.
+//! 2. *Close*: record in the row that the term is closed, and revoke every running lease. The next
+//!    step waits until the row is committed and each holder has answered or its lease has lapsed.
+//! 3. *Choose* the reachable server with the highest replication position, and wait a bounded time
+//!    for one that has every acknowledged write.
+//! 4. *Promote* that server. The order names the new term and is repeated until the server reports
+//!    that it leads that term. The term begins at the position that the server reports then.
+//! 5. *Open* the term: record it in the row, and once that is committed, send the new view to the
+//!    lease holders.
 //!
-//! A successor resumes from the row: a closed term is promoted again from step 3, under a term
-//! of the successor's own epoch.
+//! A succeeding controller resumes from the row: for a closed term it starts at step 3, with a new
+//! term of its own epoch.
 
 #[path = "promotion_next.rs"]
 mod next;
@@ -29,7 +29,7 @@
 use crate::timing;
 use crate::view::State;
 
-/// One promotion under way.
+/// One promotion in progress.
 #[derive(Debug)]
 pub struct Promotion {
     key: ServiceKey,
@@ -37,17 +37,19 @@
     servers: BTreeSet<ServerKey>,
     service: Service,
     step: Step,
-    waiting: BTreeMap<Instance, Duration>,
-    /// Whether every holder told what it had acknowledged.
-    complete: bool,
+    /// Holders that have not answered the revocation, with the times at which their leases end.
+    awaited_holders: BTreeMap<Instance, Duration>,
+    /// Whether `acknowledged` covers every write that any holder can have acknowledged.
+    acknowledged_complete: bool,
+    /// The highest position known to have been acknowledged or written.
     acknowledged: Option<Position>,
     statuses: BTreeMap<ServerKey, Status>,
     /// The greatest term that any server knows or was ordered to lead.
-    greatest: Term,
-    asked: Option<Duration>,
-    revoked: Option<Duration>,
-    /// How far all servers together had got, and when that last changed.
-    reached: (u64, Duration),
+    greatest_term: Term,
+    last_status_query: Option<Duration>,
+    last_revocation: Option<Duration>,
+    /// The sum of all servers' log positions, and when it last changed.
+    progress: (u64, Duration),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,7 +61,7 @@
     },
     Choosing {
         since: Duration,
-        from: Duration,
+        not_before: Duration,
     },
     Promoting {
         server: ServerKey,
@@ -79,7 +81,7 @@
 }
 
 impl Promotion {
-    /// A promotion of the service `key`, which the row shows as `service`.
+    /// Creates a promotion of the service `key`, whose state in the row is `service`.
     pub fn new(
         key: ServiceKey,
         servers: BTreeSet<ServerKey>,
@@ -92,7 +94,7 @@
             Reason::Leaving => Step::Preparing,
             _ if closed => Step::Choosing {
                 since: now,
-                from: now,
+                not_before: now,
             },
             _ => Step::Start,
         };
@@ -100,43 +102,45 @@
             key,
             reason,
             servers,
-            greatest: service.state.term(),
+            greatest_term: service.state.term(),
             service,
             step,
-            waiting: BTreeMap::new(),
-            // A rival's term may have had holders that nobody here knows of.
-            complete: !closed && reason != Reason::Rival,
+            awaited_holders: BTreeMap::new(),
+            // A rival's term may have had lease holders that this controller does not know of.
+            acknowledged_complete: !closed && reason != Reason::Rival,
             acknowledged: None,
             statuses: BTreeMap::new(),
-            asked: None,
-            revoked: None,
-            reached: (0, now),
+            last_status_query: None,
+            last_revocation: None,
+            progress: (0, now),
         }
     }
 
-    /// The service.
+    /// Returns the key of the service.
     pub fn key(&self) -> ServiceKey {
         self.key
     }
 
-    /// The servers of its group.
+    /// Returns the servers of the service.
     pub fn servers(&self) -> impl Iterator<Item = ServerKey> + '_ {
         self.servers.iter().copied()
     }
 
-    /// Why it gets another primary.
+    /// Returns why the service gets another primary.
     pub fn reason(&self) -> Reason {
         self.reason
     }
 
-    /// Tells up to where the old primary is known to have written, and whether anything past
-    /// that can only have been acknowledged by the holders that are about to be asked.
+    /// Records the position up to which the old primary is known to have written.
+    ///
+    /// `complete` states that anything past it can only have been acknowledged by the holders whose
+    /// leases are about to be revoked.
     pub fn set_known_written(&mut self, position: Position, complete: bool) {
         self.acknowledged = self.acknowledged.max(Some(position));
-        self.complete &= complete;
+        self.acknowledged_complete &= complete;
     }
 
-    /// Gives up waiting for a planned switchover's old primary, which has become unreachable.
+    /// Turns a planned switchover into a failover, because the old primary is unreachable.
     pub fn on_primary_unreachable(&mut self) {
         if self.reason == Reason::Leaving {
             self.reason = Reason::Unreachable;
@@ -146,32 +150,34 @@
         }
     }
 
-    /// Tells that the closed state is in the row of `revision` and in the view, and which leases
-    /// were running when it got there. Leases granted later are on that view.
+    /// Records that the closed state is in the row of `revision` and in the view.
+    ///
+    /// `running` are the leases that were running at that time. Leases granted later are for that
+    /// view.
     pub fn begin_closing(&mut self, revision: u64, running: BTreeMap<Instance, Duration>) {
-        self.waiting = running;
+        self.awaited_holders = running;
         self.step = Step::Closing { revision };
     }
 
-    /// Tells that the open state is in the row of `revision`.
+    /// Records that the open state is in the row of `revision`.
     pub fn begin_opening(&mut self, revision: u64) {
         self.step = Step::Opening { revision };
     }
 
-    /// Takes a holder's answer to the revocation.
+    /// Handles a holder's answer to the revocation.
     pub fn on_closed(&mut self, holder: Instance, acknowledged: Option<Position>) {
-        self.waiting.remove(&holder);
+        self.awaited_holders.remove(&holder);
         self.acknowledged = self.acknowledged.max(acknowledged);
     }
 
-    /// Takes a server's status, or that it could not be asked.
+    /// Handles a server's status, or `None` if the query failed.
     pub fn on_status(&mut self, server: ServerKey, status: Option<Status>) {
         let Some(status) = status else {
             self.statuses.remove(&server);
             return;
         };
         self.statuses.insert(server, status);
-        self.greatest = self.greatest.max(status.term);
+        self.greatest_term = self.greatest_term.max(status.term);
         if let Step::Promoting {
             server: chosen,
             term,
@@ -189,8 +195,9 @@
         }
     }
 
-    /// Takes the answer to a promotion order. `Done` and `Unknown` alike are settled by the
-    /// server's own status.
+    /// Handles the outcome of a promotion order.
+    ///
+    /// After both `Done` and `Unknown`, the server's own status decides.
     pub fn on_promoted(
         &mut self,
         server: ServerKey,
@@ -215,20 +222,22 @@
                 self.statuses.remove(&server);
                 self.step = Step::Choosing {
                     since,
-                    from: now + timing::RESEND_INTERVAL,
+                    not_before: now + timing::RESEND_INTERVAL,
                 };
             }
-            OrderOutcome::Done | OrderOutcome::Unknown => self.asked = None,
+            OrderOutcome::Done | OrderOutcome::Unknown => self.last_status_query = None,
         }
     }
 
-    /// What to do at `now`, under the authority of `epoch`, whose row is committed up to
-    /// `committed`.
+    /// Advances the promotion and returns the actions that are due at `now`.
+    ///
+    /// `epoch` is that of the controller's authority, and `committed` the committed revision of its
+    /// row.
     pub fn step(&mut self, epoch: u32, committed: u64, now: Duration) -> Vec<PromotionAction> {
-        let mut next = Vec::new();
-        self.watch(now);
+        let mut actions = Vec::new();
+        self.track_progress(now);
         if !matches!(self.step, Step::Start | Step::Opening { .. }) {
-            next.extend(self.ask(now));
+            actions.extend(self.query_statuses(now));
         }
         match self.step {
             Step::Preparing => {
@@ -236,41 +245,43 @@
                     self.step = Step::Start;
                 }
             }
-            Step::Start => next.push(PromotionAction::Commit(self.over())),
+            Step::Start => actions.push(PromotionAction::Commit(self.closed_service())),
             Step::Closing { revision } => {
-                next.extend(self.revoke(now));
-                if self.waiting.is_empty() && committed >= revision {
+                actions.extend(self.revoke(now));
+                if self.awaited_holders.is_empty() && committed >= revision {
                     self.step = Step::Choosing {
                         since: now,
-                        from: now,
+                        not_before: now,
                     };
-                    next.extend(self.choose(epoch, now));
+                    actions.extend(self.choose(epoch, now));
                 }
             }
-            Step::Choosing { .. } => next.extend(self.choose(epoch, now)),
-            Step::Promoting { .. } => next.extend(self.promote(now)),
+            Step::Choosing { .. } => actions.extend(self.choose(epoch, now)),
+            Step::Promoting { .. } => actions.extend(self.promote(now)),
             Step::Ready {
                 server,
                 term,
                 start,
-            } => next.push(PromotionAction::Commit(self.open(server, term, start))),
+            } => actions.push(PromotionAction::Commit(
+                self.opened_service(server, term, start),
+            )),
             Step::Opening { revision } => {
                 if committed >= revision {
-                    next.push(PromotionAction::Done);
+                    actions.push(PromotionAction::Done);
                 }
             }
         }
-        next
+        actions
     }
 
-    fn ask(&mut self, now: Duration) -> Option<PromotionAction> {
+    fn query_statuses(&mut self, now: Duration) -> Option<PromotionAction> {
         if self
-            .asked
+            .last_status_query
             .is_some_and(|asked| now < asked + timing::RESEND_INTERVAL)
         {
             return None;
         }
-        self.asked = Some(now);
+        self.last_status_query = Some(now);
         Some(PromotionAction::QueryStatus(
             self.servers.iter().copied().collect(),
         ))
@@ -278,14 +289,14 @@
 
     fn is_prepared(&self) -> bool {
         let primary = self.service.primary.and_then(|p| self.statuses.get(&p));
-        let close = |status: &Status| {
-            let behind = primary.is_some_and(|p| status.position == p.position);
-            !status.leads && !status.leaving && (behind || status.age <= timing::RESEND_INTERVAL)
+        let is_near = |status: &Status| {
+            let caught_up = primary.is_some_and(|p| status.position == p.position);
+            !status.leads && !status.leaving && (caught_up || status.age <= timing::RESEND_INTERVAL)
         };
-        self.statuses.values().any(close)
+        self.statuses.values().any(is_near)
     }
 
-    fn over(&self) -> Service {
+    fn closed_service(&self) -> Service {
         let mut service = self.service.clone();
         service.state = State::Closed {
             term: service.state.term(),
@@ -294,35 +305,36 @@
     }
 
     fn revoke(&mut self, now: Duration) -> Option<PromotionAction> {
-        let running = self.waiting.len();
-        self.waiting.retain(|_, until| *until > now);
-        // A lease that lapsed without an answer: its holder may have acknowledged more than
-        // anybody knows.
-        self.complete &= running == self.waiting.len();
-        if self.waiting.is_empty()
+        let awaited = self.awaited_holders.len();
+        self.awaited_holders.retain(|_, until| *until > now);
+        // A lease lapsed without an answer. Its holder may have acknowledged writes that are not
+        // covered by `acknowledged`.
+        self.acknowledged_complete &= awaited == self.awaited_holders.len();
+        if self.awaited_holders.is_empty()
             || self
-                .revoked
+                .last_revocation
                 .is_some_and(|at| now < at + timing::RESEND_INTERVAL)
         {
             return None;
         }
-        self.revoked = Some(now);
+        self.last_revocation = Some(now);
         Some(PromotionAction::Revoke(
-            self.waiting.keys().copied().collect(),
+            self.awaited_holders.keys().copied().collect(),
         ))
     }
 
     fn choose(&mut self, epoch: u32, now: Duration) -> Option<PromotionAction> {
-        let Step::Choosing { since, from } = self.step else {
+        let Step::Choosing { since, not_before } = self.step else {
             return None;
         };
-        // A term of a later epoch: this controller has been replaced and will learn of it.
-        if now < from || self.greatest.epoch > epoch {
+        // A term of a later epoch shows that this controller has been replaced. It will learn of
+        // that from the table.
+        if now < not_before || self.greatest_term.epoch > epoch {
             return None;
         }
-        let (server, status) = self.best(since, now)?;
-        let term = self.greatest.next(epoch);
-        self.greatest = term;
+        let (server, status) = self.choose_server(since, now)?;
+        let term = self.greatest_term.next(epoch);
+        self.greatest_term = term;
         self.step = Step::Promoting {
             server,
             term,
@@ -345,12 +357,12 @@
             return None;
         };
         if now >= since + timing::CONFIRM_TIMEOUT {
-            // It may have taken the term and may yet say so; the next order uses a greater one,
-            // and nobody is told of a term that was not opened.
+            // The server may have taken the term and may yet report it. The next order uses a
+            // greater term, and a term that was not opened is never published.
             self.statuses.remove(&server);
             self.step = Step::Choosing {
                 since,
-                from: now + timing::RESEND_INTERVAL,
+                not_before: now + timing::RESEND_INTERVAL,
             };
             return None;
         }
@@ -358,7 +370,7 @@
             return None;
         }
         *ordered = Some(now);
-        self.asked = None;
+        self.last_status_query = None;
         Some(PromotionAction::Promote {
             server,
             term,
@@ -366,51 +378,58 @@
         })
     }
 
-    fn watch(&mut self, now: Duration) {
+    fn track_progress(&mut self, now: Duration) {
         let reached = self
             .statuses
             .values()
             .map(|status| status.position.log)
             .sum();
-        if reached != self.reached.0 {
-            self.reached = (reached, now);
+        if reached != self.progress.0 {
+            self.progress = (reached, now);
         }
     }
 
-    /// The server to promote at `now`, where the choice began at `since`, if it is time.
-    fn best(&self, since: Duration, now: Duration) -> Option<(ServerKey, Status)> {
+    /// Returns the server to promote at `now`, or `None` if the choice, which began at `since`, has
+    /// to wait longer.
+    fn choose_server(&self, since: Duration, now: Duration) -> Option<(ServerKey, Status)> {
         let waited = now.saturating_sub(since);
         let replaced = self.service.primary.filter(|_| self.avoids_replaced());
-        let others = |server: &ServerKey| Some(*server) != replaced;
-        let best = self.furthest(others);
-        let all = self.servers.iter().filter(|server| others(server));
-        let all_answered = all.into_iter().all(|s| self.statuses.contains_key(s));
-        let gathered = all_answered || waited >= self.patience_for_answers();
-        let known = self.complete && self.acknowledged.is_some();
-        // Everybody has been asked, the old primary is gone, and nothing moves any more: more
-        // waiting brings nothing.
+        let is_candidate = |server: &ServerKey| Some(*server) != replaced;
+        let best = self.most_advanced(is_candidate);
+        let candidates = self.servers.iter().filter(|server| is_candidate(server));
+        let all_answered = candidates
+            .into_iter()
+            .all(|s| self.statuses.contains_key(s));
+        let gathered = all_answered || waited >= self.answer_timeout();
+        let known_complete = self.acknowledged_complete && self.acknowledged.is_some();
+        // All candidates have answered, the old primary is gone, and replication has stopped:
+        // waiting longer gains nothing.
         let gone = replaced.is_none_or(|server| !self.statuses.contains_key(&server));
-        let still = now >= self.reached.1.max(since) + timing::REPLICATION_IDLE;
-        let is_final = all_answered && gone && still;
+        let stalled = now >= self.progress.1.max(since) + timing::REPLICATION_IDLE;
+        let is_final = all_answered && gone && stalled;
         match best {
-            Some((_, status)) if self.has_all(status) && (gathered || known) => best,
-            _ if waited < self.patience() && !is_final => None,
-            // Nobody else has all, or nobody else is there: the replaced primary is taken if
-            // it can be reached and has more.
-            _ => self.furthest(|_| true),
+            Some((_, status))
+                if self.has_all_acknowledged(status) && (gathered || known_complete) =>
+            {
+                best
+            }
+            _ if waited < self.catch_up_timeout() && !is_final => None,
+            // No other server has everything, or no other server is reachable: the replaced
+            // primary is chosen if it is reachable and has the highest position.
+            _ => self.most_advanced(|_| true),
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn catch_up_timeout(&self) -> Duration {
         match self.reason {
             Reason::Leaving => timing::SWITCHOVER_CATCH_UP_TIMEOUT,
             _ => timing::CATCH_UP_TIMEOUT,
         }
     }
 
-    fn patience_for_answers(&self) -> Duration {
+    fn answer_timeout(&self) -> Duration {
         match self.reason {
-            // The one that does not answer may be the one that led the greater term.
+            // The server that has not answered may be the one that led the greater term.
             Reason::Rival => timing::CATCH_UP_TIMEOUT,
             _ => timing::GATHER_TIMEOUT,
         }
@@ -420,8 +439,9 @@
         !matches!(self.reason, Reason::Rival | Reason::Created(_))
     }
 
-    /// Data decide; among equals, one that stays, then the one that is wanted or leads already.
-    fn furthest(&self, filter: impl Fn(&ServerKey) -> bool) -> Option<(ServerKey, Status)> {
+    /// Returns the server with the highest position. Ties go to a server that is not leaving, then
+    /// to the preferred one: the configured first primary, or else the present primary.
+    fn most_advanced(&self, filter: impl Fn(&ServerKey) -> bool) -> Option<(ServerKey, Status)> {
         let wanted = match self.reason {
             Reason::Created(first) => Some(first),
             _ => self.service.primary,
@@ -436,7 +456,7 @@
             .map(|(server, status)| (*server, *status))
     }
 
-    fn has_all(&self, status: Status) -> bool {
+    fn has_all_acknowledged(&self, status: Status) -> bool {
         let history = self.service.lineage(status.position);
         let reaches = |wanted| history.covers(status.position, wanted);
         let planned = self.reason == Reason::Leaving;
@@ -445,16 +465,17 @@
         self.acknowledged.is_none_or(reaches) && written.is_none_or(reaches)
     }
 
-    fn open(&self, server: ServerKey, term: Term, start: Position) -> Service {
+    fn opened_service(&self, server: ServerKey, term: Term, start: Position) -> Service {
         let mut service = self.service.clone();
         service.open(term, server, start);
         let created = matches!(self.reason, Reason::Created(_));
         let lost = self
             .acknowledged
             .filter(|p| !service.history.covers(start, *p));
-        // An earlier promotion that this one goes back behind may have lost more than it knew.
-        let open_question = |loss: &Loss| loss.opened > start.term && !loss.complete;
-        let complete = self.complete && !service.losses.iter().any(open_question);
+        // This promotion may start before an earlier one did whose record of losses is incomplete.
+        // Its own record is incomplete then as well.
+        let incomplete_loss = |loss: &Loss| loss.opened > start.term && !loss.complete;
+        let complete = self.acknowledged_complete && !service.losses.iter().any(incomplete_loss);
         if lost.is_some() || !(complete || created) {
             service.losses.insert(Loss {
                 opened: term,
