--- a/crates/core/src/epoch.rs
+++ b/crates/core/src/epoch.rs
@@ -72,13 +72,13 @@
     store_epoch: Option<Epoch>,
     /// The newest by anybody's word. What the store says is not judged by it: hosts are told all
     /// sorts of things, by strangers as well.
-    newest_epoch: Epoch,
+    newest: Epoch,
     /// When the store has first told of the newest.
     store_epoch_since: Duration,
     /// When the store came back with it, as far as is known.
     restored_at: Option<Duration>,
     /// The newest that each of the other hosts has heard of.
-    peer_epochs: BTreeMap<HostKey, Epoch>,
+    peers: BTreeMap<HostKey, Epoch>,
 }
 
 impl EpochTracker {
@@ -89,7 +89,7 @@
 
     /// The newest epoch by anybody's word: what was won in an earlier one may be lost.
     pub fn newest_epoch(&self) -> Epoch {
-        self.newest_epoch
+        self.newest
     }
 
     /// The store has answered in `epoch`.
@@ -103,7 +103,7 @@
         }
         self.store_epoch = Some(epoch);
         self.store_epoch_since = now;
-        self.newest_epoch = self.newest_epoch.max(epoch);
+        self.newest = self.newest.max(epoch);
         let Some(before) = before else {
             return EpochStatus::Current;
         };
@@ -114,11 +114,11 @@
     /// `host` has heard of `epoch`. Returns whether that is news: what the store is asked now is
     /// answered in a newer epoch than what it was asked before.
     pub fn record_peer_epoch(&mut self, host: HostKey, epoch: Epoch, now: Duration) -> bool {
-        self.peer_epochs.insert(host, epoch);
-        if epoch <= self.newest_epoch {
+        self.peers.insert(host, epoch);
+        if epoch <= self.newest {
             return false;
         }
-        self.newest_epoch = epoch;
+        self.newest = epoch;
         // One that the store has told nothing yet learns of the first epoch in this way.
         if self.store_epoch.is_some() {
             self.restored_at = Some(now);
@@ -155,11 +155,7 @@
         let Some(restored) = self.restored_at else {
             return Duration::ZERO;
         };
-        let knows = |host: &HostKey| {
-            self.peer_epochs
-                .get(host)
-                .is_some_and(|told| *told >= self.newest_epoch)
-        };
+        let knows = |host: &HostKey| self.peers.get(host).is_some_and(|it| *it >= self.newest);
         match others.iter().all(knows) {
             true => Duration::ZERO,
             false => restored + CLAIM_HOLDER_TIMEOUT,
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -16,7 +16,7 @@
 
 /// What the history says about a session's position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PositionStatus {
+pub enum Survival {
     /// The position is part of the service's log.
     Kept,
     /// The position was written by a term that ended before it, or by one that is no part of
@@ -44,7 +44,7 @@
     /// went on from another log, whatever the numbers say.
     ///
     /// ```
-    /// use flamingopost_core::history::{History, PositionStatus};
+    /// use flamingopost_core::history::{History, Survival};
     /// use flamingopost_core::position::Position;
     /// use flamingopost_core::term::Term;
     ///
@@ -57,9 +57,9 @@
     /// let mut history = history.up_to(base);
     /// history.open(term(2), 120);
     /// let lost = Position { term: term(1), log: 110 };
-    /// assert_eq!(history.position_status(lost), PositionStatus::Lost { ended_by: term(2), start: 120 });
+    /// assert_eq!(history.survival(lost), Survival::Lost { ended_by: term(2), start: 120 });
     /// let kept = Position { term: term(0), log: 120 };
-    /// assert_eq!(history.position_status(kept), PositionStatus::Kept);
+    /// assert_eq!(history.survival(kept), Survival::Kept);
     /// ```
     pub fn up_to(&self, base: Position) -> History {
         let part = |term: Term, start: u64| term <= base.term || start == base.log;
@@ -89,7 +89,7 @@
     /// Whether the log that leads up to the newest term contains `position`.
     ///
     /// ```
-    /// use flamingopost_core::history::{History, PositionStatus};
+    /// use flamingopost_core::history::{History, Survival};
     /// use flamingopost_core::position::Position;
     /// use flamingopost_core::term::Term;
     ///
@@ -98,14 +98,14 @@
     /// history.open(first, 0);
     /// history.open(second, 100);
     /// let kept = Position { term: first, log: 100 };
-    /// assert_eq!(history.position_status(kept), PositionStatus::Kept);
+    /// assert_eq!(history.survival(kept), Survival::Kept);
     /// let lost = Position { term: first, log: 101 };
-    /// assert_eq!(history.position_status(lost), PositionStatus::Lost { ended_by: second, start: 100 });
+    /// assert_eq!(history.survival(lost), Survival::Lost { ended_by: second, start: 100 });
     /// ```
-    pub fn position_status(&self, position: Position) -> PositionStatus {
+    pub fn survival(&self, position: Position) -> Survival {
         match self.latest() {
             Some(latest) if position.term <= latest => self.known_term_status(position),
-            _ => PositionStatus::Unknown,
+            _ => Survival::Unknown,
         }
     }
 
@@ -122,24 +122,24 @@
             && server.log >= wanted.log
     }
 
-    fn known_term_status(&self, position: Position) -> PositionStatus {
+    fn known_term_status(&self, position: Position) -> Survival {
         let newest = self.latest().unwrap_or_default();
         if !self.starts.contains_key(&position.term) {
             return self.foreign_term_status(position);
         }
         match self.first_term_without(position, newest) {
-            Some((ended_by, start)) => PositionStatus::Lost { ended_by, start },
-            None => PositionStatus::Kept,
+            Some((ended_by, start)) => Survival::Lost { ended_by, start },
+            None => Survival::Kept,
         }
     }
 
     /// A term that was opened beside those that led to the newest one: an authority that was
     /// lost had opened it, and nothing of it was kept.
-    fn foreign_term_status(&self, position: Position) -> PositionStatus {
+    fn foreign_term_status(&self, position: Position) -> Survival {
         let next = self.starts().find(|(term, _)| *term > position.term);
         match next {
-            Some((ended_by, start)) if position.log > 0 => PositionStatus::Lost { ended_by, start },
-            _ => PositionStatus::Kept,
+            Some((ended_by, start)) if position.log > 0 => Survival::Lost { ended_by, start },
+            _ => Survival::Kept,
         }
     }
 
--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -133,11 +133,7 @@
         if !self.knows_hosts() {
             return false;
         }
-        let fresh = |contact: &&Contact| {
-            contact
-                .answered_at
-                .is_some_and(|at| now < at + LEASE_DURATION)
-        };
+        let fresh = |it: &&Contact| it.answered_at.is_some_and(|at| now < at + LEASE_DURATION);
         let own = usize::from(!self.non_elector);
         let fresh = self.others.values().filter(fresh).count() + own;
         let hosts = self.others.len() + own;
@@ -163,7 +159,7 @@
     }
 
     /// Other hosts that were heard within two heartbeats: what they have to know reaches them.
-    pub fn recently_heard_hosts(&self, now: Duration) -> BTreeSet<HostKey> {
+    pub fn recently_heard(&self, now: Duration) -> BTreeSet<HostKey> {
         let heard = |contact: &Contact| now < contact.heard_at + HEARTBEAT_INTERVAL * 2;
         let others = self.others.iter().filter(|(_, contact)| heard(contact));
         others.map(|(host, _)| *host).collect()
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::health::Standing;
-use crate::history::{History, PositionStatus};
+use crate::history::{History, Survival};
 use crate::invariant::{self, Invariant};
 use crate::key::{ServerKey, ZoneKey};
 use crate::position::Position;
@@ -311,8 +311,8 @@
     /// hold writes that no later term has; nothing is read from it until it follows again.
     fn is_in_log(&self, position: Position) -> bool {
         !matches!(
-            self.service.history.position_status(position),
-            PositionStatus::Lost { .. }
+            self.service.history.survival(position),
+            Survival::Lost { .. }
         )
     }
 
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::history::{History, PositionStatus};
+use crate::history::{History, Survival};
 use crate::position::Position;
 use crate::refusal::Refusal;
 use crate::rule::Target;
@@ -216,7 +216,7 @@
         let Writes::UpTo(position) = self.writes else {
             return;
         };
-        let PositionStatus::Lost { ended_by, start } = history.position_status(position) else {
+        let Survival::Lost { ended_by, start } = history.survival(position) else {
             return;
         };
         self.lost.get_or_insert(Loss {
--- a/crates/core/src/succession.rs
+++ b/crates/core/src/succession.rs
@@ -23,7 +23,7 @@
 mod promotion_timer;
 mod view;
 
-pub use action::{FencingToken, Opinion, Order, Report, SuccessionAction};
+pub use action::{FencingToken, NextStep, Opinion, Order, Report};
 pub use contact::{Contact, Trouble};
 pub use inquiry::{
     DIVIDED_DELAY, MINORITY_DELAY, OBJECTION_TIMEOUT, REPORT_AGE_MAX, RETURN_TIMEOUT,
@@ -40,7 +40,7 @@
 
 /// A primary that answers nothing is suspected after this long. Slow statements take tens of
 /// milliseconds; the bound keeps a burst from looking like a death.
-pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
+pub const SILENCE_MAX: Duration = Duration::from_millis(300);
 
 /// Pause between two inquiries.
 const INQUIRY_BACKOFF: Duration = Duration::from_millis(150);
@@ -218,7 +218,7 @@
     }
 
     /// The claim was won.
-    pub fn claim_won(&mut self, token: FencingToken, now: Duration) -> Vec<SuccessionAction> {
+    pub fn claim_won(&mut self, token: FencingToken, now: Duration) -> Vec<NextStep> {
         self.reserved_token = Some(token);
         match std::mem::take(&mut self.phase) {
             Phase::Claiming(inquiry) => {
@@ -276,7 +276,7 @@
     }
 
     /// Takes the next step.
-    pub fn step(&mut self, view: &View, now: Duration) -> Vec<SuccessionAction> {
+    pub fn step(&mut self, view: &View, now: Duration) -> Vec<NextStep> {
         self.leader_history.observe_view(view);
         if matches!(view.trouble, None | Some(Trouble::Leaving)) {
             self.outvoted_since = None;
@@ -291,9 +291,7 @@
                 self.phase = Phase::Claiming(inquiry);
                 Vec::new()
             }
-            Phase::Deferring { until } => {
-                self.wait_until(Phase::Deferring { until }, until, view, now)
-            }
+            Phase::Deferring { until } => self.wait(Phase::Deferring { until }, until, view, now),
             Phase::Queued { until, inquiry } => self.wait_for_turn(until, inquiry, view, now),
             Phase::Choosing {
                 token,
@@ -304,9 +302,7 @@
                 self.phase = Phase::Ordering { token, server, had };
                 Vec::new()
             }
-            Phase::Awaiting { until } => {
-                self.wait_until(Phase::Awaiting { until }, until, view, now)
-            }
+            Phase::Awaiting { until } => self.wait(Phase::Awaiting { until }, until, view, now),
         }
     }
 
@@ -343,7 +339,7 @@
         }
     }
 
-    fn detect_failure(&mut self, view: &View, now: Duration) -> Vec<SuccessionAction> {
+    fn detect_failure(&mut self, view: &View, now: Duration) -> Vec<NextStep> {
         let Some(trouble) = view.trouble else {
             return Vec::new();
         };
@@ -362,12 +358,12 @@
             servers_asked_at: now,
             ..Inquiry::default()
         });
-        vec![SuccessionAction::AskHosts, SuccessionAction::AskServers]
+        vec![NextStep::AskHosts, NextStep::AskServers]
     }
 
     /// A primary is about to leave. Nobody has to be asked, and seconds are left: hosts claim one
     /// after the other, so that most of them hear of the first one's order before their turn.
-    fn replace_leaving(&mut self, view: &View, now: Duration) -> Vec<SuccessionAction> {
+    fn replace_leaving(&mut self, view: &View, now: Duration) -> Vec<NextStep> {
         let since = *self.leaving_since.get_or_insert(now);
         let turn = (LEAVING_TURN * view.rank).min(LEAVING_DELAY_MAX);
         if now < since + turn {
@@ -380,15 +376,10 @@
             deadline: now + INQUIRY_TIMEOUT,
             ..Inquiry::default()
         });
-        vec![SuccessionAction::Claim]
+        vec![NextStep::Claim]
     }
 
-    fn evaluate_inquiry(
-        &mut self,
-        inquiry: Inquiry,
-        view: &View,
-        now: Duration,
-    ) -> Vec<SuccessionAction> {
+    fn evaluate_inquiry(&mut self, inquiry: Inquiry, view: &View, now: Duration) -> Vec<NextStep> {
         let Some(trouble) = view.trouble else {
             return Vec::new();
         };
@@ -406,7 +397,7 @@
             Decision::Replace => {
                 self.outvoted_since = None;
                 self.phase = Phase::Claiming(inquiry);
-                vec![SuccessionAction::Claim]
+                vec![NextStep::Claim]
             }
         }
     }
@@ -417,7 +408,7 @@
         inquiry: Inquiry,
         view: &View,
         now: Duration,
-    ) -> Vec<SuccessionAction> {
+    ) -> Vec<NextStep> {
         if view.trouble.is_none() {
             return Vec::new();
         }
@@ -445,7 +436,7 @@
         token: FencingToken,
         inquiry: Inquiry,
         now: Duration,
-    ) -> Vec<SuccessionAction> {
+    ) -> Vec<NextStep> {
         if inquiry.cause != Some(Trouble::Leaving) {
             // Nothing more arrives from a primary that is gone: what servers have said stands,
             // and those that were silent have had their time.
@@ -468,7 +459,7 @@
             until: now + CATCH_UP_TIMEOUT,
             inquiry,
         };
-        vec![SuccessionAction::AskServers]
+        vec![NextStep::AskServers]
     }
 
     fn choose_successor(
@@ -478,7 +469,7 @@
         mut inquiry: Inquiry,
         view: &View,
         now: Duration,
-    ) -> Vec<SuccessionAction> {
+    ) -> Vec<NextStep> {
         // Another host's order may have taken effect while the store decided on this one's claim.
         // What was found out of one primary is no reason to replace the next.
         let over = view.term > inquiry.term;
@@ -502,12 +493,12 @@
                     until: now + INQUIRY_TIMEOUT,
                     inquiry,
                 };
-                vec![SuccessionAction::AskServers]
+                vec![NextStep::AskServers]
             }
             Some(server) if complete && inquiry.has_confirmed(server) || over && !lacks => {
                 let had = inquiry.received_position(server);
                 self.phase = Phase::Ordering { token, server, had };
-                vec![SuccessionAction::Promote { server, token }]
+                vec![NextStep::Promote { server, token }]
             }
             _ if over && (lacks || !quiet) => {
                 inquiry.ask_again(now);
@@ -517,7 +508,7 @@
                     inquiry,
                 };
                 // A host that is heard and has not answered may only have missed the question.
-                vec![SuccessionAction::AskHosts, SuccessionAction::AskServers]
+                vec![NextStep::AskHosts, NextStep::AskServers]
             }
             None if over => {
                 self.retry_at = now + INQUIRY_BACKOFF;
@@ -557,13 +548,7 @@
     }
 
     /// Stays in `phase` until the trouble or the wait is over.
-    fn wait_until(
-        &mut self,
-        phase: Phase,
-        until: Duration,
-        view: &View,
-        now: Duration,
-    ) -> Vec<SuccessionAction> {
+    fn wait(&mut self, phase: Phase, until: Duration, view: &View, now: Duration) -> Vec<NextStep> {
         if view.trouble.is_none() {
             return Vec::new();
         }
--- a/crates/core/src/succession/action.rs
+++ b/crates/core/src/succession/action.rs
@@ -11,7 +11,7 @@
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SuccessionAction {
+pub enum NextStep {
     /// Ask the other hosts what they see of the primary.
     AskHosts,
     /// Ask all servers for their role and how far they have received the log.
--- a/crates/core/src/succession/contact.rs
+++ b/crates/core/src/succession/contact.rs
@@ -103,7 +103,7 @@
         if self.refusals >= REFUSED_LIMIT && self.timeouts == 0 {
             return Some(Trouble::Refuses { since });
         }
-        let long = now >= since + super::SILENCE_TIMEOUT;
+        let long = now >= since + super::SILENCE_MAX;
         long.then_some(Trouble::Silent { since })
     }
 }
--- a/crates/core/src/succession/inquiry.rs
+++ b/crates/core/src/succession/inquiry.rs
@@ -37,7 +37,7 @@
 /// How old a server's report may be when an order rests on it: as long as a primary may be silent. A
 /// claim that is won at once rests on younger ones; a host that waits for its turn, or for others'
 /// leases to run out, asks again.
-pub const REPORT_AGE_MAX: Duration = super::SILENCE_TIMEOUT;
+pub const REPORT_AGE_MAX: Duration = super::SILENCE_MAX;
 
 /// What other hosts and the servers have said.
 #[derive(Debug, Default, Clone)]
--- a/crates/core/tests/epoch.rs
+++ b/crates/core/tests/epoch.rs
@@ -9,8 +9,7 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    CLAIM_HOLDER_TIMEOUT, FencingToken, Opinion, Report, Succession, SuccessionAction, Trouble,
-    View,
+    CLAIM_HOLDER_TIMEOUT, FencingToken, NextStep, Opinion, Report, Succession, Trouble, View,
 };
 use flamingopost_core::term::Term;
 
@@ -111,17 +110,17 @@
         let mut todo = host.succession.step(&view, now);
         while let Some(next) = todo.pop() {
             match next {
-                SuccessionAction::AskHosts => view.peers.iter().for_each(|peer| {
+                NextStep::AskHosts => view.peers.iter().for_each(|peer| {
                     host.succession.record_opinion(*peer, Opinion::Fails);
                 }),
-                SuccessionAction::AskServers => servers[1..].iter().for_each(|server| {
+                NextStep::AskServers => servers[1..].iter().for_each(|server| {
                     host.succession.record_report(*server, report());
                 }),
-                SuccessionAction::Claim => {
+                NextStep::Claim => {
                     host.claims += 1;
                     todo.extend(host.succession.claim_won(grant, now));
                 }
-                SuccessionAction::Promote { token: grant, .. } => host.orders.push((now, grant)),
+                NextStep::Promote { token, .. } => host.orders.push((now, token)),
             }
         }
     }
--- a/crates/core/tests/leadership/failures.rs
+++ b/crates/core/tests/leadership/failures.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::world::{Fault, HOSTS, World, ZONES};
-use flamingopost_core::history::PositionStatus;
+use flamingopost_core::history::Survival;
 use flamingopost_core::row::{Loss, Service};
 
 const LONG: Duration = Duration::from_secs(1_000);
@@ -236,10 +236,7 @@
     let log = &world.servers[world.primary(0).unwrap()].log;
     for (_, id, position, _) in world.acknowledged.iter().filter(|ack| ack.0 == 0) {
         let kept = log.get(position.log as usize - 1) == Some(&(position.term, *id));
-        assert_eq!(
-            service.history.position_status(*position) == PositionStatus::Kept,
-            kept
-        );
+        assert_eq!(service.history.survival(*position) == Survival::Kept, kept);
     }
 }
 
@@ -268,10 +265,7 @@
     let service = service(&world, 0);
     assert!(service.origins.contains_key(&passed_over));
     for (_, _, position, _) in world.acknowledged.iter().filter(|ack| ack.0 == 0) {
-        let lost = matches!(
-            service.history.position_status(*position),
-            PositionStatus::Lost { .. }
-        );
+        let lost = matches!(service.history.survival(*position), Survival::Lost { .. });
         assert_eq!(lost, position.term == passed_over, "{position}");
     }
 }
--- a/crates/core/tests/leadership/schedules.rs
+++ b/crates/core/tests/leadership/schedules.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::world::{Fault, SERVICES, World};
-use flamingopost_core::history::PositionStatus;
+use flamingopost_core::history::Survival;
 use flamingopost_core::row::Service;
 use flamingopost_core::view::State;
 use rand::RngExt;
@@ -97,20 +97,18 @@
     let log = &world.servers[primary].log;
     for (_, id, position, _) in world.acknowledged.iter().filter(|ack| ack.0 == service) {
         let kept = log.get(position.log as usize - 1) == Some(&(position.term, *id));
-        let verdict = state.history.position_status(*position);
+        let verdict = state.history.survival(*position);
         match verdict {
-            PositionStatus::Kept => {
-                assert!(kept, "write {id} at {position} is lost and nobody knows")
-            }
-            PositionStatus::Unknown => panic!("{position} is of a term that the row does not know"),
-            PositionStatus::Lost { ended_by, .. } if !kept => {
+            Survival::Kept => assert!(kept, "write {id} at {position} is lost and nobody knows"),
+            Survival::Unknown => panic!("{position} is of a term that the row does not know"),
+            Survival::Lost { ended_by, .. } if !kept => {
                 let known = state.losses.iter().any(|loss| {
                     let covered = loss.acknowledged.is_some_and(|known| known >= *position);
                     loss.opened >= ended_by && (covered || !loss.complete)
                 });
                 assert!(known, "the loss of {position} is not recorded");
             }
-            PositionStatus::Lost { .. } => {}
+            Survival::Lost { .. } => {}
         }
     }
 }
--- a/crates/core/tests/row.rs
+++ b/crates/core/tests/row.rs
@@ -1,6 +1,6 @@
 //! What a shard's row knows of the terms of a service.
 
-use flamingopost_core::history::PositionStatus;
+use flamingopost_core::history::Survival;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
@@ -39,20 +39,14 @@
     let first = at(0, 0);
     let service = opened(&[first, at(0, 1312), at(0, 1313), at(1, 1784)]);
     assert!(matches!(
-        service.history.position_status(at(0, 1313)),
-        PositionStatus::Lost { .. }
+        service.history.survival(at(0, 1313)),
+        Survival::Lost { .. }
     ));
-    assert_eq!(
-        service.history.position_status(at(0, 1312)),
-        PositionStatus::Kept
-    );
-    assert_eq!(
-        service.history.position_status(at(1, 1784)),
-        PositionStatus::Kept
-    );
+    assert_eq!(service.history.survival(at(0, 1312)), Survival::Kept);
+    assert_eq!(service.history.survival(at(1, 1784)), Survival::Kept);
     assert!(matches!(
-        service.history.position_status(at(1, 1785)),
-        PositionStatus::Lost { .. }
+        service.history.survival(at(1, 1785)),
+        Survival::Lost { .. }
     ));
 }
 
@@ -61,11 +55,11 @@
 #[test]
 fn a_term_without_writes_stays_in_the_history() {
     let service = opened(&[at(0, 0), at(0, 524), at(0, 524)]);
-    let lost = PositionStatus::Lost {
+    let lost = Survival::Lost {
         ended_by: term(1),
         start: 524,
     };
-    assert_eq!(service.history.position_status(at(0, 525)), lost);
+    assert_eq!(service.history.survival(at(0, 525)), lost);
 }
 
 /// A lost write passes for kept, found by schedule 130995: a term of which the row knows nothing
@@ -77,11 +71,8 @@
     let next = Term { epoch: 2, count: 0 };
     service.open(next, server(), unknown);
     assert!(matches!(
-        service.history.position_status(at(0, 1040)),
-        PositionStatus::Lost { .. }
+        service.history.survival(at(0, 1040)),
+        Survival::Lost { .. }
     ));
-    assert_eq!(
-        service.history.position_status(unknown),
-        PositionStatus::Kept
-    );
+    assert_eq!(service.history.survival(unknown), Survival::Kept);
 }
--- a/crates/core/tests/succession.rs
+++ b/crates/core/tests/succession.rs
@@ -8,8 +8,8 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    DIVIDED_DELAY, FencingToken, INQUIRY_TIMEOUT, MINORITY_DELAY, OBJECTION_TIMEOUT, Opinion,
-    Order, PromotionTimer, Report, Succession, SuccessionAction, Trouble, View,
+    DIVIDED_DELAY, FencingToken, INQUIRY_TIMEOUT, MINORITY_DELAY, NextStep, OBJECTION_TIMEOUT,
+    Opinion, Order, PromotionTimer, Report, Succession, Trouble, View,
 };
 use flamingopost_core::term::Term;
 
@@ -83,14 +83,14 @@
     }
 
     /// The order that makes the second replica the primary.
-    fn order(&self) -> SuccessionAction {
-        SuccessionAction::Promote {
+    fn order(&self) -> NextStep {
+        NextStep::Promote {
             server: self.servers[2],
             token: FencingToken(7),
         }
     }
 
-    fn step(&mut self, now: Duration) -> Vec<SuccessionAction> {
+    fn step(&mut self, now: Duration) -> Vec<NextStep> {
         self.succession.step(&self.view, now)
     }
 
@@ -112,7 +112,7 @@
     let mut scene = scene();
     assert_eq!(
         scene.step(ms(1_020)),
-        [SuccessionAction::AskHosts, SuccessionAction::AskServers]
+        [NextStep::AskHosts, NextStep::AskServers]
     );
     scene
         .succession
@@ -121,7 +121,7 @@
         .succession
         .record_report(scene.servers[2], replica(43));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
     assert_eq!(scene.step(ms(1_030)), [], "the store has not answered yet");
     scene.succession.claim_won(FencingToken(7), ms(1_032));
     let order = scene.order();
@@ -144,12 +144,10 @@
     for now in (1_040..2_000).step_by(20) {
         let next = scene.step(ms(now));
         assert!(
-            !next
-                .iter()
-                .any(|it| matches!(it, SuccessionAction::Promote { .. })),
+            !next.iter().any(|it| matches!(it, NextStep::Promote { .. })),
             "at {now}"
         );
-        asked += usize::from(next.contains(&SuccessionAction::AskServers));
+        asked += usize::from(next.contains(&NextStep::AskServers));
     }
     assert!(asked >= 3, "it is asked again");
     scene
@@ -171,10 +169,7 @@
     let mut now = 1_040;
     let ordered = loop {
         let next = scene.step(ms(now));
-        if next
-            .iter()
-            .any(|it| matches!(it, SuccessionAction::Promote { .. }))
-        {
+        if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
         assert!(now < 20_000, "it never ends");
@@ -200,9 +195,7 @@
     scene.succession.claim_won(FencingToken(7), ms(1_032));
     for now in (1_040..4_000).step_by(20) {
         let next = scene.step(ms(now));
-        let promotes = next
-            .iter()
-            .any(|it| matches!(it, SuccessionAction::Promote { .. }));
+        let promotes = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
     scene
@@ -225,7 +218,7 @@
     scene.succession.claim_won(FencingToken(7), ms(1_032));
     assert_eq!(
         scene.step(ms(1_500)),
-        [SuccessionAction::AskHosts, SuccessionAction::AskServers]
+        [NextStep::AskHosts, NextStep::AskServers]
     );
     scene
         .succession
@@ -273,10 +266,7 @@
     let mut now = 1_040;
     let ordered = loop {
         let next = scene.step(ms(now));
-        if next
-            .iter()
-            .any(|it| matches!(it, SuccessionAction::Promote { .. }))
-        {
+        if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
         assert!(now < 20_000, "it never ends");
@@ -296,7 +286,7 @@
     let mut now = ms(1_450);
     while now < ms(12_000) {
         let next = scene.step(now);
-        assert!(!next.contains(&SuccessionAction::Claim), "at {now:?}");
+        assert!(!next.contains(&NextStep::Claim), "at {now:?}");
         scene
             .succession
             .record_report(scene.servers[1], replica(40));
@@ -320,11 +310,11 @@
         .record_report(scene.servers[2], replica(40));
     scene.hear(3, 0);
     let over = ms(1_020) + INQUIRY_TIMEOUT;
-    assert_eq!(scene.step(over), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(over), [NextStep::Claim]);
     scene.succession.claim_won(FencingToken(7), over);
     assert_eq!(
         scene.step(ms(1_990)),
-        [SuccessionAction::AskHosts, SuccessionAction::AskServers],
+        [NextStep::AskHosts, NextStep::AskServers],
         "asked once more, and no order"
     );
     scene
@@ -377,7 +367,7 @@
     let mut scene = scene();
     scene.step(ms(1_020));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_030)), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(ms(1_030)), [NextStep::Claim]);
     assert_eq!(scene.succession.outvoted(), None);
 }
 
@@ -390,7 +380,7 @@
     scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut now = ms(1_020);
     let claimed = loop {
-        if scene.step(now).contains(&SuccessionAction::Claim) {
+        if scene.step(now).contains(&NextStep::Claim) {
             break now;
         }
         now += ms(20);
@@ -411,7 +401,7 @@
     scene.hear(3, 2);
     assert_eq!(
         scene.step(ms(1_000) + DIVIDED_DELAY + INQUIRY_TIMEOUT),
-        [SuccessionAction::Claim]
+        [NextStep::Claim]
     );
 }
 
@@ -423,10 +413,7 @@
     scene.step(ms(1_020));
     scene.hear(4, 0);
     assert_eq!(scene.step(ms(1_030)), [], "somebody may object");
-    assert_eq!(
-        scene.step(ms(1_020) + OBJECTION_TIMEOUT),
-        [SuccessionAction::Claim]
-    );
+    assert_eq!(scene.step(ms(1_020) + OBJECTION_TIMEOUT), [NextStep::Claim]);
 }
 
 /// Another host has acted already: a server leads a newer term that this host has not heard of.
@@ -458,7 +445,7 @@
         .succession
         .record_report(scene.servers[2], replica(40));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
     scene.succession.claim_undecided(2, ms(1_275));
     assert_eq!(scene.step(ms(1_300)), [], "two hosts come first");
     scene.succession.defer_to_peer(ms(1_310));
@@ -472,14 +459,11 @@
     let mut scene = scene();
     scene.step(ms(1_020));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
     scene.succession.claim_lost(ms(1_030));
     assert_eq!(scene.step(ms(1_500)), []);
     let again = scene.step(ms(1_030) + ms(1_800));
-    assert_eq!(
-        again,
-        [SuccessionAction::AskHosts, SuccessionAction::AskServers]
-    );
+    assert_eq!(again, [NextStep::AskHosts, NextStep::AskServers]);
 }
 
 /// An order is refused: the token is outdated. It is never used again, with or without the store.
@@ -502,7 +486,7 @@
         [],
         "its turn has come; what servers said is looked at"
     );
-    let order = SuccessionAction::Promote {
+    let order = NextStep::Promote {
         server: scene.servers[2],
         token: FencingToken(3),
     };
@@ -513,12 +497,12 @@
         for next in scene.step(now) {
             assert!(!matches!(
                 next,
-                SuccessionAction::Promote {
+                NextStep::Promote {
                     token: FencingToken(3),
                     ..
                 }
             ));
-            if next == SuccessionAction::Claim {
+            if next == NextStep::Claim {
                 scene.succession.claim_undecided(0, now);
             }
         }
@@ -539,10 +523,10 @@
     scene.view.trouble = Some(Trouble::Leaving);
     scene.view.candidates = BTreeSet::from([scene.servers[1], scene.servers[2]]);
     assert_eq!(scene.step(ms(1_000)), [], "two hosts come first");
-    assert_eq!(scene.step(ms(1_040)), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(ms(1_040)), [NextStep::Claim]);
     assert_eq!(
         scene.succession.claim_won(FencingToken(9), ms(1_045)),
-        [SuccessionAction::AskServers]
+        [NextStep::AskServers]
     );
     scene
         .succession
@@ -551,7 +535,7 @@
     scene
         .succession
         .record_report(scene.servers[2], replica(51));
-    let order = SuccessionAction::Promote {
+    let order = NextStep::Promote {
         server: scene.servers[2],
         token: FencingToken(9),
     };
@@ -574,10 +558,10 @@
     while now < ms(9_000) {
         for next in scene.step(now) {
             assert!(
-                !matches!(next, SuccessionAction::Promote { .. }),
+                !matches!(next, NextStep::Promote { .. }),
                 "{next:?} at {now:?}"
             );
-            if next == SuccessionAction::Claim {
+            if next == NextStep::Claim {
                 scene.succession.claim_won(FencingToken(7), now);
             }
         }
@@ -603,11 +587,9 @@
     while now < ms(2_500) {
         for next in scene.step(now) {
             match next {
-                SuccessionAction::Claim => {
-                    orders.extend(scene.succession.claim_won(FencingToken(7), now))
-                }
-                SuccessionAction::Promote { .. } => orders.push(next),
-                SuccessionAction::AskHosts | SuccessionAction::AskServers => {}
+                NextStep::Claim => orders.extend(scene.succession.claim_won(FencingToken(7), now)),
+                NextStep::Promote { .. } => orders.push(next),
+                NextStep::AskHosts | NextStep::AskServers => {}
             }
         }
         scene.hear(5, 0);
@@ -645,11 +627,9 @@
     while now < ms(2_500) {
         for next in scene.step(now) {
             match next {
-                SuccessionAction::Claim => {
-                    orders.extend(scene.succession.claim_won(FencingToken(7), now))
-                }
-                SuccessionAction::Promote { .. } => orders.push(next),
-                SuccessionAction::AskHosts | SuccessionAction::AskServers => {}
+                NextStep::Claim => orders.extend(scene.succession.claim_won(FencingToken(7), now)),
+                NextStep::Promote { .. } => orders.push(next),
+                NextStep::AskHosts | NextStep::AskServers => {}
             }
         }
         scene.hear(5, 0);
@@ -674,24 +654,19 @@
     scene.view.trouble = Some(Trouble::Leaving);
     scene.view.candidates = BTreeSet::from([scene.servers[1]]);
     scene.step(ms(1_000));
-    assert_eq!(scene.step(ms(1_040)), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(ms(1_040)), [NextStep::Claim]);
     scene.succession.claim_won(FencingToken(7), ms(1_045));
     scene.succession.record_report(scene.servers[1], replica(0));
     for now in (1_060..3_000).step_by(20) {
         let next = scene.step(ms(now));
-        let promotes = next
-            .iter()
-            .any(|it| matches!(it, SuccessionAction::Promote { .. }));
+        let promotes = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
     scene
         .succession
         .record_report(scene.servers[1], replica(40));
     let next = scene.step(ms(3_000));
-    assert!(
-        matches!(next[..], [SuccessionAction::Promote { .. }]),
-        "{next:?}"
-    );
+    assert!(matches!(next[..], [NextStep::Promote { .. }]), "{next:?}");
 }
 
 /// The store is away, and another host has replaced the primary before under a token of its own.
@@ -707,13 +682,11 @@
         .succession
         .record_report(scene.servers[2], replica(43));
     scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [SuccessionAction::Claim]);
+    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
     scene.succession.claim_undecided(2, ms(1_275));
     for now in (1_280..3_000).step_by(20) {
         let next = scene.step(ms(now));
-        let orders = next
-            .iter()
-            .any(|it| matches!(it, SuccessionAction::Promote { .. }));
+        let orders = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!orders, "at {now}: {next:?}");
     }
 }
@@ -787,6 +760,6 @@
     scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     for now in (1_020..8_700).step_by(20) {
         let next = scene.step(ms(now));
-        assert!(!next.contains(&SuccessionAction::Claim), "at {now}");
+        assert!(!next.contains(&NextStep::Claim), "at {now}");
     }
 }
--- a/crates/core/tests/succession_fleet.rs
+++ b/crates/core/tests/succession_fleet.rs
@@ -8,8 +8,8 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    CLAIM_HOLDER_TIMEOUT, FencingToken, Opinion, Order, Report, SILENCE_TIMEOUT, Succession,
-    SuccessionAction, Trouble, View,
+    CLAIM_HOLDER_TIMEOUT, FencingToken, NextStep, Opinion, Order, Report, SILENCE_MAX, Succession,
+    Trouble, View,
 };
 use flamingopost_core::term::Term;
 use rand::{RngExt as _, SeedableRng};
@@ -204,9 +204,7 @@
         }
         let trouble = match (it.leader, it.since) {
             (None, Some(since)) => Some(Trouble::Absent { since }),
-            (Some(_), Some(since)) if now >= since + SILENCE_TIMEOUT => {
-                Some(Trouble::Silent { since })
-            }
+            (Some(_), Some(since)) if now >= since + SILENCE_MAX => Some(Trouble::Silent { since }),
             _ => None,
         };
         View {
@@ -235,7 +233,7 @@
         let next = self.hosts[host].succession.step(&view, now);
         self.act(host, next);
         if view.leader.is_none() && self.dice.random_bool(0.15) {
-            self.act(host, vec![SuccessionAction::AskServers]);
+            self.act(host, vec![NextStep::AskServers]);
         }
         self.at(now + STEP, Event::Step(host));
     }
@@ -256,16 +254,16 @@
         }
     }
 
-    fn act(&mut self, host: usize, next: Vec<SuccessionAction>) {
+    fn act(&mut self, host: usize, next: Vec<NextStep>) {
         for next in next {
             match next {
-                SuccessionAction::AskHosts => {
+                NextStep::AskHosts => {
                     let about = self.hosts[host].leader;
                     for other in self.electors(host) {
                         self.send(Event::Ask(host, other, about));
                     }
                 }
-                SuccessionAction::AskServers => {
+                NextStep::AskServers => {
                     for server in 0..SERVERS {
                         if !self.is_cut(host, server) {
                             let report = self.report(server);
@@ -273,15 +271,12 @@
                         }
                     }
                 }
-                SuccessionAction::Claim => {
+                NextStep::Claim => {
                     let attempt = self.hosts[host].term;
                     let way = ms(self.dice.random_range(5..240));
                     self.at(self.now + way, Event::Claimed(host, attempt));
                 }
-                SuccessionAction::Promote {
-                    server,
-                    token: grant,
-                } => {
+                NextStep::Promote { server, token } => {
                     let server = self.server_keys.iter().position(|key| *key == server);
                     let server = server.expect("it is one of the servers");
                     for other in 0..self.hosts.len() {
@@ -289,7 +284,7 @@
                             self.send(Event::Acting(other));
                         }
                     }
-                    self.at(self.now + ms(10), Event::Order(host, server, grant.0));
+                    self.at(self.now + ms(10), Event::Order(host, server, token.0));
                 }
             }
         }
--- a/crates/core/tests/succession_terms.rs
+++ b/crates/core/tests/succession_terms.rs
@@ -8,7 +8,7 @@
 use flamingopost_core::names::Names;
 use flamingopost_core::position::Position;
 use flamingopost_core::succession::{
-    FencingToken, Opinion, Order, Report, Succession, SuccessionAction, Trouble, View,
+    FencingToken, NextStep, Opinion, Order, Report, Succession, Trouble, View,
 };
 use flamingopost_core::term::Term;
 
@@ -100,11 +100,11 @@
             for (server, report) in reports {
                 self.succession.record_report(*server, *report);
             }
-            if steps.contains(&SuccessionAction::Claim) {
+            if steps.contains(&NextStep::Claim) {
                 steps.extend(self.succession.claim_won(FencingToken(7), now));
             }
             for next in steps {
-                if let SuccessionAction::Promote { server, .. } = next {
+                if let NextStep::Promote { server, .. } = next {
                     return Some((server, now));
                 }
             }
@@ -189,17 +189,14 @@
         }
         for next in steps {
             match next {
-                SuccessionAction::Claim => scene.succession.claim_undecided(0, now),
-                SuccessionAction::Promote {
-                    server,
-                    token: grant,
-                } => {
-                    orders.push((server, grant));
+                NextStep::Claim => scene.succession.claim_undecided(0, now),
+                NextStep::Promote { server, token } => {
+                    orders.push((server, token));
                     scene
                         .succession
                         .order_finished(Order::Unknown, now + ms(500));
                 }
-                SuccessionAction::AskHosts | SuccessionAction::AskServers => {}
+                NextStep::AskHosts | NextStep::AskServers => {}
             }
         }
     }
@@ -241,16 +238,14 @@
     let mut orders = Vec::new();
     for now in (3_000..5_000).step_by(20).map(ms) {
         let mut steps = scene.succession.step(&scene.view, now);
-        if steps.contains(&SuccessionAction::Claim) {
+        if steps.contains(&NextStep::Claim) {
             steps.extend(scene.succession.claim_won(FencingToken(7), now));
         }
         let report = replica(2, position(1, 40));
         scene.succession.record_report(scene.servers[0], report);
         orders.extend(steps.into_iter().filter_map(|it| match it {
-            SuccessionAction::Promote { server, .. } => Some(server),
-            SuccessionAction::Claim | SuccessionAction::AskHosts | SuccessionAction::AskServers => {
-                None
-            }
+            NextStep::Promote { server, .. } => Some(server),
+            NextStep::Claim | NextStep::AskHosts | NextStep::AskServers => None,
         }));
     }
     assert_eq!(orders, [scene.servers[0]]);
@@ -273,8 +268,8 @@
         }
         for next in steps {
             match next {
-                SuccessionAction::Claim => scene.succession.claim_undecided(3, now),
-                SuccessionAction::AskServers => {
+                NextStep::Claim => scene.succession.claim_undecided(3, now),
+                NextStep::AskServers => {
                     let longest = if now < ms(1_300) { 43 } else { 0 };
                     let said = [(1, position(1, 40)), (2, position(1, longest))];
                     for (server, received) in said {
@@ -284,8 +279,8 @@
                             .record_report(scene.servers[server], report);
                     }
                 }
-                SuccessionAction::Promote { server, .. } => orders.push((server, now)),
-                SuccessionAction::AskHosts => {}
+                NextStep::Promote { server, .. } => orders.push((server, now)),
+                NextStep::AskHosts => {}
             }
         }
     }
@@ -318,14 +313,12 @@
         for (server, report) in reports {
             scene.succession.record_report(server, report);
         }
-        if steps.contains(&SuccessionAction::Claim) {
+        if steps.contains(&NextStep::Claim) {
             steps.extend(scene.succession.claim_won(FencingToken(7), now));
         }
         let server = steps.into_iter().find_map(|it| match it {
-            SuccessionAction::Promote { server, .. } => Some(server),
-            SuccessionAction::Claim | SuccessionAction::AskHosts | SuccessionAction::AskServers => {
-                None
-            }
+            NextStep::Promote { server, .. } => Some(server),
+            NextStep::Claim | NextStep::AskHosts | NextStep::AskServers => None,
         });
         ordered = ordered.or(server);
     }
@@ -365,10 +358,10 @@
         let mut steps = scene.succession.step(&scene.view, now);
         let report = replica(2, position(1, 40));
         scene.succession.record_report(scene.servers[0], report);
-        if steps.contains(&SuccessionAction::Claim) {
+        if steps.contains(&NextStep::Claim) {
             steps.extend(scene.succession.claim_won(FencingToken(7), now));
         }
-        let promotes = |it: &SuccessionAction| matches!(it, SuccessionAction::Promote { .. });
+        let promotes = |it: &NextStep| matches!(it, NextStep::Promote { .. });
         assert!(!steps.iter().any(promotes), "{steps:?} at {now:?}");
     }
 }
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -10,7 +10,7 @@
 use flamingopost_core::key::{HostKey, ServerKey};
 use flamingopost_core::leader::Role;
 use flamingopost_core::succession::{
-    FencingToken, Order, PAUSE_THRESHOLD, Report, Succession, SuccessionAction, Trouble, View,
+    FencingToken, Order, PAUSE_THRESHOLD, Report, Succession, NextStep, Trouble, View,
 };
 use flamingopost_core::term::Term;
 use tokio::sync::Mutex;
@@ -202,7 +202,7 @@
             let answered = succession.borrow().answered_hosts();
             let next = succession.borrow_mut().step(&view, now);
             for next in next {
-                if let SuccessionAction::Promote { server, .. } = next {
+                if let NextStep::Promote { server, .. } = next {
                     self.tell_word(&service, server, &answered);
                 }
                 self.act(&service, &succession, next, &view);
@@ -227,13 +227,13 @@
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         succession: &Rc<RefCell<Succession>>,
-        next: SuccessionAction,
+        next: NextStep,
         view: &View,
     ) {
         match next {
-            SuccessionAction::AskHosts => self.ask_hosts(service, view),
-            SuccessionAction::AskServers => self.ask_servers(service, succession),
-            SuccessionAction::Claim => {
+            NextStep::AskHosts => self.ask_hosts(service, view),
+            NextStep::AskServers => self.ask_servers(service, succession),
+            NextStep::Claim => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 let attempt = view.term.number().unsigned_abs();
@@ -241,14 +241,14 @@
                     election.claim(service, succession, attempt).await;
                 });
             }
-            SuccessionAction::Promote {
+            NextStep::Promote {
                 server,
-                token: grant,
+                token,
             } => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 tokio::task::spawn_local(async move {
-                    election.promote(service, succession, server, grant).await;
+                    election.promote(service, succession, server, token).await;
                 });
             }
         }
@@ -381,7 +381,7 @@
             self.site.log(&Event::TurnGivenUp {
                 service: service.name.clone(),
                 server: id,
-                token: grant.0,
+                token.0,
             });
             return;
         }
@@ -411,7 +411,7 @@
         self.site.log(&Event::Ordered {
             service: service.name.clone(),
             server: id,
-            token: grant.0,
+            token.0,
             outcome: format!("{order:?}"),
             millis: now.saturating_sub(sent).as_millis(),
         });
@@ -435,7 +435,7 @@
             // Nobody is asked about a primary that leaves: who is in touch hears of the order while
             // it still serves.
             let told = match trouble {
-                Some(Trouble::Leaving) => quorum.recently_heard_hosts(now),
+                Some(Trouble::Leaving) => quorum.recently_heard(now),
                 _ => told,
             };
             (quorum.gone_hosts(now), quorum.leases_end(&told, now))
