--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -10,7 +10,7 @@
 use flamingopost_core::key::{HostKey, ServerKey};
 use flamingopost_core::leader::Role;
 use flamingopost_core::succession::{
-    FencingToken, Order, PAUSE_THRESHOLD, Report, Succession, NextStep, Trouble, View,
+    FencingToken, NextStep, Order, PAUSE_THRESHOLD, Report, Succession, Trouble, View,
 };
 use flamingopost_core::term::Term;
 use tokio::sync::Mutex;
@@ -241,10 +241,7 @@
                     election.claim(service, succession, attempt).await;
                 });
             }
-            NextStep::Promote {
-                server,
-                token,
-            } => {
+            NextStep::Promote { server, token } => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 tokio::task::spawn_local(async move {
@@ -381,7 +378,7 @@
             self.site.log(&Event::TurnGivenUp {
                 service: service.name.clone(),
                 server: id,
-                token.0,
+                token: grant.0,
             });
             return;
         }
@@ -411,7 +408,7 @@
         self.site.log(&Event::Ordered {
             service: service.name.clone(),
             server: id,
-            token.0,
+            token: grant.0,
             outcome: format!("{order:?}"),
             millis: now.saturating_sub(sent).as_millis(),
         });
--- a/crates/proxy/src/election/talk.rs
+++ b/crates/proxy/src/election/talk.rs
@@ -193,7 +193,9 @@
             return;
         }
         self.lease.set((holds, now));
-        let (heard, hosts) = self.fleet.with_quorum(|quorum, now| (quorum.recently_heard(now).len(), quorum.host_count()));
+        let (heard, hosts) = self
+            .fleet
+            .with_quorum(|quorum, now| (quorum.recently_heard(now).len(), quorum.host_count()));
         self.site.log(&Event::Lease {
             outcome: if holds { "back" } else { "lost" },
             millis: now.saturating_sub(since).as_millis(),
