--- a/crates/core/src/succession.rs
+++ b/crates/core/src/succession.rs
@@ -1,12 +1,12 @@
-//! When the primary of a service is replaced, by whom and by which server.
+//! Failover of a service: decides when its primary is replaced, by which host, and by which server.
 //!
-//! Every entry host runs one of these for each service. Nothing is promoted on one host's word
-//! where others can be asked: a host that is cut off sees every primary dead. The host that acts
-//! holds a claim in the platform's store, or, while the store is away, waits its turn behind hosts
-//! that come first. Not every platform refuses orders with an outdated token, so a host gives none
-//! under a token below one that it has heard of, and drops what it was about to do when it was
-//! paused. Where the platform does refuse them, two hosts that act at once do no harm beyond a
-//! second change.
+//! Every entry host runs one [`Succession`] for each service. A host that is cut off sees every
+//! primary as dead, so no server is promoted on the opinion of one host while others can be asked.
+//! The acting host holds a claim in the platform's store. While the store is unavailable, hosts act
+//! in order of rank instead. Not every platform refuses orders with an outdated fencing token, so a
+//! host gives no order under a token lower than one that it knows to be used, and drops a pending
+//! change after a pause of its own process. Where the platform does refuse outdated tokens, two
+//! hosts that act at once cause no more harm than a second change of primary.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -34,62 +34,64 @@
 pub use promotion_timer::PromotionTimer;
 pub use view::View;
 
-/// How long other hosts and servers may take to say what they see: a few round trips between
-/// zones, and the time in which a host tries the primary itself.
+/// Timeout of an inquiry among hosts and servers: a few round trips between zones, plus the time in
+/// which a host probes the primary itself.
 pub const INQUIRY_TIMEOUT: Duration = Duration::from_millis(220);
 
-/// A primary that answers nothing is suspected after this long. Slow statements take tens of
-/// milliseconds; the bound keeps a burst from looking like a death.
+/// A primary that has not answered for this long is suspected. Slow statements take tens of
+/// milliseconds; the bound keeps a burst of them from looking like a failure.
 pub const SILENCE_MAX: Duration = Duration::from_millis(300);
 
 /// Pause between two inquiries.
 const INQUIRY_BACKOFF: Duration = Duration::from_millis(150);
 
-/// How long an accepted order may take to show before another one is given. A promotion takes
-/// about a second.
+/// How long an accepted order may take to become visible before another one is given. A promotion
+/// takes about a second.
 pub const PROMOTION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long an order without an answer may be carried out late: the platform speaks of seconds, and
-/// this is several of them.
+/// How long the platform may take to carry out an order that it did not answer. The platform
+/// documents seconds; this is several of them.
 const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(15);
 
-/// Hosts relieve a leaving primary one after the other with this between them: a claim and an
-/// order take about as long.
+/// Delay between the turns of two hosts that replace a leaving primary: about the time that a claim
+/// and an order take.
 const LEAVING_TURN: Duration = Duration::from_millis(20);
 
-/// The last of many hosts waits no longer than this; a leaving server has seconds.
+/// Upper bound of the delay of a host's turn to replace a leaving primary. A leaving server has
+/// seconds left.
 const LEAVING_DELAY_MAX: Duration = Duration::from_millis(800);
 
-/// How long the holder of a claim may take until its order is heard of.
+/// How long the holder of a claim may take until other hosts learn of its order.
 pub const CLAIM_HOLDER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Without the store, hosts act one after the other with this between them.
+/// Delay between the turns of two hosts while the store is unavailable.
 const STORELESS_TURN: Duration = Duration::from_millis(250);
 
-/// A planned change waits at most this long for a replica to have all that its primary has.
+/// A planned change waits at most this long for a replica to receive the whole log of its primary.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A host that takes no step for so long was paused. Others may have acted meanwhile: a claim is
-/// taken over after [`CLAIM_HOLDER_TIMEOUT`], and steps are tens of milliseconds apart.
+/// A host that takes no step for this long was paused, and other hosts may have acted meanwhile: a
+/// claim is taken over after [`CLAIM_HOLDER_TIMEOUT`], and steps are tens of milliseconds apart.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// What one host knows of the succession in one service.
+/// Failover state of one service on one host.
 #[derive(Debug, Default)]
 pub struct Succession {
     phase: Phase,
     retry_at: Duration,
     reserved_token: Option<FencingToken>,
     outvoted_since: Option<Duration>,
-    /// Since when the primary is known to be about to leave.
+    /// When this host learned that the primary is about to leave.
     leaving_since: Option<Duration>,
     leader_history: LeaderHistory,
-    /// An order that had no answer.
+    /// The last order that got no answer.
     unanswered_order: Option<UnansweredOrder>,
-    /// The change that is under way is made in turn, without the store's word that no other host makes it.
+    /// Whether the current change rests on this host's turn alone, without a claim in the store
+    /// that excludes other hosts.
     without_claim: bool,
 }
 
-/// An order without an answer: the platform may carry it out later.
+/// An order without an answer, which the platform may still carry out.
 #[derive(Debug, Clone, Copy)]
 struct UnansweredOrder {
     token: FencingToken,
@@ -102,54 +104,55 @@
     #[default]
     Watching,
     Inquiring(Inquiry),
-    /// The store was asked for the claim.
+    /// This host has requested the claim from the store.
     Claiming(Inquiry),
-    /// Another host has the claim, or has said that it acts.
+    /// Another host holds the claim, or has announced that it replaces the primary.
     Deferring {
         until: Duration,
     },
-    /// The store is away: hosts act in turn.
+    /// The store is unavailable; this host waits for its turn.
     Queued {
         until: Duration,
         inquiry: Inquiry,
     },
-    /// This host has the claim and asks servers how far they have received the log.
+    /// This host holds the claim and asks servers for their replication positions.
     Choosing {
         token: FencingToken,
         until: Duration,
         inquiry: Inquiry,
     },
-    /// An order is on its way, for a server that has said that it has received `had`.
+    /// An order to promote `server` was sent. The server has reported the replication position
+    /// `had`.
     Ordering {
         token: FencingToken,
         server: ServerKey,
         had: Position,
     },
-    /// An order was accepted.
+    /// An order was accepted and has not taken effect yet.
     Awaiting {
         until: Duration,
     },
 }
 
 impl Succession {
-    /// Takes note of a token that may be used while the store is away.
+    /// Stores a token that may be used while the store is unavailable.
     pub fn reserve_token(&mut self, token: FencingToken) {
         self.reserved_token = Some(token);
     }
 
-    /// Whether an order that is given now rests on this host's turn alone: another host may give one in the
-    /// same moment.
+    /// Reports whether an order given now rests on this host's turn alone. Another host may give
+    /// one at the same moment.
     pub fn acts_without_claim(&self) -> bool {
         self.without_claim
     }
 
-    /// Whether a change is under way, as far as this host knows: whoever waits for a primary has
-    /// reason to wait on.
+    /// Reports whether this host knows of a change under way, so that requests that need a primary
+    /// are worth holding back.
     pub fn is_under_way(&self) -> bool {
         !matches!(self.phase, Phase::Watching | Phase::Inquiring(_))
     }
 
-    /// Hosts that have answered the inquiry that is under way.
+    /// Returns the hosts that have answered the current inquiry.
     pub fn answered_hosts(&self) -> BTreeSet<HostKey> {
         match &self.phase {
             Phase::Inquiring(inquiry)
@@ -163,21 +166,23 @@
         }
     }
 
-    /// Servers that were seen to lead, by this host or another, each with the newest term in which it did.
+    /// Returns the servers that this or another host has seen as primary, each with the newest term
+    /// in which it was.
     pub fn known_leaders(&self) -> &BTreeMap<ServerKey, Term> {
         self.leader_history.terms()
     }
 
-    /// Another host has seen `server` lead `term`.
+    /// Records that another host has seen `server` as the primary of `term`.
     ///
-    /// Guards against the promotion of a replaced primary by a host that has started since, and has not seen
-    /// it lead: its log is the longest, and ends with what the change dropped.
+    /// Guards against the promotion of a replaced primary by a host that has started since and has
+    /// not seen it lead. The log of a replaced primary is the longest and ends with writes that the
+    /// change has dropped.
     pub fn record_leader(&mut self, server: ServerKey, term: Term) {
         self.leader_history.record_term_led(server, term);
     }
 
-    /// How far the server that is being ordered to lead has received the log, by its own word: its term
-    /// begins there or after that.
+    /// Returns the replication position that the server being promoted has reported. Its term
+    /// begins there or later.
     pub fn successor_position(&self) -> Position {
         match self.phase {
             Phase::Ordering { had, .. } => had,
@@ -185,27 +190,27 @@
         }
     }
 
-    /// Since when this host has missed a primary that is not replaced, because others reach it or
-    /// too few miss it: callers are served better elsewhere.
+    /// Returns since when this host has missed a primary that is not replaced, because other hosts
+    /// reach it or too few miss it. Callers are served better by another host.
     pub fn outvoted(&self) -> Option<Duration> {
         self.outvoted_since
     }
 
-    /// Another host says what it sees of the primary.
+    /// Records the opinion of another host on the primary.
     pub fn record_opinion(&mut self, host: HostKey, opinion: Opinion) {
         if let Some(inquiry) = self.inquiry_mut() {
             inquiry.opinions.insert(host, opinion);
         }
     }
 
-    /// A server has said how far it is.
+    /// Records the status report of a server.
     pub fn record_report(&mut self, server: ServerKey, report: Report) {
         if let Some(inquiry) = self.inquiry_mut() {
             inquiry.record_report(server, report);
         }
     }
 
-    /// Another host says that it changes the primary.
+    /// Records that another host is replacing the primary, and waits for the effect.
     pub fn defer_to_peer(&mut self, now: Duration) {
         match self.phase {
             Phase::Ordering { .. } | Phase::Awaiting { .. } => {}
@@ -217,7 +222,7 @@
         }
     }
 
-    /// The claim was won.
+    /// Records that this host has won the claim.
     pub fn claim_won(&mut self, token: FencingToken, now: Duration) -> Vec<NextStep> {
         self.reserved_token = Some(token);
         match std::mem::take(&mut self.phase) {
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Somebody else has the claim.
+    /// Records that another host holds the claim.
     pub fn claim_lost(&mut self, now: Duration) {
         if matches!(self.phase, Phase::Claiming(_)) {
             self.phase = Phase::Deferring {
@@ -241,7 +246,8 @@
         }
     }
 
-    /// The store cannot say who has the claim.
+    /// Records that the store could not decide the claim. `rank` is the number of hosts whose turn
+    /// comes first.
     pub fn claim_undecided(&mut self, rank: u32, now: Duration) {
         if let Phase::Claiming(inquiry) = &mut self.phase {
             let inquiry = std::mem::take(inquiry);
@@ -252,7 +258,7 @@
         }
     }
 
-    /// How the order ended.
+    /// Records the outcome of the order.
     pub fn order_finished(&mut self, order: Order, now: Duration) {
         let Phase::Ordering { token, server, .. } = self.phase else {
             return;
@@ -266,8 +272,8 @@
                 until: now + PROMOTION_TIMEOUT,
             },
             Order::Refused => {
-                // The token is outdated, or the server is not there. Either way somebody has to
-                // look again; a token that was refused is never used again.
+                // The token is outdated, or the server is not running. In both cases a new inquiry
+                // is needed, and a refused token is never used again.
                 self.reserved_token = None;
                 self.retry_at = now + INQUIRY_BACKOFF;
                 Phase::Watching
@@ -275,7 +281,7 @@
         };
     }
 
-    /// Takes the next step.
+    /// Advances the state machine and returns what to do next.
     pub fn step(&mut self, view: &View, now: Duration) -> Vec<NextStep> {
         self.leader_history.observe_view(view);
         if matches!(view.trouble, None | Some(Trouble::Leaving)) {
@@ -306,11 +312,11 @@
         }
     }
 
-    /// This host was paused for [`PAUSE_THRESHOLD`] or longer: what it was about to do is dropped, since what
-    /// that rests on is outdated.
+    /// Drops a pending change after this host was paused for [`PAUSE_THRESHOLD`] or longer, since
+    /// the information that it rests on is outdated.
     ///
     /// Guards against an order under a claim that another host has taken over, on a platform that
-    /// carries out whatever it is told.
+    /// carries out orders whatever their token.
     pub fn resume_after_pause(&mut self, now: Duration) {
         if !matches!(self.phase, Phase::Ordering { .. }) {
             self.phase = Phase::Watching;
@@ -318,11 +324,11 @@
         }
     }
 
-    /// The store was restored from a copy, which may lack the claim that this host has won: another
-    /// host may win it too, so this one drops it and claims anew.
+    /// Drops a claim because the store was restored from a copy, which may lack it. Another host
+    /// may win the same claim, so this host has to claim again.
     ///
-    /// Guards against two hosts that carry out the same change, one after the other: what the first
-    /// successor has acknowledged is rolled back by the second.
+    /// Guards against two hosts that carry out the same change one after the other: the second
+    /// successor rolls back what the first has acknowledged.
     pub fn invalidate_claim(&mut self, now: Duration) {
         let inquiry = match std::mem::take(&mut self.phase) {
             Phase::Claiming(inquiry) | Phase::Choosing { inquiry, .. } => inquiry,
@@ -361,8 +367,9 @@
         vec![NextStep::AskHosts, NextStep::AskServers]
     }
 
-    /// A primary is about to leave. Nobody has to be asked, and seconds are left: hosts claim one
-    /// after the other, so that most of them hear of the first one's order before their turn.
+    /// Replaces a primary that is about to leave. No inquiry is needed, and only seconds are left:
+    /// hosts claim one after the other, so that most of them learn of the first host's order before
+    /// their own turn.
     fn replace_leaving(&mut self, view: &View, now: Duration) -> Vec<NextStep> {
         let since = *self.leaving_since.get_or_insert(now);
         let turn = (LEAVING_TURN * view.rank).min(LEAVING_DELAY_MAX);
@@ -438,8 +445,8 @@
         now: Duration,
     ) -> Vec<NextStep> {
         if inquiry.cause != Some(Trouble::Leaving) {
-            // Nothing more arrives from a primary that is gone: what servers have said stands,
-            // and those that were silent have had their time.
+            // A failed primary sends nothing more, so the reports collected so far are final, and
+            // servers that did not answer have had their time.
             let until = inquiry.deadline;
             self.phase = Phase::Choosing {
                 token,
@@ -470,14 +477,14 @@
         view: &View,
         now: Duration,
     ) -> Vec<NextStep> {
-        // Another host's order may have taken effect while the store decided on this one's claim.
-        // What was found out of one primary is no reason to replace the next.
+        // Another host's order may have taken effect while the store decided on the claim. The
+        // result of an inquiry about one primary is no reason to replace the next.
         let over = view.term > inquiry.term;
         if view.trouble.is_none() || over || inquiry.sees_newer_leader(view) {
             return Vec::new();
         }
-        // Hosts that are cut off together with the primary may go on relying on it; what they
-        // acknowledge after the order, the successor lacks.
+        // Hosts that are cut off together with the primary may keep relying on it until their
+        // leases end. The successor would lack what they acknowledge after the order.
         let quiet = now >= view.leases_end;
         let best = inquiry.best_candidate(view, &self.leader_history, now);
         let best = best.filter(|best| quiet && self.may_order(token, *best, view, now));
@@ -507,7 +514,7 @@
                     until: now + INQUIRY_TIMEOUT,
                     inquiry,
                 };
-                // A host that is heard and has not answered may only have missed the question.
+                // A host that is reachable and has not answered may have missed the request.
                 vec![NextStep::AskHosts, NextStep::AskServers]
             }
             None if over => {
@@ -525,12 +532,12 @@
         }
     }
 
-    /// Whether an order for `server` may go out under `token`.
+    /// Reports whether an order to promote `server` may be given under `token`.
     ///
-    /// Guards against an order without an answer that the platform carries out after a later one:
-    /// the platform refuses lower tokens only, so under one token the earlier order would replace
-    /// the server of the later one and roll back what that has acknowledged. And against an order
-    /// under a token below one that was used: whoever used that one has acted since.
+    /// Guards against an unanswered order that the platform carries out after a later one: the
+    /// platform refuses lower tokens only, so under the same token the earlier order would replace
+    /// the server of the later one and roll back what that server has acknowledged. Also guards
+    /// against an order under a token lower than one already used, whose holder has acted since.
     fn may_order(
         &self,
         token: FencingToken,
@@ -547,7 +554,7 @@
             })
     }
 
-    /// Stays in `phase` until the trouble or the wait is over.
+    /// Stays in `phase` until the primary is well again or `until` has passed.
     fn wait(&mut self, phase: Phase, until: Duration, view: &View, now: Duration) -> Vec<NextStep> {
         if view.trouble.is_none() {
             return Vec::new();
--- a/crates/core/src/succession/action.rs
+++ b/crates/core/src/succession/action.rs
@@ -1,15 +1,16 @@
-//! What a [`Succession`](super::Succession) hears and wants done.
+//! Inputs and outputs of [`Succession`](super::Succession).
 
 use crate::key::ServerKey;
 use crate::leader::Role;
 use crate::position::Position;
 use crate::term::Term;
 
-/// A token under which orders may be given.
+/// A fencing token: platforms that check it refuse an order under a token lower than one already
+/// used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FencingToken(pub u64);
 
-/// What to do next.
+/// What a host does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
     /// Ask the other hosts what they see of the primary.
@@ -18,42 +19,42 @@
     AskServers,
     /// Claim the change in the store.
     Claim,
-    /// Order that `server` leads, and tell the other hosts.
+    /// Order the promotion of `server`, and notify the other hosts.
     Promote {
-        /// The server.
+        /// The server to promote.
         server: ServerKey,
-        /// The token.
+        /// The token of the order.
         token: FencingToken,
     },
 }
 
-/// What a host sees of a primary.
+/// Whether a host reaches a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Opinion {
-    /// It has just answered.
+    /// The primary has just answered.
     Reaches,
-    /// It does not answer.
+    /// The primary does not answer.
     Fails,
 }
 
-/// What a server says of itself.
+/// The status that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report {
-    /// Its role.
+    /// The server's role.
     pub role: Role,
-    /// The term that it knows.
+    /// The newest term that the server knows.
     pub term: Term,
-    /// How far it has received the log.
+    /// The position up to which the server has received the log.
     pub received: Position,
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Order {
-    /// It was accepted.
+    /// The platform accepted the order.
     Accepted,
-    /// It was refused: the token is outdated, or the server does not run.
+    /// The platform refused the order: the token is outdated, or the server is not running.
     Refused,
-    /// There was no answer; it may be carried out.
+    /// There was no answer; the order may still be carried out.
     Unknown,
 }
--- a/crates/core/src/succession/contact.rs
+++ b/crates/core/src/succession/contact.rs
@@ -5,31 +5,31 @@
 /// What is wrong with a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trouble {
-    /// Nobody is known to lead.
+    /// No primary is known.
     Absent {
-        /// Since when.
+        /// When this began.
         since: Duration,
     },
-    /// Its host refuses connections: no process listens there.
+    /// The primary's machine refuses connections: no process listens on the port.
     Refuses {
-        /// Since when.
+        /// When this began.
         since: Duration,
     },
-    /// Nothing comes back from it.
+    /// The primary does not answer.
     Silent {
-        /// Since when.
+        /// When this began.
         since: Duration,
     },
-    /// It is about to leave.
+    /// The primary is about to leave.
     Leaving,
 }
 
-/// Refused connects in a row after which a server counts as gone. One may meet a restart of its
-/// listener.
+/// Number of refused connections in a row after which a server counts as gone. A single one may be
+/// due to a restart of its listener.
 const REFUSED_LIMIT: u32 = 2;
 
-/// A server that has answered nothing at all for this long, with statements outstanding, is tried
-/// on another connection: a live one answers there in a round trip and the time of its queue.
+/// A server with outstanding statements that has answered nothing for this long is probed on
+/// another connection: a live server answers there within a round trip and its queueing time.
 const PROBE_DELAY: Duration = Duration::from_millis(120);
 
 /// What a host's own connections show of one server.
@@ -57,7 +57,7 @@
 }
 
 impl Contact {
-    /// The server answered something at `now`.
+    /// Records an answer of the server at `now`.
     pub fn record_answer(&mut self, now: Duration) {
         *self = Contact {
             answered_at: Some(now),
@@ -65,13 +65,13 @@
         };
     }
 
-    /// A connect was refused, or an open connection was reset, at `now`.
+    /// Records that a connection was refused or reset at `now`.
     pub fn record_refusal(&mut self, now: Duration) {
         self.failing_since.get_or_insert(now);
         self.refusals += 1;
     }
 
-    /// Something sent at `sent` had no answer in time.
+    /// Records that a request sent at `sent` was not answered in time.
     pub fn record_timeout(&mut self, sent: Duration) {
         if self.answered_at.is_some_and(|answered| answered > sent) {
             return;
@@ -80,24 +80,24 @@
         self.timeouts += 1;
     }
 
-    /// Something sent at `sent` has no answer yet, which is longer than usual; whether the server
-    /// should be tried on another connection to find out why.
+    /// Reports whether a request sent at `sent` has been outstanding for so long that the server
+    /// should be probed on another connection.
     pub fn is_overdue(&self, sent: Duration, now: Duration) -> bool {
         let heard = self.answered_at.is_some_and(|answered| answered > sent);
         !heard && now >= sent + PROBE_DELAY
     }
 
-    /// How long ago the server last answered.
+    /// Returns the time since the server's last answer.
     pub fn answer_age(&self, now: Duration) -> Option<Duration> {
         self.answered_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether the last thing that was tried came to nothing.
+    /// Reports whether the last attempt failed.
     pub fn is_failing(&self) -> bool {
         self.failing_since.is_some()
     }
 
-    /// What is wrong, if anything.
+    /// Returns what is wrong with the server, if anything.
     pub fn trouble(&self, now: Duration) -> Option<Trouble> {
         let since = self.failing_since?;
         if self.refusals >= REFUSED_LIMIT && self.timeouts == 0 {
--- a/crates/core/src/succession/inquiry.rs
+++ b/crates/core/src/succession/inquiry.rs
@@ -1,4 +1,4 @@
-//! What one host has learned since it began to doubt a primary.
+//! The inquiry about a suspected primary: opinions of hosts, reports of servers, and the decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,49 +13,50 @@
 use super::leader_history::LeaderHistory;
 use super::view::View;
 
-/// Without most hosts, a change waits this long after the platform's list has lost the primary,
-/// which takes seconds by itself: longer than cuts usually last.
+/// Without a majority of hosts, a change waits this long after the platform's list has lost the
+/// primary, which by itself takes seconds. It is longer than network partitions usually last.
 ///
-/// Guards against a minority that has the store on its side of a cut while the primary and most
-/// hosts are on the other. Those keep each other's leases and rely on the primary, and 1.5 s after
-/// the list had lost it, two hosts of six had it replaced: 19 writes were acknowledged by the old one
-/// meanwhile. Where most hosts are dead, and the primary with them, the service waits as long.
+/// Guards against a minority that has the store on its side of a partition while the primary and
+/// most hosts are on the other. Those hosts keep each other's leases and rely on the primary. With
+/// a wait of 1.5 s after the list had lost it, two hosts of six had it replaced, and the old
+/// primary acknowledged 19 writes meanwhile. Where most hosts and the primary are dead, the service
+/// waits as long.
 pub const MINORITY_DELAY: Duration = Duration::from_secs(8);
 
-/// When some hosts reach the primary and most do not, the change waits this long, since the
+/// When some hosts reach the primary and most do not, the change waits this long, since the network
 /// path may heal sooner than a change takes.
 pub const DIVIDED_DELAY: Duration = Duration::from_millis(1_000);
 
-/// How long a host that reaches a primary whose port is closed to others has to say so: several
+/// How long a host that reaches a primary whose port is closed to others has to object: several
 /// round trips between zones.
 pub const OBJECTION_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// A change waits this long for a better candidate, or for the word of more hosts: restarts and
-/// cuts last some seconds.
+/// A change waits this long for a better candidate, or for the opinions of more hosts: restarts and
+/// partitions last some seconds.
 pub const RETURN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How old a server's report may be when an order rests on it: as long as a primary may be silent. A
-/// claim that is won at once rests on younger ones; a host that waits for its turn, or for others'
-/// leases to run out, asks again.
+/// Maximum age of a server's report on which an order rests; equal to the silence that is tolerated
+/// of a primary. Reports are younger when a claim is won at once. A host that waits for its turn,
+/// or for the leases of other hosts to end, asks again.
 pub const REPORT_AGE_MAX: Duration = super::SILENCE_MAX;
 
-/// What other hosts and the servers have said.
+/// The answers of other hosts and of servers.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Inquiry {
     pub(super) cause: Option<Trouble>,
-    /// The newest term that was known when it began.
+    /// The newest term that was known when the inquiry began.
     pub(super) term: Term,
     pub(super) started_at: Duration,
     pub(super) deadline: Duration,
     pub(super) opinions: BTreeMap<HostKey, Opinion>,
     pub(super) reports: BTreeMap<ServerKey, Report>,
-    /// When servers were last asked.
+    /// When servers were last asked for a report.
     pub(super) servers_asked_at: Duration,
-    /// Servers that have not answered that question yet, and had answered one before.
+    /// Servers that have answered an earlier request and not yet the last one.
     pub(super) unconfirmed: BTreeSet<ServerKey>,
 }
 
-/// What follows from what was said.
+/// The result of an inquiry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Decision {
     Pending,
@@ -64,16 +65,16 @@
 }
 
 impl Inquiry {
-    /// Whether the primary is replaced.
+    /// Decides whether the primary is replaced.
     ///
-    /// Hosts that do not answer may be with the primary on the other side of a cut, and go on
-    /// acknowledging writes there that its successor lacks. So more than half of all hosts have
-    /// to miss it. Fewer may act only when the platform, too, has long lost sight of it.
+    /// Hosts that do not answer may be on the primary's side of a partition and keep acknowledging
+    /// writes there that a successor lacks. So more than half of all hosts have to miss the
+    /// primary. Fewer hosts may act only when the platform has lost the primary for long as well.
     ///
-    /// A primary that gave up its lead has a successor. Just after a change none of the hosts may
-    /// have heard of it, and all say that they miss a primary: they are given their time to learn.
-    /// And hosts that are cut off with a replaced primary can tell nothing of its successor, so
-    /// few of them do not act before a cut has usually ended.
+    /// A primary that stepped down has a successor. Just after a change it is possible that no host
+    /// knows the successor and all report that they miss a primary, so they are given time to learn
+    /// of it. Hosts that are cut off together with a replaced primary know nothing of its
+    /// successor, so a minority does not act before a partition has usually ended.
     pub(super) fn decide(
         &self,
         trouble: Trouble,
@@ -85,7 +86,7 @@
             return Decision::Keep;
         }
         let (since, unlisted) = match trouble {
-            // It has begun to leave while others were asked about it.
+            // The primary began to leave during the inquiry.
             Trouble::Leaving => return Decision::Replace,
             Trouble::Absent { since } => (since, true),
             Trouble::Refuses { since } | Trouble::Silent { since } => (since, false),
@@ -103,7 +104,8 @@
         let complete = self.opinions.len() == view.peers.len() && !replaced;
         match (most, reach) {
             (true, 0) if over || complete => Decision::Replace,
-            // No process listens there any more: nobody who is still silent can know better.
+            // No process listens on the primary's port any more, so a host that has not answered
+            // yet cannot know better.
             (true, 0) if refuses && now >= self.started_at + OBJECTION_TIMEOUT => Decision::Replace,
             (true, _) if over && now >= since + DIVIDED_DELAY => Decision::Replace,
             (false, 0) if over && unlisted && now >= since + alone => Decision::Replace,
@@ -112,40 +114,42 @@
         }
     }
 
-    /// Whether more than half of all hosts miss the primary.
+    /// Reports whether more than half of all hosts miss the primary.
     fn has_majority(&self, view: &View) -> bool {
         let fail = self.count(Opinion::Fails) + 1;
         fail * 2 > view.peers.len() + 1
     }
 
-    /// A server has said how far it is.
+    /// Records the status report of a server.
     pub(super) fn record_report(&mut self, server: ServerKey, report: Report) {
         self.unconfirmed.remove(&server);
         self.reports.insert(server, report);
     }
 
-    /// How far `server` has received the log, by its own word.
+    /// Returns the replication position that `server` has reported.
     pub(super) fn received_position(&self, server: ServerKey) -> Position {
         let report = self.reports.get(&server);
         report.map_or_else(Position::default, |report| report.received)
     }
 
-    /// Servers are asked anew. What they have said stays, for those that do not answer again.
+    /// Starts another round of requests to servers. Earlier reports stay valid for servers that do
+    /// not answer again.
     pub(super) fn ask_again(&mut self, now: Duration) {
         self.servers_asked_at = now;
         self.unconfirmed = self.reports.keys().copied().collect();
     }
 
-    /// Whether servers have to be asked anew before one is ordered to lead.
+    /// Reports whether servers have to be asked again before one is promoted.
     ///
-    /// Guards against the promotion of a server that has lost its log since it answered. The order names
-    /// no start of it, so it is carried out, and all that the others have is rolled back. In a run of
-    /// servers that start again in series, orders without the store rested on words of 0.8 s before.
+    /// Guards against the promotion of a server that has lost its log since it answered. The order
+    /// does not name a start of the server, so it is carried out all the same and rolls back what
+    /// the other servers have. In a test with servers that restarted one after the other, orders
+    /// given without the store rested on reports that were 0.8 s old.
     pub(super) fn are_reports_outdated(&self, now: Duration) -> bool {
         now > self.servers_asked_at + REPORT_AGE_MAX
     }
 
-    /// Whether `server` has answered what it was last asked.
+    /// Reports whether `server` has answered the last request.
     pub(super) fn has_confirmed(&self, server: ServerKey) -> bool {
         !self.unconfirmed.contains(&server)
     }
@@ -154,7 +158,7 @@
         self.opinions.values().filter(|it| **it == opinion).count()
     }
 
-    /// Whether a server already leads a newer term: somebody else has acted.
+    /// Reports whether a server already leads a newer term, so that another host has acted.
     pub(super) fn sees_newer_leader(&self, view: &View) -> bool {
         self.reports
             .iter()
@@ -168,19 +172,19 @@
             .all(|server| self.reports.contains_key(server))
     }
 
-    /// Whether nothing is gained by waiting for further answers.
+    /// Reports whether waiting for further reports gains nothing.
     ///
-    /// Where the primary waits for one replica, no acknowledged commit may be missing at the best
-    /// candidate. Which replica that was differs from commit to commit: one that is too busy to answer may
-    /// be the only one that has the last of them. So all have to be heard, and what this host has
-    /// seen acknowledged must be there, also when the replica that had it is gone for a while.
-    /// With the first answers alone, 54 and 67 acknowledged commits were lost on two of 24 days.
+    /// Where the primary waits for one replica before it acknowledges a commit, the best candidate
+    /// must have every acknowledged commit. Which replica confirmed it differs from commit to
+    /// commit, so one that is too busy to answer may be the only one with the last of them. So all
+    /// servers have to report, and the best candidate has to reach the newest position that this
+    /// host has seen acknowledged, even when the replica that had it is down for a while. When only
+    /// the first reports counted, 54 and 67 acknowledged commits were lost on two of 24 days.
     pub(super) fn is_complete(&self, view: &View, led: &LeaderHistory, now: Duration) -> bool {
         if !self.all_reported(view) || self.may_find_better(view, led, now) {
             return false;
         }
-        // A primary that leaves acknowledges further commits meanwhile, and its replicas receive
-        // them.
+        // A leaving primary keeps acknowledging commits meanwhile, and its replicas receive them.
         if !view.synchronous || self.cause == Some(Trouble::Leaving) {
             return true;
         }
@@ -191,16 +195,17 @@
         has_all || now >= self.started_at + RETURN_TIMEOUT
     }
 
-    /// Whether a server with more than the best candidate may still be heard.
+    /// Reports whether a better candidate than the current best may still report.
     ///
-    /// Guards against the promotion of a server that has started again and has nothing of before,
-    /// or not all of it yet. All that others hold would be rolled back. It is the best of those
-    /// heard where the others are busy, cut off or down for a moment; the bound is the time in
-    /// which those come back.
+    /// Guards against the promotion of a server that has restarted and has lost its log, or not yet
+    /// received all of it: everything that the other servers have would be rolled back. Such a
+    /// server is the best candidate while the others are busy, cut off or down for a moment. The
+    /// wait is bounded by the time in which those come back.
     ///
-    /// A former primary that stepped down for a successor which never came to lead is passed over, and
-    /// may be the only one with a log: 242 acknowledged writes were rolled back for an empty server
-    /// that had just been listed anew. After [`RETURN_TIMEOUT`] without a primary, the former one is the best.
+    /// A former primary that stepped down for a successor which never came to lead is passed over,
+    /// and may be the only server with a log: 242 acknowledged writes were rolled back for an empty
+    /// server that had just been listed again. After [`RETURN_TIMEOUT`] without a primary, the
+    /// former primary is the best candidate.
     pub(super) fn may_find_better(&self, view: &View, led: &LeaderHistory, now: Duration) -> bool {
         let best = self.best_candidate(view, led, now);
         let Some((best, report)) = best.and_then(|it| Some((it, self.reports.get(&it)?))) else {
@@ -213,27 +218,28 @@
             return false;
         }
         let mark = view.required_positions.get(&best);
-        // The position of an empty log names the newest term, past each log that ends in an older one.
+        // The position of an empty log carries the newest term, so it compares greater than every
+        // log that ends in an older one.
         let lacks =
             |mark: &Position| report.received < *mark || report.has_empty_log() && mark.log > 0;
         let behind = mark.is_some_and(lacks);
         let unheard = !self.all_reported(view);
-        // The old primary may come back with its log, and is no candidate while it is gone: with a
-        // server as the alternative that has lost everything it is worth the wait as well.
+        // The old primary may come back with its log, and is no candidate while it is down. It is
+        // worth the wait when the alternative is a server that has lost its whole log.
         let lost_all = report.has_empty_log() && behind;
-        // A primary that leaves is alive and has more: it may still send it.
+        // A leaving primary is alive and has a longer log, which it may still send.
         let leaves = self.cause == Some(Trouble::Leaving) && view.newest_position.log > 0;
         lost_all
             || leaves && report.has_empty_log()
             || unheard && (report.has_empty_log() || behind)
     }
 
-    /// The candidate that has received most; ties go to the lowest key, on every host alike.
+    /// Returns the candidate with the longest log. On a tie all hosts choose the lowest key.
     ///
-    /// A server that was replaced and has not followed since is passed over. Where most hosts
-    /// have heard no other server for long, it is better than none. By its own word alone a host
-    /// that hears few others does not believe that it follows: it may be cut off together with it
-    /// while others go on with its successor.
+    /// A server that was replaced and has not followed its successor since is passed over. It is
+    /// chosen when a majority of hosts has had no other candidate for long. A host that hears from
+    /// few others does not trust the server's own report that it follows: both may be cut off
+    /// together while other hosts use its successor.
     pub(super) fn best_candidate(
         &self,
         view: &View,
@@ -241,7 +247,7 @@
         now: Duration,
     ) -> Option<ServerKey> {
         let most = self.has_majority(view);
-        // Nobody is asked about a primary that leaves: it leads, so no other successor does.
+        // No inquiry is made for a leaving primary: it leads, so no other successor does.
         let known = most || self.cause == Some(Trouble::Leaving);
         let fit = |server: &ServerKey, report: &Report| {
             !led.has_unmerged_log(*server, report)
@@ -259,7 +265,7 @@
         }
     }
 
-    /// Whether the primary is missed for so long that any server is better than none.
+    /// Reports whether the primary has been missed for so long that any server is better than none.
     fn has_waited_long(&self, view: &View, now: Duration) -> bool {
         let since = match view.trouble {
             Some(
@@ -270,7 +276,8 @@
         since.is_some_and(|since| now >= since + RETURN_TIMEOUT)
     }
 
-    /// Whether some server that was heard, and is passed over so far, has a log.
+    /// Reports whether some server that has reported, including those passed over so far, has a
+    /// log.
     fn any_has_log(&self, view: &View) -> bool {
         let longest = self.longest_log(view, |_, _| true);
         let report = longest.and_then(|longest| self.reports.get(&longest));
@@ -295,8 +302,8 @@
 }
 
 impl Report {
-    /// Whether the log has nothing in it. Its position may name the newest term all the same, and
-    /// would then be past each log that ends in an older one.
+    /// Reports whether the log is empty. Its position may carry the newest term all the same, and
+    /// would then compare greater than every log that ends in an older one.
     fn has_empty_log(&self) -> bool {
         self.received.log == 0
     }
--- a/crates/core/src/succession/prior_orders.rs
+++ b/crates/core/src/succession/prior_orders.rs
@@ -1,11 +1,13 @@
-//! PriorOrders that were given before a host started.
+//! Orders to replace a primary that were given before this host started.
 
 use crate::term::Term;
 
-/// Whether a service's primary may be about to be replaced by an order that this host has not heard of.
+/// Tracks whether a service's primary may be about to be replaced by an order that this host does
+/// not know.
 ///
-/// Hosts tell each other of an order as it is given. One that starts between an order and its effect hears
-/// of it from hosts that ran then; where all have started since, only the claim in the store tells.
+/// Hosts notify each other of an order when it is given. A host that starts between an order and
+/// its effect learns of it from hosts that were running then. When all hosts have started since,
+/// only the claim in the store shows it.
 ///
 /// ```
 /// use flamingopost_core::succession::PriorOrders;
@@ -22,29 +24,32 @@
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum PriorOrders {
-    /// This host has just started and asked nobody.
+    /// This host has just started and has asked neither other hosts nor the store.
     #[default]
     Unknown,
-    /// The same; the newest claim in the store is on the change of the primary of this term.
+    /// As [`PriorOrders::Unknown`], except that the newest claim in the store is on replacing the
+    /// primary of this term.
     Claimed(Term),
-    /// None that this host has not heard of.
+    /// This host knows all orders.
     AllKnown,
 }
 
 impl PriorOrders {
-    /// `newest` is the newest term for the change of whose primary the store has a claim.
+    /// Records the claims in the store: `newest` is the newest term whose primary some host has
+    /// claimed to replace.
     pub fn record_claim(&mut self, newest: Option<Term>) {
         if *self == PriorOrders::Unknown {
             *self = newest.map_or(PriorOrders::AllKnown, PriorOrders::Claimed);
         }
     }
 
-    /// A host that would know of an order has told what it knows, or any order has taken effect.
+    /// Records that this host knows all orders: a host that was running before has answered, or
+    /// some order has taken effect.
     pub fn record_complete(&mut self) {
         *self = PriorOrders::AllKnown;
     }
 
-    /// Whether the primary of `term` may be about to be replaced.
+    /// Reports whether the primary of `term` may be about to be replaced.
     pub fn may_replace(self, term: Term) -> bool {
         match self {
             PriorOrders::Unknown => true,
--- a/crates/core/src/succession/promotion_timer.rs
+++ b/crates/core/src/succession/promotion_timer.rs
@@ -1,12 +1,13 @@
-//! How long a promotion takes, by what its server answers meanwhile.
+//! Measures how long a promotion takes from the answers of the promoted server.
 
 use std::time::Duration;
 
-/// A promotion's time is taken from two answers of its server at most so far apart: a few of the
-/// questions that it is asked, and little beside the 300 ms of the shortest promotions.
+/// Two answers between which a server became the primary give a usable measurement when they are at
+/// most this far apart. It spans a few status requests and is short compared with the 300 ms of the
+/// fastest promotions.
 const MAX_UNCERTAINTY: Duration = Duration::from_millis(100);
 
-/// One order, until its server leads.
+/// Time from an order until its server leads.
 ///
 /// ```
 /// use std::time::Duration;
@@ -20,12 +21,12 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PromotionTimer {
     ordered_at: Duration,
-    /// The last moment at which the server is known not to have led.
+    /// The last moment at which the server is known to have been a replica.
     replica_at: Duration,
 }
 
 impl PromotionTimer {
-    /// The order went out at `at`.
+    /// Starts the measurement of an order given at `at`.
     pub fn start(at: Duration) -> PromotionTimer {
         PromotionTimer {
             ordered_at: at,
@@ -33,16 +34,17 @@
         }
     }
 
-    /// The server answered what was asked at `asked`, and did not lead.
+    /// Records that the server answered a request sent at `asked` and was still a replica.
     pub fn record_replica(&mut self, asked: Duration) {
         self.replica_at = self.replica_at.max(asked);
     }
 
-    /// How long the promotion took at the least, if its server is seen to lead at `now`.
+    /// Returns a lower bound of the promotion's duration when its server is seen to lead at `now`,
+    /// or `None` if the last answer is too old for a useful bound.
     ///
-    /// Guards against a bound that is far too low and, as the least one, stays: a successor that was
-    /// too busy to answer may have led for most of the time since it was last heard, and primaries
-    /// that leave would be given up by as much too early from then on.
+    /// Guards against a bound that is far too low and persists as the minimum: a successor that was
+    /// too busy to answer may have led for most of the time since its last answer. From then on,
+    /// leaving primaries would be given up too early by that amount.
     pub fn min_duration(&self, now: Duration) -> Option<Duration> {
         let precise = now <= self.replica_at + MAX_UNCERTAINTY;
         precise.then(|| self.replica_at.saturating_sub(self.ordered_at))
--- a/crates/core/src/succession/view.rs
+++ b/crates/core/src/succession/view.rs
@@ -1,4 +1,4 @@
-//! What a host sees of a service when it takes a step.
+//! Input of one step of [`Succession`](super::Succession).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use super::action::FencingToken;
 use super::contact::Trouble;
 
-/// The situation as the host sees it when it takes a step.
+/// What a host knows about a service when it takes a step.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// Who leads, if anybody is known to.
+    /// The primary, if one is known.
     pub leader: Option<ServerKey>,
     /// The newest term that is known to have begun.
     pub term: Term,
-    /// The newest term in which the one who leads has itself shown that it leads. Another server's
-    /// log may show a newer one before its primary is heard of.
+    /// The newest term in which the primary itself has shown that it leads. Another server's log
+    /// may show a newer term before this host knows its primary.
     pub leader_term: Term,
-    /// Servers that have themselves shown that they lead, each with the newest term in which they did:
-    /// also those whose claim this host does not believe.
+    /// Servers that have shown that they lead, each with the newest term in which they did. It
+    /// includes those whose claim to lead this host does not trust.
     pub terms_led: BTreeMap<ServerKey, Term>,
-    /// What is wrong with the primary, as far as this host sees.
+    /// What is wrong with the primary, from the view of this host.
     pub trouble: Option<Trouble>,
-    /// Servers that may take over: listed and not leaving.
+    /// Servers that may be promoted: listed and not leaving.
     pub candidates: BTreeSet<ServerKey>,
-    /// Other hosts that are known.
+    /// The other hosts whose opinions count.
     pub peers: BTreeSet<HostKey>,
-    /// How many of them come before this host when the store is away.
+    /// How many hosts take their turn before this one while the store is unavailable.
     pub rank: u32,
-    /// The newest token under which an order for the service was given, as far as is known.
+    /// The newest known token under which an order for the service was given.
     pub newest_token: Option<FencingToken>,
-    /// From when on no host that has not answered has a lease any more.
+    /// When the last lease of the hosts that have not answered ends.
     pub leases_end: Duration,
-    /// Whether the primary acknowledges a commit only when a replica has received it.
+    /// Whether the primary acknowledges a commit only after a replica has received it.
     pub synchronous: bool,
-    /// The newest position of the log that this host has heard of.
+    /// The newest log position that this host knows.
     pub newest_position: Position,
-    /// What servers that have started again have to have received before they count like others:
-    /// how far the log was seen to reach when they came back.
+    /// The position that each restarted server has to reach before it is trusted like the others:
+    /// the end of the log as known when the server came back.
     pub required_positions: BTreeMap<ServerKey, Position>,
-    /// The former start of each of these servers.
+    /// The previous start of each restarted server.
     pub previous_starts: BTreeMap<ServerKey, ServerKey>,
-    /// Servers that claim to lead and may lack what the service's log holds.
+    /// Servers that claim to lead and may lack part of the service's log.
     pub distrusted: BTreeSet<ServerKey>,
 }
