--- a/crates/core/src/adoption.rs
+++ b/crates/core/src/adoption.rs
@@ -1,15 +1,16 @@
-//! Adoption of configuration versions: upward only, bodies checked by their digest.
+//! Adoption of configuration versions: a version never goes back, and bodies are checked against
+//! their digest.
 //!
-//! Versions are heard of from the platform's head row and from every message between processes;
-//! bodies come from the object store or from a peer. One process that has seen a version is
-//! therefore enough for all that it can reach, with the platform there or not.
+//! Versions are announced by the platform's head row and by every message between processes. Bodies
+//! come from the object store or from a peer. So one process that has seen a version is enough for
+//! all processes that it can reach, with or without the platform.
 
 use std::collections::BTreeSet;
 
 use crate::digest::Digest;
 use crate::invariant::{self, Invariant};
 
-/// The configuration version of one process.
+/// Tracks the configuration version of one process.
 ///
 /// ```
 /// use flamingopost_core::adoption::{Adoption, AdoptionStep};
@@ -33,7 +34,7 @@
     startup: Option<Startup>,
 }
 
-/// Whom a process that has just started has not heard from yet.
+/// The sources that a process that has just started still waits for.
 #[derive(Debug)]
 struct Startup {
     platform: Source,
@@ -46,12 +47,13 @@
     Failed,
 }
 
-/// What to do next.
+/// What a process does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdoptionStep {
     /// Nothing.
     Idle,
-    /// Fetch the body of `version`, or of a newer one, from the platform or from whoever named it.
+    /// Fetch the body of `version` or of a newer one, from the platform or from the peer that
+    /// announced it.
     Fetch {
         /// The version.
         version: u64,
@@ -61,7 +63,7 @@
     Adopt,
 }
 
-/// Why an offered body is not taken.
+/// Why an offered body is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// the body of version {0} does not have the digest that came with it
@@ -73,7 +75,7 @@
 impl std::error::Error for Error {}
 
 impl Adoption {
-    /// A process that has just started and knows `peers` others to ask.
+    /// Creates the state of a process that has just started and has `peers` others to ask.
     pub fn starting(peers: usize) -> Adoption {
         Adoption {
             in_force: 0,
@@ -87,40 +89,40 @@
         }
     }
 
-    /// The version in force; 0 when there is none.
+    /// Returns the version in force, or 0 if there is none.
     pub fn in_force(&self) -> u64 {
         self.in_force
     }
 
-    /// The highest version heard of: what every message to others carries.
+    /// Returns the highest known version, which every message to other processes carries.
     pub fn highest(&self) -> u64 {
         self.highest
     }
 
-    /// A message carried `version`.
+    /// Records that a message carried `version`.
     pub fn record_version(&mut self, version: u64) -> AdoptionStep {
         self.highest = self.highest.max(version);
         self.next()
     }
 
-    /// The platform's head row names `version`, whose body has `digest`. Version 0 says that
-    /// the fleet has no configuration yet.
+    /// Records that the platform's head row names `version`, whose body has `digest`. Version 0
+    /// means that the fleet has no configuration yet.
     pub fn record_head(&mut self, version: u64, digest: Digest) -> AdoptionStep {
         if self.head.is_none_or(|(known, _)| known < version) {
             self.head = Some((version, digest));
         }
-        // The head is the newest there is: nobody else needs to be heard.
+        // The head names the newest version, so no other source has to answer.
         self.startup = None;
         self.record_version(version)
     }
 
-    /// The platform has answered that there is no configuration.
+    /// Records that the platform has no configuration.
     pub fn record_empty_head(&mut self) -> AdoptionStep {
         self.startup = None;
         self.next()
     }
 
-    /// The platform did not answer.
+    /// Records that the platform did not answer.
     pub fn record_platform_failure(&mut self) -> AdoptionStep {
         if let Some(fresh) = &mut self.startup {
             fresh.platform = Source::Failed;
@@ -128,7 +130,8 @@
         self.next()
     }
 
-    /// One of the peers asked at the start has answered with its version, or has not answered.
+    /// Records the answer of a peer that was asked at the start: its version, or `None` if it did
+    /// not answer.
     pub fn record_peer_answer(&mut self, version: Option<u64>) -> AdoptionStep {
         if let Some(fresh) = &mut self.startup {
             fresh.peers_left = fresh.peers_left.saturating_sub(1);
@@ -136,8 +139,9 @@
         self.record_version(version.unwrap_or_default())
     }
 
-    /// Whether all that a fresh process has to ask have answered or failed. Before that, what it
-    /// would put in force may be older than what it had in force before its restart.
+    /// Reports whether every source that a starting process has to ask has answered or failed.
+    /// Before that, a version that it puts in force may be older than the one in force before its
+    /// restart.
     pub fn has_asked_all(&self) -> bool {
         match &self.startup {
             None => true,
@@ -145,10 +149,11 @@
         }
     }
 
-    /// `body` is offered as that of `version`, with `digest`.
+    /// Checks `body`, offered as the body of `version` with `digest`.
     ///
     /// # Errors
-    /// The body is not what it is said to be.
+    /// The body does not match its digest, or the digest differs from the one that the platform's
+    /// head names.
     pub fn check_body(
         &mut self,
         version: u64,
@@ -171,7 +176,7 @@
         Ok(AdoptionStep::Adopt)
     }
 
-    /// `version` is in force from now on.
+    /// Records that `version` is now in force.
     pub fn record_adopted(&mut self, version: u64) {
         invariant::check(
             Invariant::UpwardConfiguration,
@@ -183,8 +188,8 @@
         self.rejected.retain(|refused| *refused > version);
     }
 
-    /// The body of `version` cannot be read by this program, which may be older than what the
-    /// version needs: the version in force stays, and the body is not fetched again.
+    /// Records that this program cannot read the body of `version`, which may need a newer program.
+    /// The version in force stays, and the body is not fetched again.
     pub fn reject_version(&mut self, version: u64) {
         self.rejected.insert(version);
     }
--- a/crates/core/src/extent.rs
+++ b/crates/core/src/extent.rs
@@ -1,22 +1,22 @@
-//! How far the log of a service has been seen to reach, at whichever of its servers.
+//! The extent of a service's log, as observed on any of its servers.
 //!
-//! A server that starts again without its log answers at its address as before, and one that led
-//! may go on saying so. What it shows of its log tells it apart: within one term a log only grows,
-//! so a primary that was asked after some server had shown a position has that position too.
+//! A server that restarts without its log answers at its old address, and one that led may still
+//! claim to lead. Its log position gives it away: within one term a log only grows, so a primary
+//! that is asked after some server has shown a position has that position too.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::position::Position;
 
-/// Moments closer together than this are merged: a question to a server takes as long.
+/// Marks closer together than this are merged: a request to a server takes about as long.
 const MARK_SPACING: Duration = Duration::from_millis(50);
 
-/// Moments that are kept: with [`MARK_SPACING`] they reach back further than a statement waits at a server
-/// that answers at all.
+/// Number of marks that are kept. With [`MARK_SPACING`] they reach back further than a statement
+/// waits at a server that answers at all.
 const MAX_MARKS: usize = 64;
 
-/// How far the log of one service has been seen to reach.
+/// Tracks the furthest observed position of one service's log.
 ///
 /// ```
 /// use std::time::Duration;
@@ -33,13 +33,13 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct LogExtent {
-    /// In the order in which the log was seen to grow.
+    /// Marks in ascending order of time and position.
     marks: VecDeque<Mark>,
-    /// Somebody has put down that something was written.
+    /// Whether a durable record says that the service was written to.
     written: bool,
 }
 
-/// The log had reached a position at some moment.
+/// A position that the log had reached at a moment.
 #[derive(Debug, Clone, Copy)]
 struct Mark {
     position: Position,
@@ -47,17 +47,18 @@
 }
 
 impl LogExtent {
-    /// The log of some server reached `position` at `now`.
+    /// Records that the log of some server reached `position` at `now`.
     ///
-    /// Numbers go on across terms, so a position without one shows an empty log, whatever its
-    /// term.
+    /// Log numbers keep counting across terms, so a position with number 0 shows an empty log,
+    /// whatever its term.
     pub fn record_position(&mut self, position: Position, now: Duration) {
         if position.log == 0 || position <= self.furthest() {
             return;
         }
         let count = self.marks.len();
         let before = count.checked_sub(2).and_then(|at| self.marks.get(at));
-        // The one between goes; the one before it is old enough for questions that are on their way.
+        // Replaces the latest mark. The one before it is old enough for requests that are in
+        // flight.
         if before.is_some_and(|before| now < before.at + MARK_SPACING) {
             self.marks.pop_back();
         }
@@ -67,46 +68,48 @@
         self.marks.push_back(Mark { position, at: now });
     }
 
-    /// The furthest position that was shown.
+    /// Returns the furthest observed position.
     pub fn furthest(&self) -> Position {
         self.marks
             .back()
             .map_or_else(Position::default, |it| it.position)
     }
 
-    /// Something was written, by a record that outlives all hosts: how much it does not tell.
+    /// Records that the service was written to, from a record that outlives all hosts. The record
+    /// does not contain a position.
     pub fn record_written(&mut self) {
         self.written = true;
     }
 
-    /// Whether anything was ever written, as far as this host knows.
+    /// Reports whether this host knows of any write to the service.
     pub fn is_written(&self) -> bool {
         self.written || self.has_position()
     }
 
-    /// Whether some server was seen to hold anything.
+    /// Reports whether some server was seen with a log that is not empty.
     pub fn has_position(&self) -> bool {
         self.furthest().log > 0
     }
 
-    /// Whether a server that was asked at `sent`, and whose log reaches `position`, cannot be the
-    /// primary of the newest term: another server had shown more before.
+    /// Reports whether a server whose log reaches `position`, asked at `sent`, cannot be the
+    /// primary of the newest term because another server had shown more before.
     ///
-    /// What was shown after the question says nothing, so earlier moments are kept as well. With the
-    /// newest one alone, a log that had just grown hid for a moment that its primary had lost it.
+    /// Positions observed after the request prove nothing, so earlier marks are kept as well. With
+    /// only the newest mark, a log that had just grown hid for a moment that its primary had lost
+    /// it.
     pub fn lacks(&self, position: Position, sent: Duration) -> bool {
         let before = self.marks.iter().rev().find(|mark| mark.at <= sent);
         before.is_some_and(|mark| position < mark.position)
     }
 
-    /// Whether `position`, shown by a server that has started again, proves that it has the service's
-    /// log all the same.
+    /// Reports whether `position`, shown by a restarted server, proves that it has the service's
+    /// log.
     ///
-    /// The start of a term is no proof, not even of one that this host had not heard of: an empty
-    /// log shows it as well. It counts where nothing was ever written.
+    /// The start of a term is no proof, not even of a term that is new to this host: an empty log
+    /// shows it as well. It counts only where nothing was ever written.
     ///
-    /// Unlike [`LogExtent::lacks`] it makes no allowance for what was shown since the question:
-    /// nothing is written that an honest primary would lack while it is not believed.
+    /// Unlike [`LogExtent::lacks`] it makes no allowance for positions observed since the request:
+    /// while a primary is not trusted, nothing is written that it could lack.
     pub fn proves(&self, position: Position) -> bool {
         let whole = position.log > 0 || !self.is_written();
         whole && position >= self.furthest()
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,9 +1,9 @@
-//! Which server of a service leads, as one host knows it.
+//! Tracks which server of a service is the primary, from the view of one host.
 //!
-//! Three sources disagree for a moment around each change: the platform's list, where each server
-//! reports its own role; refusals of servers that no longer lead; and what servers say when asked.
-//! A report that came before a refusal is older than it, so the refusal wins until the server
-//! reports again.
+//! Around each change three sources disagree for a moment: the platform's list, where each server
+//! reports its own role; refusals of servers that no longer lead; and the servers' own answers. A
+//! listed role that was reported before a refusal is older than it, so the refusal wins until the
+//! server reports again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use crate::key::ServerKey;
 use crate::term::Term;
 
-/// How a server sees itself.
+/// The role of a server, as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It leads.
+    /// The server accepts writes.
     Primary,
-    /// It follows.
+    /// The server replicates from the primary.
     Replica,
 }
 
-/// What is known of the roles of one service's servers.
+/// What one host knows of the roles of a service's servers.
 ///
 /// ```
 /// use std::time::Duration;
@@ -42,39 +42,41 @@
     servers: BTreeMap<ServerKey, ServerState>,
     changed_at: Duration,
     current: Option<ServerKey>,
-    /// A successor was ordered for the primary of this term.
+    /// The newest term for whose primary a successor was ordered.
     ended_term: Term,
     successor: Option<ServerKey>,
-    /// No server is gone back to for a lead of this term or one before.
+    /// Servers that lead this term or an older one are not accepted as primary again.
     given_up_term: Option<Term>,
 }
 
 #[derive(Debug)]
 struct ServerState {
     claims_primary: bool,
-    /// It may lack what the service's log holds: whatever it claims does not count.
+    /// The server may lack part of the service's log; its claims to lead do not count.
     distrusted: bool,
     term: Term,
-    /// The newest term in which it has itself shown that it leads.
+    /// The newest term in which the server has shown that it leads.
     led_term: Term,
-    /// Its lead of terms up to this one is over, whatever it claims.
+    /// The server's terms up to this one have ended, whatever it claims.
     ended_through: Option<Term>,
-    /// It does not even count as the last one that is known.
+    /// The server is not accepted as primary even when no other server claims to lead.
     excluded: bool,
     listed_version: u64,
-    /// The version of its row with which the list began to say that it leads.
+    /// The version of the server's row that first listed it as primary.
     claim_version: u64,
 }
 
 impl LeaderTracker {
-    /// The platform's list gives `role` for `server`, in a row last changed at `version`.
+    /// Records that the platform's list gives `role` for `server`, in a row last changed at
+    /// `version`.
     ///
-    /// A server that is new to the list after a successor was ordered may be the old primary, come
-    /// back under another id with its log: unless it is that successor, its claim has to be proved by
-    /// a newer term. It took writes for 45 ms beside its successor otherwise.
+    /// A server that is new to the list after a successor was ordered may be the old primary, back
+    /// under another id with its log. Unless it is that successor, it has to prove its claim to
+    /// lead by a newer term. Without this rule, such a server accepted writes for 45 ms while its
+    /// successor led.
     ///
-    /// One that says again that it leads says nothing new: a replaced primary does so until it hears of its
-    /// successor, whose row may be older by then.
+    /// A repeated claim to lead carries no news: a replaced primary keeps reporting it until it
+    /// learns of its successor, whose row may be older by then.
     pub fn record_listing(&mut self, server: ServerKey, role: Role, version: u64) {
         let proves = self.ended_term > Term::default() && self.successor != Some(server);
         let ended = proves.then_some(self.ended_term);
@@ -103,19 +105,19 @@
         }
     }
 
-    /// `server` is no longer in the list.
+    /// Removes a server that is no longer listed.
     pub fn remove_server(&mut self, server: ServerKey) {
         self.servers.remove(&server);
     }
 
-    /// `server` refused something because it does not lead.
+    /// Records that `server` refused a request because it is not the primary.
     pub fn record_not_primary(&mut self, server: ServerKey) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.claims_primary = false;
         }
     }
 
-    /// `server` answered as `role` of `term`.
+    /// Records that `server` reported `role` and `term` in an answer.
     pub fn record_role(&mut self, server: ServerKey, role: Role, term: Term) {
         let newest = self.newest_term();
         let Some(known) = self.servers.get_mut(&server) else {
@@ -123,8 +125,8 @@
         };
         known.term = known.term.max(term);
         match role {
-            // A primary that was cut off while it was replaced still says that it leads, under
-            // the term that has ended.
+            // A primary that was cut off while it was replaced still claims to lead, under the term
+            // that has ended.
             Role::Primary => {
                 known.claims_primary = term >= newest;
                 known.led_term = known.led_term.max(term);
@@ -140,13 +142,14 @@
         }
     }
 
-    /// A successor was ordered for the primary of `term`, maybe `successor`: any other server that
-    /// claims to lead goes before those that lead that term, or one before, and before the successor of
-    /// the order before this one. Called for each order that is newer than those before.
+    /// Records an order to replace the primary of `term`, by `successor` if it is known. Any other
+    /// server that claims to lead is then preferred to those that lead that term or an older one,
+    /// and to the successor of the previous order. Called for each order that is newer than the
+    /// previous ones.
     ///
-    /// Guards against a primary that goes on leading its term while its successor leads the next.
-    /// Nothing that it says or lists shows that it was replaced, and an order whose answer is lost
-    /// may still be carried out after seconds in which it looked well again.
+    /// Guards against a primary that keeps leading its term while its successor leads the next one.
+    /// Nothing that it reports or lists shows that it was replaced, and an order whose answer is
+    /// lost may still be carried out after seconds in which the primary looked healthy again.
     ///
     /// ```
     /// use flamingopost_core::key::ServerKey;
@@ -167,8 +170,8 @@
     /// assert_eq!(leader.primary(), Some(server), "it was promoted again");
     /// ```
     pub fn record_order(&mut self, term: Term, successor: Option<ServerKey>) {
-        // Whoever ordered may not know that the successor of the order before leads already, in a term
-        // that this order does not name.
+        // The host that gave the order may not know that the successor of the previous order
+        // already leads, in a term that this order does not name.
         let before = self.successor.filter(|before| Some(*before) != successor);
         if let Some(known) = before.and_then(|before| self.servers.get_mut(&before)) {
             known.ended_through = known.ended_through.max(Some(known.led_term.max(term)));
@@ -184,28 +187,29 @@
         }
     }
 
-    /// `term` has begun: a server that has shown that it leads an older one was replaced.
+    /// Records that `term` has begun, so that a server that has shown that it leads an older term
+    /// was replaced.
     pub fn record_term_start(&mut self, term: Term) {
         for known in self.servers.values_mut() {
-            // One that has not shown its term may be the successor.
+            // A server that has not shown its term may be the successor.
             if known.claims_primary && known.led_term > Term::default() && known.led_term < term {
                 known.ended_through = known.ended_through.max(Some(known.led_term));
             }
         }
     }
 
-    /// Whether `server` leads no term but those that are over, as far as is known.
+    /// Reports whether all terms that `server` is known to lead have ended.
     pub fn is_term_ended(&self, server: ServerKey) -> bool {
         let known = self.servers.get(&server);
         known.is_some_and(ServerState::has_ended)
     }
 
-    /// Servers whose terms are over do not lead, though no other one claims to: neither those that are known
-    /// nor one that claims the term that has ended later.
+    /// Stops accepting servers whose terms have ended as primary, even when no other server claims
+    /// to lead. This holds for the known servers and for any that later claims an ended term.
     ///
-    /// Guards against a service without a primary for good. Where the order is not carried out and the replaced
-    /// primary comes back as a new start, hosts would believe its claim, refuse its answers, and begin anew
-    /// to miss a primary each time.
+    /// Guards against a service that never gets a primary again. Where the order is not carried out
+    /// and the replaced primary comes back after a restart, hosts would trust its claim, refuse its
+    /// answers, and start over with missing a primary each time.
     pub fn give_up_ended_terms(&mut self) {
         self.given_up_term = Some(self.ended_term);
         for known in self.servers.values_mut() {
@@ -213,47 +217,48 @@
         }
     }
 
-    /// `server` may lack what the service's log holds: its claims to lead do not count until
-    /// [`LeaderTracker::trust`], or until it follows: one that claims to lead after that was promoted.
+    /// Marks `server` as possibly lacking part of the service's log. Its claims to lead do not
+    /// count until [`LeaderTracker::trust`] is called or until it follows; a server that claims to
+    /// lead after that was promoted.
     ///
-    /// Guards against a primary that has started again without its log. It claims to lead the term
-    /// that it led before; reads there would be stale, and writes lost when another server is
-    /// promoted, which is not before somebody misses it.
+    /// Guards against a primary that has restarted without its log. It claims to lead the term that
+    /// it led before. Reads there would be stale, and writes would be lost when another server is
+    /// promoted, which does not happen before some host misses the primary.
     pub fn distrust(&mut self, server: ServerKey) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.distrusted = true;
         }
     }
 
-    /// `server` has shown that it has the service's log.
+    /// Records that `server` has shown that it has the service's log.
     pub fn trust(&mut self, server: ServerKey) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.distrusted = false;
         }
     }
 
-    /// Whether the claims of `server` do not count.
+    /// Reports whether claims of `server` to lead do not count.
     pub fn is_distrusted(&self, server: ServerKey) -> bool {
         let known = self.servers.get(&server);
         known.is_some_and(|known| known.distrusted)
     }
 
-    /// `server` answered what only the primary of `term` answers.
+    /// Records that `server` answered a request that only the primary of `term` answers.
     pub fn record_term_led(&mut self, server: ServerKey, term: Term) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.led_term = known.led_term.max(term);
         }
     }
 
-    /// The newest term in which `server` has itself shown that it leads; the first where it has
-    /// not.
+    /// Returns the newest term in which `server` has shown that it leads, or the first term if it
+    /// has not.
     pub fn term_led(&self, server: ServerKey) -> Term {
         let known = self.servers.get(&server);
         known.map_or_else(Term::default, |known| known.led_term)
     }
 
-    /// Servers that have themselves shown that they lead, believed or not, and the newest term in which they
-    /// did.
+    /// Returns the servers that have shown that they lead, trusted or not, each with the newest
+    /// term in which they did.
     pub fn terms_led(&self) -> BTreeMap<ServerKey, Term> {
         let led = self
             .servers
@@ -262,14 +267,14 @@
         led.filter(|(_, term)| *term > Term::default()).collect()
     }
 
-    /// The log of `server` reaches `term`.
+    /// Records that the log of `server` reaches `term`.
     pub fn record_log_term(&mut self, server: ServerKey, term: Term) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.term = known.term.max(term);
         }
     }
 
-    /// Who leads, if anybody is known to.
+    /// Returns the primary, if one is known.
     pub fn primary(&self) -> Option<ServerKey> {
         let claims = |known: &ServerState| known.claims_primary && !known.distrusted;
         let counts = |known: &ServerState| claims(known) && !self.is_excluded(known);
@@ -279,7 +284,7 @@
         Some(*newest.0)
     }
 
-    /// Brings the answer up to date; returns the change, if there was one.
+    /// Updates the current primary and returns the change, if there was one.
     pub fn refresh(&mut self, now: Duration) -> Option<Change> {
         let leader = self.primary();
         if leader == self.current {
@@ -295,7 +300,7 @@
         Some(change)
     }
 
-    /// Whether a server that claims to lead is not gone back to.
+    /// Reports whether a server is not accepted as primary although it claims to lead.
     fn is_excluded(&self, known: &ServerState) -> bool {
         let given_up = known.ended_through <= self.given_up_term;
         known.has_ended() && (known.excluded || given_up)
@@ -308,25 +313,26 @@
 }
 
 impl ServerState {
-    /// Whether it leads no term but those that are over.
+    /// Reports whether all terms that the server is known to lead have ended.
     fn has_ended(&self) -> bool {
         self.ended_through.is_some_and(|over| self.led_term <= over)
     }
 
-    /// It follows: if it claims to lead again, it was promoted.
+    /// Clears the ended terms of a server that follows: if it claims to lead again, it was
+    /// promoted.
     fn reset_ended(&mut self) {
         self.ended_through = None;
         self.excluded = false;
     }
 }
 
-/// Another server leads, or none.
+/// A change of primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
-    /// Who led before.
+    /// The previous primary.
     pub before: Option<ServerKey>,
-    /// Who leads now.
+    /// The new primary.
     pub after: Option<ServerKey>,
-    /// How long the state before lasted.
+    /// How long the previous state lasted.
     pub lasted: Duration,
 }
--- a/crates/core/src/succession/contact.rs
+++ b/crates/core/src/succession/contact.rs
@@ -1,4 +1,4 @@
-//! What a host's own connections show of one server.
+//! The health of one server as seen through a host's own connections.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 /// another connection: a live server answers there within a round trip and its queueing time.
 const PROBE_DELAY: Duration = Duration::from_millis(120);
 
-/// What a host's own connections show of one server.
+/// The health of one server as seen through a host's own connections.
 ///
 /// ```
 /// use std::time::Duration;
