--- a/crates/core/src/epoch.rs
+++ b/crates/core/src/epoch.rs
@@ -11,17 +11,17 @@
 use crate::key::HostKey;
 use crate::succession::CLAIM_HOLDER_TIMEOUT;
 
-/// How long after a host has heard of a new epoch the claims that the copy lacks are written anew:
-/// hosts hear of an epoch with the answer to the call that waits for the configuration, which takes
-/// up to 2 s, and write one row for each change of primary that they know of.
+/// Time from a host learning of a new epoch until the claims that the copy lacks are written again.
+/// Hosts learn of an epoch from the answer to the call that waits for the configuration, which
+/// takes up to 2 s, and write one row for each change of primary that they know.
 pub const CLAIM_REWRITE_TIME: Duration = Duration::from_secs(3);
 
-/// How long after a new epoch the list of servers tells no more than before: a living server has
-/// written its entry anew within two seconds, and that of a dead one has lapsed after three of the
-/// heartbeats that servers write 1.2 s apart.
+/// Time after a new epoch during which the list of servers adds nothing to what was known before. A
+/// live server has written its entry again within two seconds, and the entry of a dead one has
+/// expired after three of the heartbeats that servers write 1.2 s apart.
 pub const SERVER_REWRITE_TIME: Duration = Duration::from_secs(4);
 
-/// What the store has counted between two times that it came back from a copy.
+/// The number of one period of the store between two restores from a copy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Epoch(pub u64);
 
@@ -31,21 +31,21 @@
     }
 }
 
-/// What an answer of the store says of its epoch.
+/// How the epoch of an answer of the store relates to those seen before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EpochStatus {
-    /// It is the newest that the store has told of, or the first.
+    /// The epoch is the newest that the store has reported, or the first.
     Current,
-    /// It is newer than `before`: the store has come back from a copy.
+    /// The epoch is newer than `before`: the store was restored from a copy.
     Restored {
-        /// The newest that the store had told of.
+        /// The newest epoch that the store had reported.
         before: Epoch,
     },
-    /// It is over: the answer comes late, and holds no longer.
+    /// The epoch has ended: the answer arrives late and is no longer valid.
     Outdated,
 }
 
-/// What one host knows of the store's epochs.
+/// Tracks the store's epochs on one host.
 ///
 /// ```
 /// use std::collections::BTreeSet;
@@ -64,35 +64,37 @@
 /// assert!(epochs.are_claims_complete(at(60) + CLAIM_REWRITE_TIME));
 /// assert_eq!(epochs.orders_allowed_from(&others), at(60) + CLAIM_HOLDER_TIMEOUT);
 /// epochs.record_peer_epoch(HostKey::default(), Epoch(5), at(61));
-/// assert_eq!(epochs.orders_allowed_from(&others), Duration::ZERO, "nobody acts on what the copy lacks");
+/// assert_eq!(epochs.orders_allowed_from(&others), Duration::ZERO, "no host acts on a claim that the copy lacks");
 /// ```
 #[derive(Debug, Default)]
 pub struct EpochTracker {
-    /// The newest by the store's own word.
+    /// The newest epoch that the store itself has reported.
     store_epoch: Option<Epoch>,
-    /// The newest by anybody's word. What the store says is not judged by it: hosts are told all
-    /// sorts of things, by strangers as well.
+    /// The newest epoch that the store or any host has reported. Answers of the store are not
+    /// compared with it: reports of other hosts are not reliable, and may come from hosts of
+    /// another fleet.
     newest: Epoch,
-    /// When the store has first told of the newest.
+    /// When the store first reported its newest epoch.
     store_epoch_since: Duration,
-    /// When the store came back with it, as far as is known.
+    /// When the store was restored with the newest epoch, if known.
     restored_at: Option<Duration>,
-    /// The newest that each of the other hosts has heard of.
+    /// The newest epoch that each of the other hosts knows.
     peers: BTreeMap<HostKey, Epoch>,
 }
 
 impl EpochTracker {
-    /// The newest epoch by the store's own word.
+    /// Returns the newest epoch that the store itself has reported.
     pub fn store_epoch(&self) -> Epoch {
         self.store_epoch.unwrap_or_default()
     }
 
-    /// The newest epoch by anybody's word: what was won in an earlier one may be lost.
+    /// Returns the newest epoch that the store or any host has reported. A claim won in an earlier
+    /// epoch may be lost.
     pub fn newest_epoch(&self) -> Epoch {
         self.newest
     }
 
-    /// The store has answered in `epoch`.
+    /// Records that the store has answered in `epoch`.
     pub fn record_store_epoch(&mut self, epoch: Epoch, now: Duration) -> EpochStatus {
         let before = self.store_epoch;
         if before.is_some_and(|before| epoch < before) {
@@ -111,46 +113,46 @@
         EpochStatus::Restored { before }
     }
 
-    /// `host` has heard of `epoch`. Returns whether that is news: what the store is asked now is
-    /// answered in a newer epoch than what it was asked before.
+    /// Records that `host` knows `epoch`. Returns whether the epoch is new to this host, so that
+    /// the store would now answer a request in a newer epoch than before.
     pub fn record_peer_epoch(&mut self, host: HostKey, epoch: Epoch, now: Duration) -> bool {
         self.peers.insert(host, epoch);
         if epoch <= self.newest {
             return false;
         }
         self.newest = epoch;
-        // One that the store has told nothing yet learns of the first epoch in this way.
+        // A host that has had no answer of the store yet learns of its first epoch this way.
         if self.store_epoch.is_some() {
             self.restored_at = Some(now);
         }
         self.store_epoch.is_some()
     }
 
-    /// `epoch` was new at `at`, by the word of another host: one that has just started cannot tell
-    /// whether the first epoch that it hears of is.
+    /// Records that, according to another host, the store was restored with `epoch` at `at`. A host
+    /// that has just started cannot tell whether the first epoch that it sees is new.
     pub fn record_restore(&mut self, epoch: Epoch, at: Duration) {
         if self.store_epoch == Some(epoch) && self.restored_at.is_none() {
             self.restored_at = Some(at);
         }
     }
 
-    /// When the store came back with the newest epoch; nothing if it has not, as far as is known.
+    /// Returns when the store was restored with the newest epoch, or `None` if no restore is known.
     pub fn restored_at(&self) -> Option<Duration> {
         self.restored_at
     }
 
-    /// Whether [`EpochTracker::orders_allowed_from`] can be later than `now`.
+    /// Reports whether [`EpochTracker::orders_allowed_from`] can be later than `now`.
     pub fn may_delay_orders(&self, now: Duration) -> bool {
         self.restored_at
             .is_some_and(|at| now < at + CLAIM_HOLDER_TIMEOUT)
     }
 
-    /// From when on this host may order a change of primary.
+    /// Returns the time from which this host may order a change of primary.
     ///
-    /// Guards against two hosts that change one primary: the first has won a claim that the copy
-    /// lacks, and another wins it anew. A host that hears of the epoch drops such a claim, so once
-    /// all of `others` have said that they have, nobody acts on one any more; one that says nothing
-    /// is given the time in which the holder of a claim acts.
+    /// Guards against two hosts that replace the same primary: one has won a claim that the copy
+    /// lacks, and another wins it again. A host that learns of the epoch drops such a claim. So
+    /// once all of `others` have reported the epoch, no host acts on one any more; a host that does
+    /// not report is given the time within which the holder of a claim acts.
     pub fn orders_allowed_from(&self, others: &BTreeSet<HostKey>) -> Duration {
         let Some(restored) = self.restored_at else {
             return Duration::ZERO;
@@ -162,17 +164,18 @@
         }
     }
 
-    /// Whether a claim that the store does not have was never made, as far as it matters.
+    /// Reports whether a claim that the store lacks can be taken as never made.
     ///
-    /// Guards against a host that is cut off together with a primary that was replaced: it asks the
-    /// store, whose copy lacks the claim, and would go on relying on that primary. A host that has
-    /// just started takes the first epoch that it hears of for a new one: it hears of no other host
-    /// that could tell.
+    /// Guards against a host that is cut off together with a replaced primary: it asks the store,
+    /// whose copy lacks the claim, and would keep relying on that primary. A host that has just
+    /// started treats the first epoch that it sees as new, because it may reach no other host that
+    /// knows better.
     pub fn are_claims_complete(&self, now: Duration) -> bool {
         self.store_epoch.is_some() && now >= self.store_epoch_since + CLAIM_REWRITE_TIME
     }
 
-    /// Whether what the store tells may be that of the copy: it takes back nothing that was known before.
+    /// Reports whether the store may still return the contents of the copy. Such an answer
+    /// overrides nothing that was known before.
     pub fn may_list_be_stale(&self, now: Duration) -> bool {
         self.restored_at
             .is_some_and(|at| now < at + SERVER_REWRITE_TIME)
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -1,4 +1,4 @@
-//! Where each term of a service began, and what that says about a position.
+//! The history of a service's terms: where each began, and whether a position survived.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,41 @@
 
 /// The first log position of each term of one service, oldest first.
 ///
-/// A term begins at the log position that its primary had when it was promoted; whatever an
-/// older term wrote past that point is lost.
+/// A term begins at the log position that its primary had when it was promoted. Everything that an
+/// older term wrote past that position is lost.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
     starts: BTreeMap<Term, u64>,
 }
 
-/// What the history says about a session's position.
+/// Whether a position is still part of a service's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Survival {
     /// The position is part of the service's log.
     Kept,
-    /// The position was written by a term that ended before it, or by one that is no part of
-    /// the log; its write is lost.
+    /// The position was written past the start of a later term, or by a term that is no part of the
+    /// log; its write is lost.
     Lost {
         /// The term that began without the write.
         ended_by: Term,
         /// Where that term began.
         start: u64,
     },
-    /// The position's term is newer than any this history knows.
+    /// The position's term is newer than every term in this history.
     Unknown,
 }
 
 impl History {
-    /// Records that `term` began at log position `start`. Of two accounts the earlier start
-    /// stays: it cannot let a lost write pass for a kept one.
+    /// Records that `term` began at log position `start`. Of two recorded starts the earlier one is
+    /// kept, so that a lost write is never reported as kept.
     pub fn open(&mut self, term: Term, start: u64) {
         let known = self.starts.entry(term).or_insert(start);
         *known = start.min(*known);
     }
 
-    /// The terms that led to the log up to `base`: all up to its term, and after that those that
-    /// began right at its end, of which nothing was written yet. A later term that began elsewhere
-    /// went on from another log, whatever the numbers say.
+    /// Returns the terms that led to the log up to `base`: all up to its term, and after that those
+    /// that began exactly at its end, in which nothing was written yet. A later term that began
+    /// elsewhere continued another log, whatever the numbers suggest.
     ///
     /// ```
     /// use flamingopost_core::history::{History, Survival};
@@ -52,7 +52,7 @@
     /// let mut history = History::default();
     /// history.open(term(0), 0);
     /// history.open(term(1), 100);
-    /// // Nobody reachable has anything of the second term; the third goes on from the first.
+    /// // No reachable server has any of the second term; the third continues the first.
     /// let base = Position { term: term(0), log: 120 };
     /// let mut history = history.up_to(base);
     /// history.open(term(2), 120);
@@ -71,22 +71,22 @@
         }
     }
 
-    /// Where `term` began, if it is known.
+    /// Returns the start of `term`, if it is known.
     pub fn start(&self, term: Term) -> Option<u64> {
         self.starts.get(&term).copied()
     }
 
-    /// The terms and their starts, oldest first.
+    /// Returns the terms and their starts, oldest first.
     pub fn starts(&self) -> impl Iterator<Item = (Term, u64)> + '_ {
         self.starts.iter().map(|(term, start)| (*term, *start))
     }
 
-    /// The newest term, if any was opened.
+    /// Returns the newest term, if there is one.
     pub fn latest(&self) -> Option<Term> {
         self.starts.last_key_value().map(|(term, _)| *term)
     }
 
-    /// Whether the log that leads up to the newest term contains `position`.
+    /// Returns whether the log that leads up to the newest term contains `position`.
     ///
     /// ```
     /// use flamingopost_core::history::{History, Survival};
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether a server whose data reach `server` has everything up to `wanted`.
+    /// Reports whether a server whose log reaches `server` has everything up to `wanted`.
     pub fn covers(&self, server: Position, wanted: Position) -> bool {
         if server.term == wanted.term {
             return server.log >= wanted.log;
@@ -133,8 +133,8 @@
         }
     }
 
-    /// A term that was opened beside those that led to the newest one: an authority that was
-    /// lost had opened it, and nothing of it was kept.
+    /// Returns the status of a position of a term that did not lead to the newest one: an authority
+    /// that was lost had opened the term, and nothing of it was kept.
     fn foreign_term_status(&self, position: Position) -> Survival {
         let next = self.starts().find(|(term, _)| *term > position.term);
         match next {
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -1,10 +1,10 @@
-//! Incarnations: which start of a backend server is meant.
+//! Incarnations: the starts of a backend server.
 
-/// One start of a backend server: the moment of it by the server's own clock, in Unix
+/// One start of a backend server, as the time of the start by the server's own clock, in Unix
 /// milliseconds.
 ///
-/// A server that starts again keeps its name and nothing else, so all that is believed of it
-/// holds for one incarnation only. Of two incarnations the later one counts.
+/// A server that restarts keeps its name and nothing else, so all knowledge of a server holds for
+/// one incarnation only. Of two incarnations the later one counts.
 ///
 /// ```
 /// use flamingopost_core::incarnation::Incarnation;
@@ -17,7 +17,7 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation of a server on a platform that tells no starts: it stays the same over a
-    /// restart, so a restart shows only in what the server itself says.
+    /// The incarnation of a server on a platform that does not report starts. It stays the same
+    /// over a restart, which then shows only in the server's own answers.
     pub const UNKNOWN: Incarnation = Incarnation(0);
 }
--- a/crates/core/src/key.rs
+++ b/crates/core/src/key.rs
@@ -1,7 +1,7 @@
-//! Small `Copy` keys that stand for the names of a fleet inside one process.
+//! Small `Copy` keys that identify named objects of a fleet inside one process.
 //!
-//! Names travel between processes and appear in settings; keys never leave the process that
-//! made them, because each process numbers names in the order in which it first sees them.
+//! Names travel between processes and appear in settings. Keys never leave the process that made
+//! them, because each process numbers names in the order in which it first sees them.
 
 slotmap::new_key_type! {
     /// A service: a group of database servers that callers reach under one database name.
@@ -12,9 +12,9 @@
     pub struct HostKey;
     /// An availability zone.
     pub struct ZoneKey;
-    /// A customer: who pays for services.
+    /// A customer, who pays for services.
     pub struct CustomerKey;
-    /// A caller: who connects and is authenticated.
+    /// A caller, who connects and is authenticated.
     pub struct CallerKey;
     /// A class of requests, with a weight and a deadline.
     pub struct ClassKey;
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -21,7 +21,7 @@
 }
 
 impl<K: Key> Names<K> {
-    /// The key of `name`, made on first sight.
+    /// Returns the key of `name`, and creates it if the name is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(key) = self.index.get(name) {
             return *key;
@@ -31,12 +31,12 @@
         key
     }
 
-    /// The key of `name`, if it has been seen.
+    /// Returns the key of `name`, if the name is known.
     pub fn find(&self, name: &str) -> Option<K> {
         self.index.get(name).copied()
     }
 
-    /// The name behind `key`.
+    /// Returns the name of `key`.
     pub fn name(&self, key: K) -> Option<&str> {
         self.arena.get(key).map(String::as_str)
     }
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -1,13 +1,11 @@
-//! Log positions: how far a session's writes or a server's data reach.
+//! Log positions: how far a session's writes or a server's data extend.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::term::Term;
 
-/// A place in a service's log: the term that wrote it and the log position there.
-///
-/// The text form, `EPOCH.COUNT/LOG`, is what callers carry between entry hosts.
+/// A position in a service's log: the term that wrote it and the log number.
 ///
 /// ```
 /// use flamingopost_core::position::Position;
@@ -20,7 +18,7 @@
 pub struct Position {
     /// The term under which the position was written.
     pub term: Term,
-    /// Log position; it goes on counting across terms.
+    /// Log number; it keeps counting across terms.
     pub log: u64,
 }
 
--- a/crates/core/src/quorum/store.rs
+++ b/crates/core/src/quorum/store.rs
@@ -1,15 +1,15 @@
-//! A host's lease by the word of the platform's store.
+//! A host's lease that rests on the platform's store.
 
 use std::time::Duration;
 
 use super::LEASE_DURATION;
 
-/// The lease that a host has by the platform's store, for one service, where it is out of touch
-/// with most others: whoever replaces a primary claims that in the store first.
+/// The lease that a host obtains from the platform's store, for one service, while it is out of
+/// contact with most other hosts: a host that replaces a primary claims that in the store first.
 ///
-/// For one service at a time: with a lease for all or none, hosts on the smaller side of a split
-/// refused what needed any primary while a single one was replaced on the other side, half of all
-/// statements for six seconds.
+/// The lease covers one service. With a single lease for all services, hosts on the smaller side of
+/// a partition refused everything that needed a primary while one service was failed over on the
+/// other side: half of all statements for six seconds.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,12 +28,13 @@
 }
 
 impl StoreLease {
-    /// The store has answered what was sent at `sent`: nobody has claimed to replace the primary.
+    /// Records that the store answered a request sent at `sent` and that no host has claimed to
+    /// replace the primary.
     pub fn renew(&mut self, sent: Duration) {
         self.renewed_at = self.renewed_at.max(Some(sent));
     }
 
-    /// Whether this host may rely on the primary at `now`.
+    /// Reports whether this host may rely on the primary at `now`.
     pub fn holds_lease(&self, now: Duration) -> bool {
         self.renewed_at
             .is_some_and(|sent| now < sent + LEASE_DURATION)
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -1,11 +1,11 @@
-//! Whether a primary is dead, by what entry hosts report.
+//! Failure detection of primaries from the reports of entry hosts.
 //!
 //! - A *dead or cut-off* primary: hosts of more than one zone cannot reach it, and they are more
-//!   than half of the hosts heard.
-//! - A *slow* one answers, however late: each answer ends the silence that would make it suspect,
-//!   and mere silence has to last longer than refused or broken connections.
-//! - A *flapping* one: after a promotion the next one waits, twice as long each time.
-//! - One *host's own trouble* shows as one host, or one zone, that cannot reach it.
+//!   than half of the hosts that report.
+//! - A *slow* primary answers, however late: each answer ends the silence that would make it
+//!   suspect, and mere silence has to last longer than refused or broken connections.
+//! - A *flapping* primary: after a promotion the next one waits, twice as long each time.
+//! - A *fault of one host or zone* shows as one host, or one zone, that cannot reach the primary.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,26 +13,26 @@
 use crate::key::{HostKey, ServerKey, ServiceKey, ZoneKey};
 use crate::timing;
 
-/// What one host saw of one server since its last report.
+/// What one host observed of one server since its last report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Report {
     /// Attempts without an answer: refused, broken or timed out.
     pub failures: u32,
-    /// Those of them that were refused or broken, which mere slowness does not explain.
+    /// Failures that were refused or broken connections, which slowness alone does not explain.
     pub broken: u32,
-    /// Time since the last answer; `None` when there never was one.
+    /// Time since the last answer; `None` if there never was one.
     pub silent: Option<Duration>,
 }
 
-/// Collects reports and judges by them.
+/// Collects the reports of hosts and decides which servers are unreachable.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
     servers: BTreeMap<ServerKey, BTreeMap<HostKey, ReportEntry>>,
     hosts: BTreeMap<HostKey, HostContact>,
     listed_zones: BTreeSet<ZoneKey>,
     cooldowns: BTreeMap<ServiceKey, Cooldown>,
-    /// Servers that some host could not reach lately. All others are passed over quickly: a
-    /// controller judges each primary of its shard at each step.
+    /// Servers that some host could not reach recently. All others are skipped quickly, because a
+    /// controller checks each primary of its shard at each step.
     suspects: BTreeSet<ServerKey>,
 }
 
@@ -54,23 +54,23 @@
     pause: Duration,
 }
 
-/// What the reports say of a server.
+/// Whether a server is reachable according to the reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// Enough hosts reach it, or too few speak against it.
+    /// Enough hosts reach the server, or too few report that they do not.
     Reachable,
-    /// Hosts of more than one zone, or all of the only zone that is left, cannot reach it.
+    /// Hosts of more than one zone, or all hosts of the only zone left, cannot reach the server.
     Unreachable,
 }
 
 impl FailureDetector {
-    /// Notes the zones in which the platform's list has hosts. The list lags, so it only says
-    /// whose silence means something.
+    /// Sets the zones in which the platform lists hosts. The list lags, so it only shows whose
+    /// silence is significant.
     pub fn set_listed_zones(&mut self, zones: BTreeSet<ZoneKey>) {
         self.listed_zones = zones;
     }
 
-    /// Takes a report of a host that was just [heard](FailureDetector::heard).
+    /// Adds a report of a host that was just [recorded](FailureDetector::record_host).
     pub fn add_report(&mut self, host: HostKey, server: ServerKey, report: Report, now: Duration) {
         let hosts = self.servers.entry(server).or_default();
         let earlier = hosts.get(&host).map(|entry| entry.seen);
@@ -84,12 +84,12 @@
         hosts.insert(host, entry);
     }
 
-    /// Notes that `host` was heard at `now`, whatever it reports.
+    /// Records that `host` sent a message at `now`, whatever it reports.
     pub fn record_host(&mut self, host: HostKey, zone: ZoneKey, now: Duration) {
         self.hosts.insert(host, HostContact { zone, at: now });
     }
 
-    /// Forgets hosts that have long been silent.
+    /// Removes hosts that have long been silent.
     pub fn expire(&mut self, now: Duration) {
         let gone = |at: Duration| now >= at + timing::COOL_DOWN_MAX;
         self.hosts.retain(|_, heard| !gone(heard.at));
@@ -103,7 +103,7 @@
         });
     }
 
-    /// What the reports say of `server` at `now`.
+    /// Returns whether `server` is reachable at `now` according to the reports.
     ///
     /// ```
     /// use std::time::Duration;
@@ -121,8 +121,9 @@
         let Some(hosts) = self.servers.get(&server) else {
             return Reachability::Reachable;
         };
-        // A host that has ever spoken of the server and is still heard counts, also when it says
-        // nothing of it this time: hosts report on those without trouble only in turn.
+        // Counts every host that has ever reported on the server and is still in contact, even if
+        // its latest message does not mention the server: hosts report on healthy servers only in
+        // turn.
         let total = hosts
             .keys()
             .filter(|host| self.is_host_fresh(**host, now))
@@ -137,8 +138,8 @@
         let zones: BTreeSet<ZoneKey> = against.iter().filter_map(zone).collect();
         let unreachable = match zones.len() {
             0 => false,
-            // A zone's own trouble looks the same, so all of it must agree and nobody else be
-            // there to ask.
+            // A fault of the zone's own network looks the same, so all hosts of the zone must agree
+            // and no host of another zone may be left to ask.
             1 => against.len() == total && self.is_only_zone_left(&zones, now),
             _ => against.len() * 2 > total,
         };
@@ -148,13 +149,13 @@
         }
     }
 
-    /// Whether suspicion may start a promotion of `service` at `now`.
+    /// Reports whether a suspected failure may start a promotion of `service` at `now`.
     pub fn has_cooled_down(&self, service: ServiceKey, now: Duration) -> bool {
         let cooling = self.cooldowns.get(&service);
         cooling.is_none_or(|cooling| now >= cooling.last + cooling.pause)
     }
 
-    /// Notes that suspicion has led to a promotion of `service` at `now`.
+    /// Records that a suspected failure has led to a promotion of `service` at `now`.
     pub fn record_promotion(&mut self, service: ServiceKey, now: Duration) {
         let earlier = self.cooldowns.get(&service);
         let pause = match earlier {
@@ -173,8 +174,8 @@
         heard.is_some_and(|heard| now < heard.at + timing::REPORT)
     }
 
-    /// Whether hosts of no other zone have been heard for a while. Where the platform lists live
-    /// hosts elsewhere, that has to last longer.
+    /// Reports whether no host of another zone has sent a message for a while. The time is longer
+    /// where the platform lists live hosts elsewhere.
     fn is_only_zone_left(&self, zones: &BTreeSet<ZoneKey>, now: Duration) -> bool {
         let patience = match self.listed_zones.difference(zones).next() {
             Some(_) => timing::ONE_ZONE,
@@ -187,8 +188,8 @@
 }
 
 impl Report {
-    /// This report with the failures of an earlier one, unless an answer has come since: an
-    /// attempt takes longer to fail than reports are apart.
+    /// Adds the failures of an earlier report to this one, unless an answer has come since: an
+    /// attempt takes longer to fail than the interval between reports.
     fn merge_earlier(self, earlier: Option<Report>) -> Report {
         match earlier {
             Some(earlier) if !self.has_recent_answer() => Report {
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -27,12 +27,12 @@
 }
 
 impl Term {
-    /// The term as one number, the form in which backend servers keep it.
+    /// Returns the term as one number, the form in which backend servers store it.
     pub fn number(self) -> i64 {
         (i64::from(self.epoch) << 32) | i64::from(self.count)
     }
 
-    /// The term behind a backend server's number.
+    /// Returns the term for a number stored by a backend server.
     pub fn from_number(number: i64) -> Term {
         let bits = number as u64;
         Term {
@@ -41,10 +41,10 @@
         }
     }
 
-    /// The next term under authority `epoch`, greater than this one.
+    /// Returns the next term under authority `epoch`, greater than this one.
     ///
     /// # Panics
-    /// Never for an `epoch` at or above the term's own, which is all an authority may ask for.
+    /// Panics if `epoch` is less than the term's own epoch, which no authority may ask for.
     pub fn next(self, epoch: u32) -> Term {
         assert!(
             epoch >= self.epoch,
