--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::health::HealthState;
-use crate::history::{History, PositionStatus};
+use crate::history::{History, Survival};
 use crate::invariant::{self, Invariant};
 use crate::key::{ServerKey, ZoneKey};
 use crate::position::Position;
@@ -324,8 +324,8 @@
     /// it follows the new primary.
     fn is_in_log(&self, position: Position) -> bool {
         !matches!(
-            self.service.history.position_status(position),
-            PositionStatus::Lost { .. }
+            self.service.history.survival(position),
+            Survival::Lost { .. }
         )
     }
 
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -11,7 +11,7 @@
 use flamingopost_core::key::{HostKey, ServerKey};
 use flamingopost_core::leader::Role;
 use flamingopost_core::succession::{
-    FencingToken, Order, PAUSE_THRESHOLD, Report, Succession, SuccessionAction, Trouble, View,
+    FencingToken, NextStep, Order, PAUSE_THRESHOLD, Report, Succession, Trouble, View,
 };
 use flamingopost_core::term::Term;
 use tokio::sync::Mutex;
@@ -216,7 +216,7 @@
             let answered = succession.borrow().answered_hosts();
             let next = succession.borrow_mut().step(&view, now);
             for next in next {
-                if let SuccessionAction::Promote { server, .. } = next {
+                if let NextStep::Promote { server, .. } = next {
                     self.log_order_basis(&service, server, &answered);
                 }
                 self.perform(&service, &succession, next, &view);
@@ -242,13 +242,13 @@
         self: &Rc<Self>,
         service: &Rc<Service<C>>,
         succession: &Rc<RefCell<Succession>>,
-        next: SuccessionAction,
+        next: NextStep,
         view: &View,
     ) {
         match next {
-            SuccessionAction::AskHosts => self.ask_hosts(service, view),
-            SuccessionAction::AskServers => self.ask_servers(service, succession),
-            SuccessionAction::Claim => {
+            NextStep::AskHosts => self.ask_hosts(service, view),
+            NextStep::AskServers => self.ask_servers(service, succession),
+            NextStep::Claim => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 let attempt = view.term.number().unsigned_abs();
@@ -256,14 +256,11 @@
                     election.claim(service, succession, attempt).await;
                 });
             }
-            SuccessionAction::Promote {
-                server,
-                token: grant,
-            } => {
+            NextStep::Promote { server, token } => {
                 let (election, service) = (Rc::clone(self), Rc::clone(service));
                 let succession = Rc::clone(succession);
                 tokio::task::spawn_local(async move {
-                    election.promote(service, succession, server, grant).await;
+                    election.promote(service, succession, server, token).await;
                 });
             }
         }
@@ -483,7 +480,7 @@
             // No host is queried about a primary that is leaving: connected hosts learn of the
             // order while the primary still serves.
             let answered = match trouble {
-                Some(Trouble::Leaving) => quorum.recently_heard_hosts(now),
+                Some(Trouble::Leaving) => quorum.recently_heard(now),
                 _ => answered,
             };
             (quorum.gone_hosts(now), quorum.leases_end(&answered, now))
