--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -28,7 +28,7 @@
 pub use value::Expected;
 
 /// Longest configuration that is read.
-pub const LONGEST: usize = 8 * 1024 * 1024;
+pub const MAX_BYTES: usize = 8 * 1024 * 1024;
 
 /// Reads and checks the configuration `text`; `file` is how problems name it. Names are numbered
 /// in `directory`, which stays as it was when there are problems.
@@ -66,7 +66,7 @@
 /// assert_eq!(report.problems[0].fix(), "write `bole-hall`, the nearest zone there is");
 /// ```
 pub fn parse(file: &str, text: &str, directory: &mut Directory) -> Result<Fleet, Report> {
-    if text.len() > LONGEST {
+    if text.len() > MAX_BYTES {
         let fault = Fault::TooLong { bytes: text.len() };
         return Err(Report::new(file, vec![Problem { line: 1, fault }]));
     }
--- a/crates/core/src/config/builder.rs
+++ b/crates/core/src/config/builder.rs
@@ -10,8 +10,8 @@
 use crate::key::{ClassKey, ServerKey, ServiceKey};
 
 const DEFAULT_SHARDS: u16 = 16;
-const MOST_SHARDS: u16 = 1024;
-const MOST_WEIGHT: u32 = 1_000_000;
+const MAX_SHARDS: u16 = 1024;
+const MAX_WEIGHT: u32 = 1_000_000;
 const DEFAULT_CUSTOMER_WEIGHT: u32 = 1;
 const DEFAULT_CLASS: &str = "default";
 
@@ -24,7 +24,7 @@
     let declared = Declared::new(document, problems);
     let mut builder = Builder {
         declared: &declared,
-        servers: servers(&declared),
+        servers: server_names(&declared),
         directory,
         problems,
         fleet: Fleet::default(),
@@ -44,21 +44,21 @@
 impl<'a> Builder<'a, '_> {
     fn run(&mut self) {
         self.check_presence();
-        self.each(Kind::Zone, Builder::zone);
-        self.each(Kind::Customer, Builder::customer);
-        self.each(Kind::Class, Builder::class);
+        self.for_each_section(Kind::Zone, Builder::zone);
+        self.for_each_section(Kind::Customer, Builder::customer);
+        self.for_each_section(Kind::Class, Builder::class);
         self.fleet.shards = DEFAULT_SHARDS;
-        self.each(Kind::Fleet, Builder::fleet);
+        self.for_each_section(Kind::Fleet, Builder::fleet);
         self.default_class();
-        self.each(Kind::Server, Builder::server);
+        self.for_each_section(Kind::Server, Builder::server);
         self.check_addresses();
-        self.each(Kind::Service, Builder::service);
-        self.each(Kind::Caller, Builder::caller);
-        self.each(Kind::Rule, Builder::rule);
+        self.for_each_section(Kind::Service, Builder::service);
+        self.for_each_section(Kind::Caller, Builder::caller);
+        self.for_each_section(Kind::Rule, Builder::rule);
         shadow::check(&self.fleet.rules, self.problems);
     }
 
-    fn each(&mut self, kind: Kind, read: fn(&mut Self, &'a Section) -> Option<()>) {
+    fn for_each_section(&mut self, kind: Kind, read: fn(&mut Self, &'a Section) -> Option<()>) {
         for section in self.declared.of(kind) {
             // What is wrong has been noted where it was found.
             let _ = read(self, section);
@@ -68,7 +68,7 @@
     fn check_presence(&mut self) {
         for kind in [Kind::Zone, Kind::Customer, Kind::Class, Kind::Service] {
             if self.declared.of(kind).is_empty() {
-                let fault = Fault::NoneOf { kind };
+                let fault = Fault::MissingKind { kind };
                 self.problems.push(Problem { line: 1, fault });
             }
         }
@@ -89,7 +89,7 @@
     fn customer(&mut self, section: &'a Section) -> Option<()> {
         let mut reader = self.reader(Kind::Customer, section);
         let weight = match reader.entry("weight") {
-            Some(entry) => reader.number(entry, MOST_WEIGHT)?,
+            Some(entry) => reader.number(entry, MAX_WEIGHT)?,
             None => DEFAULT_CUSTOMER_WEIGHT,
         };
         let key = self.directory.customers.intern(&section.name);
@@ -100,7 +100,7 @@
     fn class(&mut self, section: &'a Section) -> Option<()> {
         let mut reader = self.reader(Kind::Class, section);
         let weight = reader.required("weight");
-        let weight = weight.and_then(|entry| reader.number(entry, MOST_WEIGHT));
+        let weight = weight.and_then(|entry| reader.number(entry, MAX_WEIGHT));
         let deadline = reader.required("deadline");
         let deadline = deadline.and_then(|entry| reader.time(entry));
         let key = self.directory.classes.intern(&section.name);
@@ -115,7 +115,7 @@
     fn fleet(&mut self, section: &'a Section) -> Option<()> {
         let mut reader = self.reader(Kind::Fleet, section);
         let shards = match reader.entry("shards") {
-            Some(entry) => reader.number(entry, MOST_SHARDS),
+            Some(entry) => reader.number(entry, MAX_SHARDS),
             None => Some(DEFAULT_SHARDS),
         };
         self.fleet.shards = shards?;
@@ -185,7 +185,7 @@
             };
             let first = *seen.entry(entry.value.as_str()).or_insert((section, entry));
             if first.1.line != entry.line {
-                let fault = Fault::AddressTwice {
+                let fault = Fault::DuplicateAddress {
                     address: entry.value.clone(),
                     other: first.0.name.clone(),
                     first: first.1.line,
@@ -208,7 +208,7 @@
         let primary = match primary {
             Some(entry) => {
                 let named = reader.reference(entry, Kind::Server);
-                named.and_then(|name| own_server(&mut reader, entry, name, &own))
+                named.and_then(|name| check_primary(&mut reader, entry, name, &own))
             }
             None => own.first().copied(),
         };
@@ -267,7 +267,7 @@
 }
 
 /// Names of the servers that each service is said to have, in the order of the file.
-fn servers<'a>(declared: &Declared<'a>) -> BTreeMap<&'a str, Vec<&'a str>> {
+fn server_names<'a>(declared: &Declared<'a>) -> BTreeMap<&'a str, Vec<&'a str>> {
     let mut servers: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for section in declared.of(Kind::Server) {
         if let Some(entry) = section.find("service") {
@@ -278,7 +278,7 @@
     servers
 }
 
-fn own_server<'a>(
+fn check_primary<'a>(
     reader: &mut Reader<'a, '_>,
     entry: &Entry,
     name: &'a str,
--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -54,19 +54,19 @@
             let Some(item) = parser.next() else {
                 return document;
             };
-            if let Err(fault) = document.take(item, line) {
+            if let Err(fault) = document.add_item(item, line) {
                 problems.push(Problem { line, fault });
             }
         }
     }
 
-    fn take(&mut self, item: Item<'_>, line: usize) -> Result<(), Fault> {
+    fn add_item(&mut self, item: Item<'_>, line: usize) -> Result<(), Fault> {
         match item {
             Item::Section(heading) => {
                 self.sections.push(Section::new(heading, line));
                 Ok(())
             }
-            Item::Property(key, value) => self.take_entry(key, value, line),
+            Item::Property(key, value) => self.add_entry(key, value, line),
             Item::Error(text) => Err(Fault::Heading {
                 text: text.to_owned(),
             }),
@@ -74,7 +74,7 @@
         }
     }
 
-    fn take_entry(&mut self, key: &str, value: Option<&str>, line: usize) -> Result<(), Fault> {
+    fn add_entry(&mut self, key: &str, value: Option<&str>, line: usize) -> Result<(), Fault> {
         if key.starts_with('#') {
             return Err(Fault::HashComment);
         }
--- a/crates/core/src/config/fault.rs
+++ b/crates/core/src/config/fault.rs
@@ -59,7 +59,7 @@
         name: String,
     },
     /// {kind} `{name}` was already described on line {first}
-    SectionTwice {
+    DuplicateSection {
         /// Its kind.
         kind: Kind,
         /// Its name.
@@ -68,7 +68,7 @@
         first: usize,
     },
     /// `{key}` was already given on line {first}
-    KeyTwice {
+    DuplicateKey {
         /// The key.
         key: String,
         /// Line of the first one.
@@ -93,7 +93,7 @@
         key: &'static str,
     },
     /// there is no section of kind `{kind}`
-    NoneOf {
+    MissingKind {
         /// The kind.
         kind: Kind,
     },
@@ -146,7 +146,7 @@
         own: Vec<String>,
     },
     /// address {address} is already that of server `{other}` on line {first}
-    AddressTwice {
+    DuplicateAddress {
         /// The address.
         address: String,
         /// The other server.
@@ -221,34 +221,36 @@
     /// What would be right.
     pub fn fix(&self) -> String {
         match self {
-            Fault::TooLong { .. } => format!("keep it under {} bytes", super::LONGEST),
+            Fault::TooLong { .. } => format!("keep it under {} bytes", super::MAX_BYTES),
             Fault::Heading { .. } => "write `[KIND NAME]` on a line of its own".to_owned(),
             Fault::NoValue { text } => format!("write `{text} = VALUE`, or start it with `;`"),
             Fault::OutsideSection { .. } => "put it below a section heading".to_owned(),
             Fault::HashComment => "start it with `;`".to_owned(),
             Fault::TrailingComment { .. } => "put the comment on a line of its own".to_owned(),
-            Fault::UnknownKind { nearest, .. } => instead(nearest, "kind", &kinds()),
+            Fault::UnknownKind { nearest, .. } => suggest_one_of(nearest, "kind", &kinds()),
             Fault::Unnamed { kind } => format!("write `[{kind} NAME]`"),
             Fault::Named { kind, .. } => format!("write `[{kind}]`"),
             Fault::BadName { .. } => format!("write {}", Expected::Name),
-            Fault::SectionTwice { .. } => "rename one of them, or remove one".to_owned(),
-            Fault::KeyTwice { .. } => "keep one of them".to_owned(),
-            Fault::UnknownKey { kind, nearest, .. } => instead(nearest, "key", kind.keys()),
+            Fault::DuplicateSection { .. } => "rename one of them, or remove one".to_owned(),
+            Fault::DuplicateKey { .. } => "keep one of them".to_owned(),
+            Fault::UnknownKey { kind, nearest, .. } => suggest_one_of(nearest, "key", kind.keys()),
             Fault::MissingKey { key, .. } => format!("add `{key} = ...`"),
-            Fault::NoneOf { kind } => format!("add `[{kind} NAME]`"),
+            Fault::MissingKind { kind } => format!("add `[{kind} NAME]`"),
             Fault::NoDefaultClass => {
                 "add `default_class = CLASS` to `[fleet]`, or a `[class default]`".to_owned()
             }
             Fault::BadValue { expected, .. } | Fault::Zero { expected, .. } => {
                 format!("write {expected}")
             }
-            Fault::UnknownName { kind, nearest, .. } => named(nearest, &kind.to_string()),
-            Fault::UnknownRole { nearest, .. } => named(nearest, "role"),
+            Fault::UnknownName { kind, nearest, .. } => {
+                suggest_declared(nearest, &kind.to_string())
+            }
+            Fault::UnknownRole { nearest, .. } => suggest_declared(nearest, "role"),
             Fault::NoServers { service } => {
                 format!("add a `[server NAME]` with `service = {service}`, or remove the service")
             }
             Fault::ForeignPrimary { own, .. } => format!("write one of: {}", own.join(", ")),
-            Fault::AddressTwice { .. } => "give each server an address of its own".to_owned(),
+            Fault::DuplicateAddress { .. } => "give each server an address of its own".to_owned(),
             Fault::SlotsBeyondConnections { slots, .. } => {
                 format!("allow at least {slots} connections, or fewer slots")
             }
@@ -271,7 +273,7 @@
     Kind::ALL.iter().map(Kind::to_string).collect()
 }
 
-fn instead<S: AsRef<str>>(nearest: &Option<String>, what: &str, all: &[S]) -> String {
+fn suggest_one_of<S: AsRef<str>>(nearest: &Option<String>, what: &str, all: &[S]) -> String {
     match nearest {
         Some(nearest) => format!("write `{nearest}`, the nearest {what} there is"),
         None => {
@@ -281,7 +283,7 @@
     }
 }
 
-fn named(nearest: &Option<String>, what: &str) -> String {
+fn suggest_declared(nearest: &Option<String>, what: &str) -> String {
     match nearest {
         Some(nearest) => format!("write `{nearest}`, the nearest {what} there is"),
         None => format!("describe that {what}, or name one that is described"),
--- a/crates/core/src/config/reader.rs
+++ b/crates/core/src/config/reader.rs
@@ -39,7 +39,7 @@
         let place = (kind, section.name.as_str());
         if let Some(first) = self.sections.get(&place) {
             let first = first.line;
-            return Err(Fault::SectionTwice { kind, name, first });
+            return Err(Fault::DuplicateSection { kind, name, first });
         }
         self.sections.insert(place, section);
         self.in_order.entry(kind).or_default().push(section);
@@ -70,7 +70,7 @@
 }
 
 /// `entry`, unless a comment stands behind its value.
-fn sound(entry: &Entry) -> Option<&Entry> {
+fn without_trailing_comment(entry: &Entry) -> Option<&Entry> {
     (!entry.value.contains(" ;")).then_some(entry)
 }
 
@@ -81,7 +81,7 @@
     pub(super) section: &'a Section,
     declared: &'p Declared<'a>,
     problems: &'p mut Vec<Problem>,
-    noted_before: usize,
+    problems_before: usize,
 }
 
 impl<'a, 'p> Reader<'a, 'p> {
@@ -108,7 +108,7 @@
             kind,
             section,
             declared,
-            noted_before: problems.len(),
+            problems_before: problems.len(),
             problems,
         }
     }
@@ -119,8 +119,8 @@
     }
 
     /// Whether nothing has been noted about this section.
-    pub(super) fn is_sound(&self) -> bool {
-        self.problems.len() == self.noted_before
+    pub(super) fn is_valid(&self) -> bool {
+        self.problems.len() == self.problems_before
     }
 
     /// Values of `key` in all sections of `kind`, sound or not.
@@ -141,7 +141,7 @@
         let mut seen = BTreeMap::new();
         for entry in &self.section.entries {
             let fault = match seen.get(entry.key.as_str()) {
-                Some(first) => Some(Fault::KeyTwice {
+                Some(first) => Some(Fault::DuplicateKey {
                     key: entry.key.clone(),
                     first: *first,
                 }),
@@ -158,7 +158,7 @@
         let keys = self.kind.keys();
         let key = entry.key.clone();
         if keys.contains(&key.as_str()) {
-            return match sound(entry) {
+            return match without_trailing_comment(entry) {
                 Some(_) => None,
                 None => Some(Fault::TrailingComment { key }),
             };
@@ -173,7 +173,7 @@
 
     /// The entry called `key`, unless a comment behind its value has been noted already.
     pub(super) fn entry(&self, key: &str) -> Option<&'a Entry> {
-        self.section.find(key).and_then(sound)
+        self.section.find(key).and_then(without_trailing_comment)
     }
 
     /// The entry called `key`, whose absence is noted.
@@ -202,7 +202,7 @@
         }
         let service = service.and_then(|name| self.declared.find(Kind::Service, name))?;
         match service.find(key) {
-            Some(entry) => sound(entry),
+            Some(entry) => without_trailing_comment(entry),
             None => self.required(key),
         }
     }
@@ -249,13 +249,13 @@
         self.positive(entry, Expected::Time, value::time)
     }
 
-    /// A whole number from 1 to `most`.
-    pub(super) fn number<T>(&mut self, entry: &Entry, most: T) -> Option<T>
+    /// A whole number from 1 to `max`.
+    pub(super) fn number<T>(&mut self, entry: &Entry, max: T) -> Option<T>
     where
         T: Copy + Default + PartialOrd + std::str::FromStr + Into<u64>,
     {
-        let expected = Expected::Number { most: most.into() };
-        let read = |text: &str| text.parse().ok().filter(|number| *number <= most);
+        let expected = Expected::Number { max: max.into() };
+        let read = |text: &str| text.parse().ok().filter(|number| *number <= max);
         self.positive(entry, expected, read)
     }
 
@@ -292,10 +292,10 @@
 
     /// The name of a described section of `kind`.
     pub(super) fn reference(&mut self, entry: &'a Entry, kind: Kind) -> Option<&'a str> {
-        self.described(entry, &entry.value, kind)
+        self.declared_name(entry, &entry.value, kind)
     }
 
-    fn described(&mut self, entry: &Entry, name: &'a str, kind: Kind) -> Option<&'a str> {
+    fn declared_name(&mut self, entry: &Entry, name: &'a str, kind: Kind) -> Option<&'a str> {
         if self.declared.find(kind, name).is_some() {
             return Some(name);
         }
@@ -315,13 +315,15 @@
             return self.declared.names(kind).collect();
         }
         let words = self.words(entry);
-        let known = words.iter().map(|name| self.described(entry, name, kind));
+        let known = words
+            .iter()
+            .map(|name| self.declared_name(entry, name, kind));
         known.flatten().collect()
     }
 
     /// The words of a list that must not be empty.
     pub(super) fn words(&mut self, entry: &'a Entry) -> BTreeSet<&'a str> {
-        let words: BTreeSet<&'a str> = value::words(&entry.value).collect();
+        let words: BTreeSet<&'a str> = value::list_items(&entry.value).collect();
         if words.is_empty() {
             self.note_value(entry, Expected::List);
         }
--- a/crates/core/src/config/render.rs
+++ b/crates/core/src/config/render.rs
@@ -5,7 +5,7 @@
 
 use slotmap::Key;
 
-use super::value::show_time;
+use super::value::format_time;
 use crate::directory::Directory;
 use crate::fleet::{Caller, Fleet, Server, Service};
 use crate::names::Names;
@@ -44,7 +44,7 @@
     }
     for (key, class) in &fleet.classes {
         let name = name(&directory.classes, *key);
-        let deadline = show_time(class.deadline);
+        let deadline = format_time(class.deadline);
         writeln!(out, "\n[class {name}]\nweight = {}", class.weight)?;
         writeln!(out, "deadline = {deadline}")?;
     }
@@ -87,7 +87,7 @@
     writeln!(out, "address = {}", server.address)?;
     writeln!(out, "slots = {}", server.slots)?;
     writeln!(out, "connections = {}", server.connections)?;
-    writeln!(out, "connect_cost = {}", show_time(server.connect_cost))?;
+    writeln!(out, "connect_cost = {}", format_time(server.connect_cost))?;
     if server.leaving {
         writeln!(out, "leaving = yes")?;
     }
@@ -129,20 +129,20 @@
     if let Some(reason) = &then.refuse {
         return writeln!(out, "then.refuse = {reason}");
     }
-    writeln!(out, "then.deadline = {}", show_time(then.deadline))?;
+    writeln!(out, "then.deadline = {}", format_time(then.deadline))?;
     let repeatable = if then.repeatable { "yes" } else { "no" };
     writeln!(out, "then.repeatable = {repeatable}")?;
     if then.target == Target::Replica {
         writeln!(out, "then.target = replica")?;
     }
     if let Some(age) = then.max_age {
-        writeln!(out, "then.max_age = {}", show_time(age))?;
+        writeln!(out, "then.max_age = {}", format_time(age))?;
     }
     if then.retries > 0 {
         writeln!(out, "then.retries = {}", then.retries)?;
     }
     if let Some(hedge) = then.hedge {
-        writeln!(out, "then.hedge = {}", show_time(hedge))?;
+        writeln!(out, "then.hedge = {}", format_time(hedge))?;
     }
     if let Some(rate) = then.rate {
         writeln!(out, "then.rate = {rate}")?;
--- a/crates/core/src/config/rules.rs
+++ b/crates/core/src/config/rules.rs
@@ -10,11 +10,11 @@
 use crate::fleet::Fleet;
 use crate::rule::{Access, Ack, Rule, Target, Then, When};
 
-const MOST_RETRIES: u16 = 10;
-const MOST_RATE: u32 = 1_000_000;
+const MAX_RETRIES: u16 = 10;
+const MAX_RATE: u32 = 1_000_000;
 
 /// Keys that mean nothing once requests are refused.
-const POINTLESS_WITH_REFUSE: [&str; 8] = [
+const UNUSED_WITH_REFUSE: [&str; 8] = [
     "then.target",
     "then.max_age",
     "then.repeatable",
@@ -33,10 +33,10 @@
     fleet: &Fleet,
 ) -> Option<Rule> {
     let when = when(&mut reader, directory);
-    check_sense(&mut reader, when.access);
+    check_combinations(&mut reader, when.access);
     let then = then(&mut reader, directory, fleet, when.access)?;
     check_times(&mut reader, &then);
-    reader.is_sound().then(|| Rule {
+    reader.is_valid().then(|| Rule {
         name: reader.name().to_owned(),
         line: reader.section.line,
         when,
@@ -116,9 +116,9 @@
     let ack = reader.choice("then.ack", &ACKS);
     let repeatable = reader.flag("then.repeatable");
     let retries = reader.entry("then.retries");
-    let retries = retries.and_then(|entry| reader.number(entry, MOST_RETRIES));
+    let retries = retries.and_then(|entry| reader.number(entry, MAX_RETRIES));
     let rate = reader.entry("then.rate");
-    let rate = rate.and_then(|entry| reader.number(entry, MOST_RATE));
+    let rate = rate.and_then(|entry| reader.number(entry, MAX_RATE));
     Some(Then {
         target: target.unwrap_or(Target::Primary),
         max_age: reader.optional_time("then.max_age"),
@@ -136,34 +136,34 @@
 const TARGETS: [(&str, Target); 2] = [("primary", Target::Primary), ("replica", Target::Replica)];
 const ACKS: [(&str, Ack); 2] = [("primary", Ack::Primary), ("replica", Ack::Replica)];
 
-fn check_sense(reader: &mut Reader<'_, '_>, access: Option<Access>) {
+fn check_combinations(reader: &mut Reader<'_, '_>, access: Option<Access>) {
     let reads = access == Some(Access::Read);
     let refuse = reader.entry("then.refuse");
     if refuse.is_some() {
-        for key in POINTLESS_WITH_REFUSE {
-            contradiction(reader, key, None, "then.refuse");
+        for key in UNUSED_WITH_REFUSE {
+            check_contradiction(reader, key, None, "then.refuse");
         }
         return;
     }
     if !reads {
-        needs(reader, "then.target", Some("replica"), "when.access = read");
-        needs(reader, "then.hedge", None, "when.access = read");
+        check_needed(reader, "then.target", Some("replica"), "when.access = read");
+        check_needed(reader, "then.hedge", None, "when.access = read");
     }
     if !has(reader, "then.target", "replica") {
-        needs(reader, "then.max_age", None, "then.target = replica");
+        check_needed(reader, "then.max_age", None, "then.target = replica");
     }
     let repeatable = match reads {
         true => !has(reader, "then.repeatable", "no"),
         false => has(reader, "then.repeatable", "yes"),
     };
     if !repeatable {
-        needs(reader, "then.retries", None, "then.repeatable = yes");
+        check_needed(reader, "then.retries", None, "then.repeatable = yes");
     }
     if has(reader, "then.repeatable", "no") {
-        contradiction(reader, "then.hedge", None, "then.repeatable = no");
+        check_contradiction(reader, "then.hedge", None, "then.repeatable = no");
     }
     if reads {
-        contradiction(reader, "then.ack", Some("replica"), "when.access = read");
+        check_contradiction(reader, "then.ack", Some("replica"), "when.access = read");
     }
 }
 
@@ -174,14 +174,14 @@
     let line = line_of(reader, "then.hedge");
     let fault = Fault::PastDeadline {
         key: "then.hedge",
-        time: show(hedge),
-        deadline: show(then.deadline),
+        time: format_time(hedge),
+        deadline: format_time(then.deadline),
     };
     reader.note(line, fault);
 }
 
-fn show(time: Duration) -> String {
-    value::show_time(time)
+fn format_time(time: Duration) -> String {
+    value::format_time(time)
 }
 
 fn has(reader: &Reader<'_, '_>, key: &str, value: &str) -> bool {
@@ -195,7 +195,7 @@
         .then_some(entry)
 }
 
-fn needs(reader: &mut Reader<'_, '_>, key: &str, value: Option<&str>, needs: &str) {
+fn check_needed(reader: &mut Reader<'_, '_>, key: &str, value: Option<&str>, needs: &str) {
     if let Some(entry) = matching(reader, key, value) {
         let fault = Fault::Needs {
             setting: setting(entry),
@@ -205,7 +205,7 @@
     }
 }
 
-fn contradiction(reader: &mut Reader<'_, '_>, key: &str, value: Option<&str>, other: &str) {
+fn check_contradiction(reader: &mut Reader<'_, '_>, key: &str, value: Option<&str>, other: &str) {
     if let Some(entry) = matching(reader, key, value) {
         let fault = Fault::Contradicts {
             setting: setting(entry),
--- a/crates/core/src/config/value.rs
+++ b/crates/core/src/config/value.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Longest time that a key may give.
-const LONGEST: Duration = Duration::from_secs(24 * 60 * 60);
+const MAX_TIME: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// What a key wants to see.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     /// A whole number up to a greatest one.
     Number {
         /// The greatest.
-        most: u64,
+        max: u64,
     },
     /// An address.
     Address,
@@ -30,7 +30,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Expected::Time => f.write_str("a time with its unit, such as 500us, 200ms, 5s or 1m"),
-            Expected::Number { most } => write!(f, "a whole number from 1 to {most}"),
+            Expected::Number { max } => write!(f, "a whole number from 1 to {max}"),
             Expected::Address => f.write_str("an address IP:PORT, such as 10.0.3.7:5432"),
             Expected::OneOf(words) => write!(f, "one of: {}", words.join(", ")),
             Expected::Name => f.write_str("a name of letters, digits, `-`, `_` and `.`"),
@@ -54,11 +54,11 @@
     let number: u64 = number.parse().ok()?;
     let (_, micros) = UNITS.iter().find(|(name, _)| *name == unit.trim())?;
     let time = Duration::from_micros(number.checked_mul(*micros)?);
-    (time <= LONGEST).then_some(time)
+    (time <= MAX_TIME).then_some(time)
 }
 
 /// Writes a time as [`time`] reads it, in the greatest unit that keeps it whole.
-pub(super) fn show_time(time: Duration) -> String {
+pub(super) fn format_time(time: Duration) -> String {
     let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     let whole = |(_, size): &&(&str, u64)| micros > 0 && micros.is_multiple_of(*size);
     let (unit, size) = UNITS.iter().rev().find(whole).unwrap_or(&UNITS[0]);
@@ -72,7 +72,7 @@
 }
 
 /// The words of a list.
-pub(super) fn words(text: &str) -> impl Iterator<Item = &str> {
+pub(super) fn list_items(text: &str) -> impl Iterator<Item = &str> {
     text.split(',')
         .map(str::trim)
         .filter(|word| !word.is_empty())
@@ -80,14 +80,14 @@
 
 /// The known word nearest to `wrong`, if one is near enough to be meant.
 pub(super) fn nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
-    let likeness = |word: &str| strsim::jaro_winkler(wrong, word);
+    let similarity = |word: &str| strsim::jaro_winkler(wrong, word);
     known
         .into_iter()
-        .map(|word| (likeness(word), word))
-        .filter(|(likeness, _)| *likeness >= NEAR)
+        .map(|word| (similarity(word), word))
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, word)| word.to_owned())
 }
 
 /// Likeness from which a word may have been meant.
-const NEAR: f64 = 0.75;
+const MIN_SIMILARITY: f64 = 0.75;
--- a/crates/core/src/config/verifier.rs
+++ b/crates/core/src/config/verifier.rs
@@ -6,7 +6,7 @@
 use super::Fault;
 use super::fault::VerifierFault;
 
-const LEAST_ITERATIONS: u32 = 4096;
+const MIN_ITERATIONS: u32 = 4096;
 const KEY_BYTES: usize = 32;
 const MD5_LENGTH: usize = 35;
 
@@ -24,7 +24,7 @@
     let (iterations, salt) = front.split_once(':').ok_or(VerifierFault::Form)?;
     let (stored, server) = keys.split_once(':').ok_or(VerifierFault::Form)?;
     let iterations: u32 = iterations.parse().map_err(|_| VerifierFault::Form)?;
-    if iterations < LEAST_ITERATIONS {
+    if iterations < MIN_ITERATIONS {
         return Err(VerifierFault::Iterations);
     }
     if decoded_length(salt).unwrap_or(0) == 0 {
--- a/crates/core/src/once/keyed.rs
+++ b/crates/core/src/once/keyed.rs
@@ -7,13 +7,13 @@
 use crate::refusal::{Doubt, Ran, Refusal};
 
 /// When to come back for a key whose other run has not ended.
-const BUSY: Duration = Duration::from_millis(50);
+const KEY_BUSY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// What to send to the primary next; the statement is the caller's own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// A statement of ours, as a simple query.
-    Ours(String),
+    Internal(String),
     /// The caller's statement.
     Statement,
 }
@@ -48,7 +48,7 @@
 
 /// What to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
+pub enum Directive {
     /// Send this.
     Send(Step),
     /// It ran and is committed. It may be acknowledged once the write lease of its term is found
@@ -58,7 +58,7 @@
         tag: String,
     },
     /// It ran before and is committed.
-    DoneBefore {
+    AlreadyDone {
         /// The command tag of that run.
         tag: String,
     },
@@ -66,7 +66,7 @@
     Failed,
     /// Nothing of it is kept, or the key will tell; it may be run again from the start, by this
     /// host within its retry budget or by the caller. Otherwise the caller gets the refusal.
-    Again(Refusal),
+    Retry(Refusal),
     /// The caller gets this.
     Refuse(Refusal),
 }
@@ -74,43 +74,43 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
     Recording,
-    Installing,
+    CreatingTable,
     Running,
     Committing { tag: String },
-    Undoing(Undone),
+    RollingBack(RollbackReason),
     LookingUp,
     Ended,
 }
 
 /// Why a transaction is rolled back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Undone {
-    Duplicate,
-    NoTable,
-    OwnError,
-    OurError,
+enum RollbackReason {
+    KeyRecorded,
+    MissingTable,
+    StatementFailed,
+    InternalFailed,
 }
 
 /// Follows one attempt at a request with a key.
 ///
 /// ```
-/// use flamingopost_core::once::keyed::{Event, Keyed, Next, Step};
+/// use flamingopost_core::once::keyed::{Event, Keyed, Directive, Step};
 ///
 /// let (mut keyed, first) = Keyed::start("bid-77", "9f2c");
-/// assert!(matches!(first, Step::Ours(_)));
+/// assert!(matches!(first, Step::Internal(_)));
 /// let tag = "INSERT 0 1".to_owned();
-/// assert_eq!(keyed.on(Event::Done { tag: tag.clone() }), Next::Send(Step::Statement));
-/// assert!(matches!(keyed.on(Event::Done { tag: tag.clone() }), Next::Send(Step::Ours(_))));
-/// assert_eq!(keyed.on(Event::Done { tag: "COMMIT".to_owned() }), Next::Done { tag });
+/// assert_eq!(keyed.handle(Event::Done { tag: tag.clone() }), Directive::Send(Step::Statement));
+/// assert!(matches!(keyed.handle(Event::Done { tag: tag.clone() }), Directive::Send(Step::Internal(_))));
+/// assert_eq!(keyed.handle(Event::Done { tag: "COMMIT".to_owned() }), Directive::Done { tag });
 /// ```
 #[derive(Debug, PartialEq, Eq)]
 pub struct Keyed {
     key: String,
     request: String,
     state: State,
-    installed: bool,
+    table_created: bool,
     /// Whether a commit left for the server without an answer that it failed.
-    committed: bool,
+    commit_sent: bool,
 }
 
 impl Keyed {
@@ -121,29 +121,29 @@
             key: key.to_owned(),
             request: request.to_owned(),
             state: State::Recording,
-            installed: false,
-            committed: false,
+            table_created: false,
+            commit_sent: false,
         };
-        let step = Step::Ours(sql::begin(key, request));
+        let step = Step::Internal(sql::begin(key, request));
         (keyed, step)
     }
 
     /// Takes what came of the last step.
-    pub fn on(&mut self, event: Event) -> Next {
+    pub fn handle(&mut self, event: Event) -> Directive {
         let state = std::mem::replace(&mut self.state, State::Ended);
-        let next = match event {
+        let directive = match event {
             Event::Done { tag } => self.done(state, tag),
             Event::Failed { sqlstate } => self.failed(state, &sqlstate),
             Event::Found(stored) => self.found(stored),
             Event::Broken(doubt) => self.broken(doubt),
         };
-        self.check(&next);
-        next
+        self.check_refusal(&directive);
+        directive
     }
 
     /// Whether the request ran, as far as this attempt can prove.
     pub fn ran(&self) -> Ran {
-        if self.committed {
+        if self.commit_sent {
             Ran::Unknown
         } else {
             Ran::No
@@ -155,102 +155,106 @@
         Refusal::OutcomeUnknown { doubt }
     }
 
-    fn done(&mut self, state: State, tag: String) -> Next {
+    fn done(&mut self, state: State, tag: String) -> Directive {
         match state {
-            State::Recording => self.go(State::Running, Step::Statement),
-            State::Installing => self.record(),
+            State::Recording => self.send(State::Running, Step::Statement),
+            State::CreatingTable => self.restart(),
             State::Running => {
                 let commit = sql::commit(&self.key, &tag);
-                self.committed = true;
-                self.go(State::Committing { tag }, Step::Ours(commit))
+                self.commit_sent = true;
+                self.send(State::Committing { tag }, Step::Internal(commit))
             }
-            State::Committing { tag: ours } => self.committed(ours, &tag),
-            State::Undoing(why) => self.undone(why),
-            State::LookingUp | State::Ended => Next::Refuse(self.busy()),
+            State::Committing { tag: request_tag } => self.commit_answered(request_tag, &tag),
+            State::RollingBack(why) => self.rolled_back(why),
+            State::LookingUp | State::Ended => Directive::Refuse(self.key_busy()),
         }
     }
 
     /// A server answers COMMIT of a transaction that had failed with the tag ROLLBACK.
-    fn committed(&mut self, ours: String, tag: &str) -> Next {
+    fn commit_answered(&mut self, request_tag: String, tag: &str) -> Directive {
         if tag == "COMMIT" {
-            return Next::Done { tag: ours };
+            return Directive::Done { tag: request_tag };
         }
-        self.committed = false;
-        Next::Again(Refusal::TransactionLost)
+        self.commit_sent = false;
+        Directive::Retry(Refusal::TransactionLost)
     }
 
-    fn failed(&mut self, state: State, sqlstate: &str) -> Next {
+    fn failed(&mut self, state: State, sqlstate: &str) -> Directive {
         // The server has answered, so nothing of this transaction is committed.
-        self.committed = false;
+        self.commit_sent = false;
         let why = match (&state, sqlstate) {
-            (State::Recording, sql::DUPLICATE) => Undone::Duplicate,
-            (State::Recording, sql::NO_TABLE) if !self.installed => Undone::NoTable,
-            (State::Running | State::Committing { .. }, _) => Undone::OwnError,
-            (State::Undoing(why), _) => return self.undone(*why),
-            _ => Undone::OurError,
+            (State::Recording, sql::UNIQUE_VIOLATION) => RollbackReason::KeyRecorded,
+            (State::Recording, sql::UNDEFINED_TABLE) if !self.table_created => {
+                RollbackReason::MissingTable
+            }
+            (State::Running | State::Committing { .. }, _) => RollbackReason::StatementFailed,
+            (State::RollingBack(why), _) => return self.rolled_back(*why),
+            _ => RollbackReason::InternalFailed,
         };
-        let rollback = Step::Ours(sql::ROLLBACK.to_owned());
-        self.go(State::Undoing(why), rollback)
+        let rollback = Step::Internal(sql::ROLLBACK.to_owned());
+        self.send(State::RollingBack(why), rollback)
     }
 
-    fn undone(&mut self, why: Undone) -> Next {
+    fn rolled_back(&mut self, why: RollbackReason) -> Directive {
         match why {
-            Undone::Duplicate => {
+            RollbackReason::KeyRecorded => {
                 let look_up = sql::look_up(&self.key);
-                self.go(State::LookingUp, Step::Ours(look_up))
+                self.send(State::LookingUp, Step::Internal(look_up))
             }
-            Undone::NoTable => {
-                self.installed = true;
-                let install = sql::INSTALL.to_owned();
-                self.go(State::Installing, Step::Ours(install))
+            RollbackReason::MissingTable => {
+                self.table_created = true;
+                let create_table = sql::CREATE_TABLE.to_owned();
+                self.send(State::CreatingTable, Step::Internal(create_table))
             }
-            Undone::OwnError => Next::Failed,
-            Undone::OurError => Next::Again(Refusal::TransactionLost),
+            RollbackReason::StatementFailed => Directive::Failed,
+            RollbackReason::InternalFailed => Directive::Retry(Refusal::TransactionLost),
         }
     }
 
     /// The key of another request is never taken as proof that this one ran.
-    fn found(&self, stored: Option<Stored>) -> Next {
+    fn found(&self, stored: Option<Stored>) -> Directive {
         match stored {
-            Some(stored) if stored.request == self.request => Next::DoneBefore { tag: stored.tag },
-            Some(_) => Next::Refuse(Refusal::KeyMismatch {
+            Some(stored) if stored.request == self.request => {
+                Directive::AlreadyDone { tag: stored.tag }
+            }
+            Some(_) => Directive::Refuse(Refusal::KeyMismatch {
                 key: self.key.clone(),
             }),
-            None => Next::Again(self.busy()),
+            None => Directive::Retry(self.key_busy()),
         }
     }
 
     /// Before the commit was sent, a broken connection undoes the transaction: not run. After,
     /// nothing is known; but a new attempt with the key waits at the record for the old
     /// transaction and finds out, so it is safe.
-    fn broken(&self, doubt: Doubt) -> Next {
+    fn broken(&self, doubt: Doubt) -> Directive {
         match self.ran() {
-            Ran::No => Next::Again(Refusal::TransactionLost),
-            _ => Next::Again(Refusal::OutcomeUnknown { doubt }),
+            Ran::No => Directive::Retry(Refusal::TransactionLost),
+            _ => Directive::Retry(Refusal::OutcomeUnknown { doubt }),
         }
     }
 
-    fn record(&mut self) -> Next {
+    fn restart(&mut self) -> Directive {
         let begin = sql::begin(&self.key, &self.request);
-        self.go(State::Recording, Step::Ours(begin))
+        self.send(State::Recording, Step::Internal(begin))
     }
 
-    fn go(&mut self, state: State, step: Step) -> Next {
+    fn send(&mut self, state: State, step: Step) -> Directive {
         self.state = state;
-        Next::Send(step)
+        Directive::Send(step)
     }
 
-    fn busy(&self) -> Refusal {
+    fn key_busy(&self) -> Refusal {
         Refusal::KeyBusy {
             key: self.key.clone(),
-            retry_after: BUSY,
+            retry_after: KEY_BUSY_RETRY_AFTER,
         }
     }
 
-    fn check(&self, next: &Next) {
-        if let Next::Again(refusal) | Next::Refuse(refusal) = next {
-            let truthful = refusal.ran() != Ran::No || !self.committed;
-            invariant::check(Invariant::TrueRefusal, truthful, || {
+    fn check_refusal(&self, directive: &Directive) {
+        if let Directive::Retry(refusal) | Directive::Refuse(refusal) = directive {
+            let is_true = refusal.ran() != Ran::No || !self.commit_sent;
+            invariant::check(Invariant::TrueRefusal, is_true, || {
                 format!(
                     "{refusal} is told after a commit was sent for key {}",
                     self.key
--- a/crates/core/src/once/single.rs
+++ b/crates/core/src/once/single.rs
@@ -11,9 +11,9 @@
 ///
 /// let mut single = Single::default();
 /// assert_eq!(single.ran(), Ran::No);
-/// single.send();
+/// single.mark_sent();
 /// assert_eq!(single.ran(), Ran::Unknown);
-/// assert_eq!(single.doubt(Doubt::ConnectionLost).unwrap().sqlstate(), "PF101");
+/// assert_eq!(single.unknown_outcome(Doubt::ConnectionLost).unwrap().sqlstate(), "PF101");
 /// ```
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Single {
@@ -31,7 +31,7 @@
 impl Single {
     /// The request is about to be handed to the socket. From here on it counts as sent, however
     /// little of it the kernel takes: what left cannot be told.
-    pub fn send(&mut self) {
+    pub fn mark_sent(&mut self) {
         invariant::check(Invariant::AtMostOnce, self.state == State::Unsent, || {
             format!(
                 "a request that must not repeat is sent again after {:?}",
@@ -43,7 +43,7 @@
 
     /// The server answered: with `failed`, by an ErrorResponse, which says that the statement
     /// and with it its own transaction was rolled back.
-    pub fn answered(&mut self, failed: bool) {
+    pub fn record_outcome(&mut self, failed: bool) {
         self.state = State::Answered(if failed { Ran::No } else { Ran::Yes });
     }
 
@@ -58,14 +58,14 @@
 
     /// What to tell the caller when no answer can be waited for: nothing where it was never
     /// sent, so that the true reason "not run" is given by whoever knows it.
-    pub fn doubt(&self, doubt: Doubt) -> Option<Refusal> {
+    pub fn unknown_outcome(&self, doubt: Doubt) -> Option<Refusal> {
         (self.ran() != Ran::No).then_some(Refusal::OutcomeUnknown { doubt })
     }
 
     /// `refusal` as it may be told: asserts that one which says "not run" is true.
-    pub fn refuse(&self, refusal: Refusal) -> Refusal {
-        let truthful = refusal.ran() != Ran::No || self.ran() == Ran::No;
-        invariant::check(Invariant::TrueRefusal, truthful, || {
+    pub fn check_refusal(&self, refusal: Refusal) -> Refusal {
+        let is_true = refusal.ran() != Ran::No || self.ran() == Ran::No;
+        invariant::check(Invariant::TrueRefusal, is_true, || {
             format!("{refusal} is told of a request in {:?}", self.state)
         });
         refusal
--- a/crates/core/src/once/sql.rs
+++ b/crates/core/src/once/sql.rs
@@ -1,7 +1,7 @@
 //! Statements that keep the record of keys on a backend server.
 
 /// Creates the record where a service has none yet.
-pub const INSTALL: &str = "CREATE TABLE IF NOT EXISTS flamingopost_once (\
+pub const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS flamingopost_once (\
      key text PRIMARY KEY, request text NOT NULL, tag text NOT NULL, \
      at timestamp NOT NULL DEFAULT CURRENT_TIMESTAMP)";
 
@@ -9,9 +9,9 @@
 pub const ROLLBACK: &str = "ROLLBACK";
 
 /// SQLSTATE of a key that is recorded already.
-pub const DUPLICATE: &str = "23505";
+pub const UNIQUE_VIOLATION: &str = "23505";
 /// SQLSTATE of a record that was never created.
-pub const NO_TABLE: &str = "42P01";
+pub const UNDEFINED_TABLE: &str = "42P01";
 
 /// Begins the transaction and records the key, with a digest of the request.
 ///
--- a/crates/core/src/rule.rs
+++ b/crates/core/src/rule.rs
@@ -163,11 +163,11 @@
     /// ```
     pub fn matches(&self, request: &Request<'_>) -> bool {
         let statement = request.statement;
-        holds(&self.services, &request.service)
+        condition_holds(&self.services, &request.service)
             && self
                 .access
                 .is_none_or(|access| access == statement.access())
-            && holds(&self.callers, &request.caller)
+            && condition_holds(&self.callers, &request.caller)
             && (self.roles.is_empty() || self.roles.contains(request.role))
             && self.matches_tag(statement.tag())
             && self.matches_tables(statement)
@@ -183,11 +183,11 @@
     /// assert!(!reads.covers(&When::default()));
     /// ```
     pub fn covers(&self, other: &When) -> bool {
-        within(&other.services, &self.services)
-            && within(&other.callers, &self.callers)
-            && within(&other.roles, &self.roles)
-            && within(&other.tags, &self.tags)
-            && within(&other.tables, &self.tables)
+        is_covered(&other.services, &self.services)
+            && is_covered(&other.callers, &self.callers)
+            && is_covered(&other.roles, &self.roles)
+            && is_covered(&other.tags, &self.tags)
+            && is_covered(&other.tables, &self.tables)
             && self
                 .access
                 .is_none_or(|access| other.access == Some(access))
@@ -209,11 +209,11 @@
     }
 }
 
-fn holds<K: Ord>(condition: &BTreeSet<K>, key: &K) -> bool {
+fn condition_holds<K: Ord>(condition: &BTreeSet<K>, key: &K) -> bool {
     condition.is_empty() || condition.contains(key)
 }
 
-fn within<K: Ord>(inner: &BTreeSet<K>, outer: &BTreeSet<K>) -> bool {
+fn is_covered<K: Ord>(inner: &BTreeSet<K>, outer: &BTreeSet<K>) -> bool {
     outer.is_empty() || (!inner.is_empty() && inner.is_subset(outer))
 }
 
@@ -240,9 +240,9 @@
         .iter()
         .position(|rule| rule.when.matches(request));
     match found {
-        Some(place) => Choice {
-            rule: Some(place),
-            then: Cow::Borrowed(&fleet.rules[place].then),
+        Some(position) => Choice {
+            rule: Some(position),
+            then: Cow::Borrowed(&fleet.rules[position].then),
         },
         None => Choice {
             rule: None,
--- a/crates/core/src/rule/index.rs
+++ b/crates/core/src/rule/index.rs
@@ -18,13 +18,13 @@
 #[derive(Debug, Clone)]
 pub struct Index {
     fleet: Arc<Fleet>,
-    named: BTreeMap<(ServiceKey, Access), Vec<usize>>,
-    reads: General,
-    writes: General,
+    by_service: BTreeMap<(ServiceKey, Access), Vec<usize>>,
+    reads: AnyService,
+    writes: AnyService,
 }
 
 #[derive(Debug, Clone)]
-struct General {
+struct AnyService {
     rules: Vec<usize>,
     fallback: Then,
 }
@@ -32,18 +32,21 @@
 impl Index {
     /// Sorts the rules of `fleet`.
     pub fn new(fleet: Arc<Fleet>) -> Index {
-        let mut named: BTreeMap<(ServiceKey, Access), Vec<usize>> = BTreeMap::new();
-        for (place, rule) in fleet.rules.iter().enumerate() {
+        let mut by_service: BTreeMap<(ServiceKey, Access), Vec<usize>> = BTreeMap::new();
+        for (position, rule) in fleet.rules.iter().enumerate() {
             for access in accesses(rule) {
                 for service in &rule.when.services {
-                    named.entry((*service, access)).or_default().push(place);
+                    by_service
+                        .entry((*service, access))
+                        .or_default()
+                        .push(position);
                 }
             }
         }
         Index {
-            named,
-            reads: General::new(&fleet, Access::Read),
-            writes: General::new(&fleet, Access::Write),
+            by_service,
+            reads: AnyService::new(&fleet, Access::Read),
+            writes: AnyService::new(&fleet, Access::Write),
             fleet,
         }
     }
@@ -70,25 +73,25 @@
     /// ```
     pub fn choose(&self, request: &Request<'_>) -> Choice<'_> {
         let access = request.statement.access();
-        let general = self.general(access);
-        let named = self.named.get(&(request.service, access));
+        let any_service = self.any_service(access);
+        let by_service = self.by_service.get(&(request.service, access));
         let mut candidates = Merge {
-            left: named.map_or(&[][..], Vec::as_slice).iter().peekable(),
-            right: general.rules.iter().peekable(),
+            left: by_service.map_or(&[][..], Vec::as_slice).iter().peekable(),
+            right: any_service.rules.iter().peekable(),
         };
-        match candidates.find(|place| self.fleet.rules[*place].when.matches(request)) {
-            Some(place) => Choice {
-                rule: Some(place),
-                then: Cow::Borrowed(&self.fleet.rules[place].then),
+        match candidates.find(|position| self.fleet.rules[*position].when.matches(request)) {
+            Some(position) => Choice {
+                rule: Some(position),
+                then: Cow::Borrowed(&self.fleet.rules[position].then),
             },
             None => Choice {
                 rule: None,
-                then: Cow::Borrowed(&general.fallback),
+                then: Cow::Borrowed(&any_service.fallback),
             },
         }
     }
 
-    fn general(&self, access: Access) -> &General {
+    fn any_service(&self, access: Access) -> &AnyService {
         match access {
             Access::Read => &self.reads,
             Access::Write => &self.writes,
@@ -96,15 +99,15 @@
     }
 }
 
-impl General {
-    fn new(fleet: &Fleet, access: Access) -> General {
+impl AnyService {
+    fn new(fleet: &Fleet, access: Access) -> AnyService {
         let applies =
             |rule: &Rule| rule.when.services.is_empty() && accesses(rule).any(|it| it == access);
         let rules = fleet.rules.iter().enumerate();
-        General {
+        AnyService {
             rules: rules
                 .filter(|(_, rule)| applies(rule))
-                .map(|(place, _)| place)
+                .map(|(position, _)| position)
                 .collect(),
             fallback: fleet.default_then(access),
         }
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -18,7 +18,7 @@
 /// Session parameter that gives its tag to statements whose marker has none.
 pub const TAG: &str = "flamingopost.tag";
 /// Value of [`POSITION`] by which a caller says that it has no earlier writes.
-pub const NONE: &str = "none";
+pub const NO_WRITES: &str = "none";
 
 /// One session's knowledge of its own writes to one service.
 ///
@@ -40,14 +40,14 @@
     writes: Writes,
     max_age: Option<Duration>,
     tag: Option<Box<str>>,
-    lost: Option<Loss>,
+    lost_write: Option<LostWrite>,
 }
 
 /// What is known of a session's earlier writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Writes {
     /// Nothing: it may have written anything before this moment through another entry host.
-    Before(Duration),
+    UnknownBefore(Duration),
     /// The caller says that there are none.
     None,
     /// None past this position.
@@ -56,14 +56,14 @@
 
 /// A write of the session that a promotion dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Loss {
+struct LostWrite {
     position: Position,
     ended_by: crate::term::Term,
     start: u64,
 }
 
-impl From<Loss> for Refusal {
-    fn from(loss: Loss) -> Refusal {
+impl From<LostWrite> for Refusal {
+    fn from(loss: LostWrite) -> Refusal {
         Refusal::PositionLost {
             position: loss.position,
             ended_by: loss.ended_by,
@@ -76,15 +76,15 @@
     /// A session that connected at `now` and brought nothing.
     pub fn new(now: Duration) -> Session {
         Session {
-            writes: Writes::Before(now),
+            writes: Writes::UnknownBefore(now),
             max_age: None,
             tag: None,
-            lost: None,
+            lost_write: None,
         }
     }
 
     /// Takes the position that the caller brought, at connect or by `SET`. A position only
-    /// rises; [`NONE`] states that there are no earlier writes, and an empty value forgets, as
+    /// rises; [`NO_WRITES`] states that there are no earlier writes, and an empty value forgets, as
     /// `RESET` and `DISCARD ALL` do.
     ///
     /// # Errors
@@ -96,15 +96,15 @@
         history: &History,
     ) -> Result<(), Refusal> {
         match value.trim() {
-            "" => self.forget(now),
-            NONE => {
+            "" => self.reset(now),
+            NO_WRITES => {
                 self.writes = Writes::None;
-                self.lost = None;
+                self.lost_write = None;
             }
             text => {
-                let position = text.parse().map_err(|_| bad(POSITION, value))?;
-                self.note_loss(history);
-                self.raise(position);
+                let position = text.parse().map_err(|_| bad_parameter(POSITION, value))?;
+                self.record_lost_write(history);
+                self.advance(position);
             }
         }
         Ok(())
@@ -118,7 +118,7 @@
     pub fn set_max_age(&mut self, value: &str) -> Result<(), Refusal> {
         self.max_age = match value.trim() {
             "" => None,
-            text => Some(parse_age(text).ok_or_else(|| bad(MAX_AGE, value))?),
+            text => Some(parse_age(text).ok_or_else(|| bad_parameter(MAX_AGE, value))?),
         };
         Ok(())
     }
@@ -140,7 +140,7 @@
     }
 
     /// Forgets everything: from `now` on this is the session of somebody unknown.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn reset(&mut self, now: Duration) {
         *self = Session::new(now);
     }
 
@@ -148,23 +148,23 @@
     pub fn position(&self) -> Option<Position> {
         match self.writes {
             Writes::UpTo(position) => Some(position),
-            Writes::Before(_) | Writes::None => None,
+            Writes::UnknownBefore(_) | Writes::None => None,
         }
     }
 
     /// A write was acknowledged at `position`. Returns whether [`POSITION`] has to be reported.
-    pub fn wrote(&mut self, position: Position, history: &History) -> bool {
-        self.note_loss(history);
-        self.raise(position)
+    pub fn record_write(&mut self, position: Position, history: &History) -> bool {
+        self.record_lost_write(history);
+        self.advance(position)
     }
 
     /// The primary's position as seen in an answer to something *sent* at `sent`, under a write
     /// lease that was valid when the answer came. Once sent after the session began, it bounds
     /// all its earlier writes: they were acknowledged before, so the primary had them. Returns
     /// whether [`POSITION`] has to be reported.
-    pub fn saw_primary(&mut self, position: Position, sent: Duration) -> bool {
+    pub fn observe_primary(&mut self, position: Position, sent: Duration) -> bool {
         match self.writes {
-            Writes::Before(began) if sent >= began => self.raise(position),
+            Writes::UnknownBefore(began) if sent >= began => self.advance(position),
             _ => false,
         }
     }
@@ -181,18 +181,18 @@
         stated: Option<Duration>,
         history: &History,
     ) -> Result<Need, Refusal> {
-        self.tell_loss(history)?;
+        self.check_lost_write(history)?;
         if target == Target::Primary {
             return Ok(Need::Primary);
         }
-        let stated = stricter(stated, self.max_age);
-        let max_age = stricter(max_age, stated);
+        let stated = stricter_age(stated, self.max_age);
+        let max_age = stricter_age(max_age, stated);
         Ok(match self.writes {
             Writes::UpTo(position) => Need::Position { position, max_age },
             Writes::None => Need::Any { max_age },
             // A caller that states an age itself accepts data of that age.
-            Writes::Before(_) if stated.is_some() => Need::Any { max_age },
-            Writes::Before(began) => Need::Since { began, max_age },
+            Writes::UnknownBefore(_) if stated.is_some() => Need::Any { max_age },
+            Writes::UnknownBefore(began) => Need::Since { began, max_age },
         })
     }
 
@@ -201,9 +201,9 @@
     ///
     /// # Errors
     /// [`Refusal::PositionLost`].
-    pub fn tell_loss(&mut self, history: &History) -> Result<(), Refusal> {
-        self.note_loss(history);
-        match self.lost.take() {
+    pub fn check_lost_write(&mut self, history: &History) -> Result<(), Refusal> {
+        self.record_lost_write(history);
+        match self.lost_write.take() {
             Some(loss) => Err(loss.into()),
             None => Ok(()),
         }
@@ -212,14 +212,14 @@
     /// A promotion between the send of a write and its answer would let the new position cover
     /// a lost one: the session would silently read without its write. So a loss is noted before
     /// the position rises, and told with the next statement.
-    fn note_loss(&mut self, history: &History) {
+    fn record_lost_write(&mut self, history: &History) {
         let Writes::UpTo(position) = self.writes else {
             return;
         };
         let PositionStatus::Lost { ended_by, start } = history.position_status(position) else {
             return;
         };
-        self.lost.get_or_insert(Loss {
+        self.lost_write.get_or_insert(LostWrite {
             position,
             ended_by,
             start,
@@ -228,10 +228,10 @@
             term: ended_by,
             log: start,
         });
-        self.note_loss(history);
+        self.record_lost_write(history);
     }
 
-    fn raise(&mut self, position: Position) -> bool {
+    fn advance(&mut self, position: Position) -> bool {
         let higher = self.position().is_none_or(|known| known < position);
         if higher {
             self.writes = Writes::UpTo(position);
@@ -240,14 +240,14 @@
     }
 }
 
-fn stricter(one: Option<Duration>, other: Option<Duration>) -> Option<Duration> {
+fn stricter_age(one: Option<Duration>, other: Option<Duration>) -> Option<Duration> {
     match (one, other) {
         (Some(one), Some(other)) => Some(one.min(other)),
         (one, other) => one.or(other),
     }
 }
 
-fn bad(parameter: &'static str, value: &str) -> Refusal {
+fn bad_parameter(parameter: &'static str, value: &str) -> Refusal {
     Refusal::BadParameter {
         parameter,
         value: value.to_owned(),
--- a/crates/core/src/session/state.rs
+++ b/crates/core/src/session/state.rs
@@ -102,7 +102,7 @@
 
 /// What a pooled connection carries: the parameters last set on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Carried {
+pub struct ConnectionParameters {
     parameters: BTreeMap<String, String>,
 }
 
@@ -112,19 +112,19 @@
 /// The tracked connection state of one session.
 ///
 /// ```
-/// use flamingopost_core::session::state::{Carried, Effect, Replay, State};
+/// use flamingopost_core::session::state::{ConnectionParameters, Effect, Replay, State};
 ///
 /// let mut state = State::default();
 /// let (name, text) = ("search_path".to_owned(), "SET search_path = yard".to_owned());
 /// state.apply(Effect::Set { name: name.clone(), text: text.clone() });
-/// assert_eq!(state.replay(&Carried::default()), [Replay::Set { name, text }]);
+/// assert_eq!(state.replay(&ConnectionParameters::default()), [Replay::Set { name, text }]);
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
     parameters: Parameters,
     /// Parameters as they were when the open transaction began; a rollback brings them back.
-    before: Option<Parameters>,
-    savepoint: bool,
+    parameters_at_begin: Option<Parameters>,
+    has_savepoint: bool,
     prepared: BTreeMap<String, Prepared>,
     pins: BTreeSet<Pin>,
     transaction: Transaction,
@@ -136,15 +136,15 @@
         match effect {
             Effect::Set { name, text } => {
                 self.parameters.insert(name, text);
-                self.watch_savepoint();
+                self.pin_after_savepoint();
             }
             Effect::Reset { name } => {
                 self.parameters.remove(&name);
-                self.watch_savepoint();
+                self.pin_after_savepoint();
             }
             Effect::ResetAll => {
                 self.parameters.clear();
-                self.watch_savepoint();
+                self.pin_after_savepoint();
             }
             Effect::DiscardAll => *self = State::default(),
             Effect::Prepare { name, prepared } => {
@@ -154,8 +154,8 @@
                 self.prepared.remove(&name);
             }
             Effect::DeallocateAll => self.prepared.clear(),
-            Effect::Savepoint => self.savepoint = true,
-            Effect::Commit => self.before = None,
+            Effect::Savepoint => self.has_savepoint = true,
+            Effect::Commit => self.parameters_at_begin = None,
             Effect::Rollback => self.rollback(),
             Effect::Pin(pin) => {
                 self.pins.insert(pin);
@@ -167,14 +167,14 @@
     }
 
     /// Takes note of the transaction status that ReadyForQuery tells.
-    pub fn ready(&mut self, transaction: Transaction) {
+    pub fn set_transaction(&mut self, transaction: Transaction) {
         match (self.transaction, transaction) {
             (Transaction::Idle, Transaction::Open | Transaction::Failed) => {
-                self.before = Some(self.parameters.clone());
+                self.parameters_at_begin = Some(self.parameters.clone());
             }
             (_, Transaction::Idle) => {
-                self.before = None;
-                self.savepoint = false;
+                self.parameters_at_begin = None;
+                self.has_savepoint = false;
             }
             _ => {}
         }
@@ -208,8 +208,8 @@
 
     /// What to send on a connection that carries `carried`, so that it is as the session left
     /// its last one.
-    pub fn replay(&self, carried: &Carried) -> Vec<Replay> {
-        let stale = carried
+    pub fn replay(&self, connection: &ConnectionParameters) -> Vec<Replay> {
+        let stale = connection
             .parameters
             .keys()
             .filter(|name| !self.parameters.contains_key(*name))
@@ -217,7 +217,7 @@
         let missing = self
             .parameters
             .iter()
-            .filter(|(name, text)| carried.parameters.get(*name) != Some(text))
+            .filter(|(name, text)| connection.parameters.get(*name) != Some(text))
             .map(|(name, text)| Replay::Set {
                 name: name.clone(),
                 text: text.clone(),
@@ -226,23 +226,23 @@
     }
 
     /// What a connection carries once this session is on it.
-    pub fn carried(&self) -> Carried {
-        Carried {
+    pub fn connection_parameters(&self) -> ConnectionParameters {
+        ConnectionParameters {
             parameters: self.parameters.clone(),
         }
     }
 
     fn rollback(&mut self) {
-        if let Some(before) = self.before.take() {
-            self.parameters = before;
+        if let Some(parameters) = self.parameters_at_begin.take() {
+            self.parameters = parameters;
         }
     }
 
     /// A rollback to a savepoint takes back the `SET`s since, and which those are is not
     /// tracked: replayed elsewhere, a statement would run under a setting that the caller had
     /// taken back. So a session that mixes the two stays on its connection.
-    fn watch_savepoint(&mut self) {
-        if self.savepoint {
+    fn pin_after_savepoint(&mut self) {
+        if self.has_savepoint {
             self.pins.insert(Pin::Untracked);
         }
     }
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -13,14 +13,14 @@
 mod cache;
 mod function;
 mod marker;
+mod normalized;
 mod part;
 mod shape;
-mod skeleton;
 mod visit;
 
 pub use action::Action;
 pub use cache::Cache;
-pub use marker::{Marker, Mistake};
+pub use marker::{Marker, MarkerError};
 pub use part::{Part, SessionState};
 pub use shape::Shape;
 
@@ -60,11 +60,11 @@
     /// use flamingopost_core::statement;
     ///
     /// let plain = statement::classify("SELECT 1");
-    /// assert_eq!(plain.tagged(Some("view")).tag(), Some("view"));
+    /// assert_eq!(plain.with_default_tag(Some("view")).tag(), Some("view"));
     /// let marked = statement::classify("/* flamingopost: tag=bid */ SELECT 1");
-    /// assert_eq!(marked.tagged(Some("view")).tag(), Some("bid"));
+    /// assert_eq!(marked.with_default_tag(Some("view")).tag(), Some("bid"));
     /// ```
-    pub fn tagged(&self, tag: Option<&str>) -> Cow<'_, Statement> {
+    pub fn with_default_tag(&self, tag: Option<&str>) -> Cow<'_, Statement> {
         match (tag, &self.marker.tag) {
             (Some(tag), None) => {
                 let mut tagged = self.clone();
--- a/crates/core/src/statement/action.rs
+++ b/crates/core/src/statement/action.rs
@@ -85,7 +85,7 @@
     /// `COPY TO STDOUT`: the caller receives rows.
     CopyOut,
     /// A table, view or sequence that lives as long as the connection.
-    Temporary,
+    CreateTemporary,
     /// Text that the parser does not know.
     Unknown,
 }
--- a/crates/core/src/statement/cache.rs
+++ b/crates/core/src/statement/cache.rs
@@ -5,10 +5,10 @@
 use std::mem;
 use std::sync::Arc;
 
-use super::{Shape, Statement, marker, shape, skeleton};
+use super::{Shape, Statement, marker, normalized, shape};
 
 /// Longest text that is kept: longer ones are mostly rows in a statement and seldom come again.
-const LONGEST_KEPT: usize = 4096;
+const MAX_CACHED_BYTES: usize = 4096;
 
 /// Shapes of the texts that came lately, by text without marker and without the values of literals.
 ///
@@ -18,7 +18,7 @@
 pub struct Cache {
     young: BTreeMap<Box<str>, Arc<Shape>>,
     old: BTreeMap<Box<str>, Arc<Shape>>,
-    generation: usize,
+    generation_size: usize,
 }
 
 impl Cache {
@@ -27,7 +27,7 @@
         Cache {
             young: BTreeMap::new(),
             old: BTreeMap::new(),
-            generation: entries.div_ceil(2).max(1),
+            generation_size: entries.div_ceil(2).max(1),
         }
     }
 
@@ -60,10 +60,10 @@
     }
 
     fn shape(&mut self, body: &str) -> Arc<Shape> {
-        if body.len() > LONGEST_KEPT {
+        if body.len() > MAX_CACHED_BYTES {
             return Arc::new(shape::read(body));
         }
-        let key = skeleton::key(body);
+        let key = normalized::cache_key(body);
         if let Some(known) = self.young.get(key.as_ref()) {
             return Arc::clone(known);
         }
@@ -74,13 +74,13 @@
         // A literal can make a text unreadable (x'zz'). Kept under the key that it shares, such a
         // text would pin every session that sends a readable one.
         if matches!(key, Cow::Borrowed(_)) || shape.is_known() {
-            self.keep(&key, &shape);
+            self.insert(&key, &shape);
         }
         shape
     }
 
-    fn keep(&mut self, key: &str, shape: &Arc<Shape>) {
-        if self.young.len() >= self.generation {
+    fn insert(&mut self, key: &str, shape: &Arc<Shape>) {
+        if self.young.len() >= self.generation_size {
             self.old = mem::take(&mut self.young);
         }
         self.young.insert(key.into(), Arc::clone(shape));
--- a/crates/core/src/statement/function.rs
+++ b/crates/core/src/statement/function.rs
@@ -18,7 +18,7 @@
     if keeps_state(name) {
         return Effect::KeepsState;
     }
-    match READS.binary_search(&name) {
+    match READ_ONLY.binary_search(&name) {
         Ok(_) => Effect::Reads,
         Err(_) => Effect::Writes,
     }
@@ -30,7 +30,7 @@
 }
 
 /// Built-in functions that only read, sorted, and what the platform's groups add.
-const READS: [&str; 333] = [
+const READ_ONLY: [&str; 333] = [
     "abs",
     "acos",
     "age",
--- a/crates/core/src/statement/marker.rs
+++ b/crates/core/src/statement/marker.rs
@@ -18,18 +18,18 @@
     pub max_age: Option<Duration>,
     /// The first thing in it that cannot be understood. Such a request must be refused: a key
     /// passed over in silence would let a resubmission run twice.
-    pub mistake: Option<Mistake>,
+    pub error: Option<MarkerError>,
 }
 
 /// Why a marker cannot be understood.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
-pub enum Mistake {
+pub enum MarkerError {
     /// `{0}` is not NAME=VALUE
     NotAPair(String),
     /// `{0}` is none of tag, key, deadline_ms, max_age_ms
     UnknownName(String),
     /// `{0}` is given twice
-    Twice(String),
+    Duplicate(String),
     /// {name}=`{value}` is not a whole number of milliseconds
     NotMilliseconds {
         /// The name.
@@ -41,7 +41,7 @@
     Empty(String),
 }
 
-impl std::error::Error for Mistake {}
+impl std::error::Error for MarkerError {}
 
 /// Splits `sql` into its marker and the rest.
 pub(super) fn split(sql: &str) -> (Marker, &str) {
@@ -57,7 +57,7 @@
 fn leading(sql: &str) -> Option<(&str, &str)> {
     let comment = sql.trim_start().strip_prefix("/*")?;
     let (text, body) = comment.split_once("*/")?;
-    Some((marked(text)?, body))
+    Some((marker_text(text)?, body))
 }
 
 // A text that ends in a comment ends outside of any literal, so the last "/*" opens that comment.
@@ -65,51 +65,51 @@
     let end = sql.trim_end_matches(|c: char| c.is_whitespace() || c == ';');
     let comment = end.strip_suffix("*/")?;
     let (body, text) = comment.rsplit_once("/*")?;
-    Some((marked(text)?, body))
+    Some((marker_text(text)?, body))
 }
 
-fn marked(comment: &str) -> Option<&str> {
+fn marker_text(comment: &str) -> Option<&str> {
     comment.trim_start().strip_prefix(PREFIX)
 }
 
 fn read(text: &str) -> Marker {
     let mut marker = Marker::default();
     for pair in text.split_ascii_whitespace() {
-        if let Err(mistake) = marker.take(pair) {
-            marker.mistake.get_or_insert(mistake);
+        if let Err(error) = marker.set(pair) {
+            marker.error.get_or_insert(error);
         }
     }
     marker
 }
 
 impl Marker {
-    fn take(&mut self, pair: &str) -> Result<(), Mistake> {
+    fn set(&mut self, pair: &str) -> Result<(), MarkerError> {
         let (name, value) = pair
             .split_once('=')
-            .ok_or_else(|| Mistake::NotAPair(pair.to_owned()))?;
+            .ok_or_else(|| MarkerError::NotAPair(pair.to_owned()))?;
         if value.is_empty() {
-            return Err(Mistake::Empty(name.to_owned()));
+            return Err(MarkerError::Empty(name.to_owned()));
         }
         match name {
-            "tag" => put(&mut self.tag, name, value.to_owned()),
-            "key" => put(&mut self.key, name, value.to_owned()),
-            "deadline_ms" => put(&mut self.deadline, name, milliseconds(name, value)?),
-            "max_age_ms" => put(&mut self.max_age, name, milliseconds(name, value)?),
-            _ => Err(Mistake::UnknownName(name.to_owned())),
+            "tag" => set_once(&mut self.tag, name, value.to_owned()),
+            "key" => set_once(&mut self.key, name, value.to_owned()),
+            "deadline_ms" => set_once(&mut self.deadline, name, milliseconds(name, value)?),
+            "max_age_ms" => set_once(&mut self.max_age, name, milliseconds(name, value)?),
+            _ => Err(MarkerError::UnknownName(name.to_owned())),
         }
     }
 }
 
-fn put<T>(place: &mut Option<T>, name: &str, value: T) -> Result<(), Mistake> {
-    if place.is_some() {
-        return Err(Mistake::Twice(name.to_owned()));
+fn set_once<T>(field: &mut Option<T>, name: &str, value: T) -> Result<(), MarkerError> {
+    if field.is_some() {
+        return Err(MarkerError::Duplicate(name.to_owned()));
     }
-    *place = Some(value);
+    *field = Some(value);
     Ok(())
 }
 
-fn milliseconds(name: &str, value: &str) -> Result<Duration, Mistake> {
-    let number = value.parse().map_err(|_| Mistake::NotMilliseconds {
+fn milliseconds(name: &str, value: &str) -> Result<Duration, MarkerError> {
+    let number = value.parse().map_err(|_| MarkerError::NotMilliseconds {
         name: name.to_owned(),
         value: value.to_owned(),
     })?;
--- a/crates/core/src/statement/skeleton.rs
+++ b/crates/core/src/statement/normalized.rs
@@ -10,7 +10,7 @@
 const VERBS: [&str; 5] = ["SELECT", "INSERT", "UPDATE", "DELETE", "WITH"];
 
 /// The key of `text`: itself where a literal may matter or its ends cannot be told by one look.
-pub(super) fn key(text: &str) -> Cow<'_, str> {
+pub(super) fn cache_key(text: &str) -> Cow<'_, str> {
     if !starts_with_verb(text) {
         return Cow::Borrowed(text);
     }
@@ -40,29 +40,29 @@
 fn first_literal(text: &str) -> Option<usize> {
     let mut first = None;
     let mut quotes = 0;
-    let mut last = b' ';
+    let mut previous = b' ';
     for (place, byte) in text.bytes().enumerate() {
-        match (last, byte) {
+        match (previous, byte) {
             (_, b'"' | b'\\' | b'`' | b';') | (b'-', b'-') | (b'/', b'*') => return None,
             (b'$', next) if !next.is_ascii_digit() => return None,
             (_, b'\'') => {
                 quotes += 1;
                 first = first.or(Some(place));
             }
-            (_, b'0'..=b'9') if !is_word(last) => first = first.or(Some(place)),
+            (_, b'0'..=b'9') if !is_word_byte(previous) => first = first.or(Some(place)),
             _ => {}
         }
-        last = byte;
+        previous = byte;
     }
-    first.filter(|_| quotes % 2 == 0 && last != b'$')
+    first.filter(|_| quotes % 2 == 0 && previous != b'$')
 }
 
-/// Where the next literal of `text` starts, which stands behind the byte `last`.
-fn literal_start(text: &str, last: Option<u8>) -> Option<usize> {
-    let mut last = last.unwrap_or(b' ');
+/// Where the next literal of `text` starts, which stands behind the byte `previous`.
+fn literal_start(text: &str, previous: Option<u8>) -> Option<usize> {
+    let mut previous = previous.unwrap_or(b' ');
     text.bytes().position(|byte| {
-        let starts = byte == b'\'' || (byte.is_ascii_digit() && !is_word(last));
-        last = byte;
+        let starts = byte == b'\'' || (byte.is_ascii_digit() && !is_word_byte(previous));
+        previous = byte;
         starts
     })
 }
@@ -88,6 +88,6 @@
     VERBS.iter().any(|verb| verb.eq_ignore_ascii_case(word))
 }
 
-fn is_word(byte: u8) -> bool {
+fn is_word_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'$') || !byte.is_ascii()
 }
--- a/crates/core/src/statement/shape.rs
+++ b/crates/core/src/statement/shape.rs
@@ -68,7 +68,7 @@
     let word = text.split(|c: char| !c.is_ascii_alphabetic()).next();
     let plain = word.is_some_and(|word| PLAIN_VERBS.contains(&word));
     let text = text.strip_prefix("insert into").unwrap_or(&text);
-    let keeps = text.contains(';') || KEEPING.iter().any(|word| text.contains(word));
+    let keeps = text.contains(';') || STATE_KEYWORDS.iter().any(|word| text.contains(word));
     match plain && !keeps {
         true => SessionState::Unchanged,
         false => SessionState::Pinned,
@@ -76,7 +76,7 @@
 }
 
 const PLAIN_VERBS: [&str; 6] = ["select", "insert", "update", "delete", "with", "table"];
-const KEEPING: [&str; 4] = ["advisory", "set_config", "temp", "into"];
+const STATE_KEYWORDS: [&str; 4] = ["advisory", "set_config", "temp", "into"];
 
 /// A name with its schema, as the server folds it.
 pub(super) fn full_name(name: &ast::ObjectName) -> String {
@@ -95,7 +95,7 @@
 
 fn name_part(part: &ast::ObjectNamePart) -> String {
     part.as_ident()
-        .map(word)
+        .map(folded)
         .unwrap_or_else(|| part.to_string())
 }
 
@@ -103,7 +103,7 @@
 pub(super) const TEMPORARY_SCHEMA: &str = "pg_temp.";
 
 /// An identifier as the server folds it.
-pub(super) fn word(ident: &ast::Ident) -> String {
+pub(super) fn folded(ident: &ast::Ident) -> String {
     match ident.quote_style {
         Some(_) => ident.value.clone(),
         None => ident.value.to_lowercase(),
--- a/crates/core/src/statement/visit.rs
+++ b/crates/core/src/statement/visit.rs
@@ -9,7 +9,7 @@
 };
 
 use super::function::{self, Effect};
-use super::shape::{TEMPORARY_SCHEMA, full_name, object_name, word};
+use super::shape::{TEMPORARY_SCHEMA, folded, full_name, object_name};
 use super::{Action, Part, SessionState};
 use crate::rule::Access;
 
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 struct Walk {
     relations: BTreeSet<String>,
-    not_tables: BTreeSet<String>,
+    other_names: BTreeSet<String>,
     writes: bool,
     pins: bool,
     temporary: bool,
@@ -40,7 +40,7 @@
 
 impl Walk {
     fn tables(self) -> BTreeSet<String> {
-        &self.relations - &self.not_tables
+        &self.relations - &self.other_names
     }
 
     fn call(&mut self, name: &ast::ObjectName) {
@@ -60,7 +60,7 @@
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
         for cte in query.with.iter().flat_map(|with| &with.cte_tables) {
-            self.not_tables.insert(word(&cte.alias.name));
+            self.other_names.insert(folded(&cte.alias.name));
         }
         // SELECT FOR UPDATE takes row locks, which a replica refuses.
         self.writes |= !query.locks.is_empty();
@@ -93,7 +93,7 @@
                 ..
             }
             | TableFactor::Function { name, .. } => {
-                self.not_tables.insert(object_name(name));
+                self.other_names.insert(object_name(name));
                 self.call(name);
             }
             _ => {}
@@ -109,15 +109,15 @@
     }
 
     fn pre_visit_statement(&mut self, statement: &ast::Statement) -> ControlFlow<()> {
-        self.writes |= !only_wraps(statement);
+        self.writes |= !changes_no_data_itself(statement);
         self.relations.extend(copied_table(statement));
         ControlFlow::Continue(())
     }
 }
 
 fn table_command(table: &ast::Table) -> Option<String> {
-    let name = word(table.table_name.as_ref()?);
-    let schema = table.schema_name.as_ref().map(word);
+    let name = folded(table.table_name.as_ref()?);
+    let schema = table.schema_name.as_ref().map(folded);
     match schema.as_deref() {
         None | Some("public") => Some(name),
         Some(schema) => Some(format!("{schema}.{name}")),
@@ -136,7 +136,7 @@
 }
 
 /// Whether the statement itself changes no data, whatever the ones inside it do.
-fn only_wraps(statement: &ast::Statement) -> bool {
+fn changes_no_data_itself(statement: &ast::Statement) -> bool {
     match statement {
         ast::Statement::Query(_)
         | ast::Statement::Explain { .. }
@@ -162,7 +162,7 @@
             Access::Write
         };
     }
-    if walk.writes || !only_wraps(statement) {
+    if walk.writes || !changes_no_data_itself(statement) {
         Access::Write
     } else {
         Access::Read
@@ -171,7 +171,7 @@
 
 fn session_state(action: &Action, walk: &Walk) -> SessionState {
     match action {
-        Action::Temporary | Action::Listen { .. } | Action::DeclareCursor { hold: true } => {
+        Action::CreateTemporary | Action::Listen { .. } | Action::DeclareCursor { hold: true } => {
             SessionState::Pinned
         }
         _ if walk.pins || walk.temporary => SessionState::Pinned,
@@ -197,13 +197,13 @@
             savepoint: None,
         } => Action::Rollback { chain: *chain },
         S::Rollback { .. } | S::Savepoint { .. } | S::ReleaseSavepoint { .. } => Action::Savepoint,
-        S::Set(set) => setting(set, statement),
+        S::Set(set) => set_action(set, statement),
         S::Reset(reset) => reset_action(&reset.reset),
         S::ShowVariable { variable } => Action::Show {
-            name: variable.iter().map(word).collect::<Vec<_>>().join("."),
+            name: variable.iter().map(folded).collect::<Vec<_>>().join("."),
         },
         S::Prepare { name, .. } => Action::Prepare {
-            name: word(name),
+            name: folded(name),
             text: statement.to_string(),
         },
         S::Execute {
@@ -212,23 +212,23 @@
             name: object_name(name),
         },
         S::Deallocate { name, .. } => Action::Deallocate {
-            name: named_unless_all(name),
+            name: name_unless_all(name),
         },
         S::Discard { object_type } => Action::Discard {
             all: matches!(object_type, ast::DiscardObject::ALL),
         },
         S::LISTEN { channel } => Action::Listen {
-            channel: word(channel),
+            channel: folded(channel),
         },
         S::UNLISTEN { channel } => Action::Unlisten {
-            channel: word(channel),
+            channel: folded(channel),
         },
         S::Declare { stmts, .. } => Action::DeclareCursor {
             hold: stmts.iter().any(|cursor| cursor.hold == Some(true)),
         },
-        S::Copy { to, target, .. } => copy(*to, target),
-        _ if creates_temporary(statement) => Action::Temporary,
-        _ if is_foreign(statement) => Action::Unknown,
+        S::Copy { to, target, .. } => copy_action(*to, target),
+        _ if creates_temporary(statement) => Action::CreateTemporary,
+        _ if leaves_untracked_state(statement) => Action::Unknown,
         _ => Action::Query,
     }
 }
@@ -242,7 +242,7 @@
     })
 }
 
-fn copy(to: bool, target: &CopyTarget) -> Action {
+fn copy_action(to: bool, target: &CopyTarget) -> Action {
     match (to, target) {
         (true, CopyTarget::Stdout) => Action::CopyOut,
         (false, CopyTarget::Stdin) => Action::CopyIn,
@@ -250,8 +250,8 @@
     }
 }
 
-fn named_unless_all(name: &ast::Ident) -> Option<String> {
-    let name_text = word(name);
+fn name_unless_all(name: &ast::Ident) -> Option<String> {
+    let name_text = folded(name);
     let all = name.quote_style.is_none() && name_text == "all";
     (!all).then_some(name_text)
 }
@@ -266,7 +266,7 @@
     }
 }
 
-fn setting(set: &ast::Set, statement: &ast::Statement) -> Action {
+fn set_action(set: &ast::Set, statement: &ast::Statement) -> Action {
     let text = statement.to_string();
     match set {
         ast::Set::SingleAssignment {
@@ -291,7 +291,7 @@
             role_name,
         } => Action::Set {
             name: "role".to_owned(),
-            value: role_name.as_ref().map(word),
+            value: role_name.as_ref().map(folded),
             local: *context_modifier == Some(ContextModifier::Local),
             text,
         },
@@ -339,7 +339,7 @@
 }
 
 /// Statements that leave state on a connection in ways that nothing here describes.
-fn is_foreign(statement: &ast::Statement) -> bool {
+fn leaves_untracked_state(statement: &ast::Statement) -> bool {
     matches!(
         statement,
         ast::Statement::Load { .. } | ast::Statement::Use(_) | ast::Statement::AlterSession { .. }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_examples_have_the_sizes_of_today() {
+fn the_examples_have_the_expected_sizes() {
     let (tesfa, _) = read(TESFA);
     assert_eq!(
         (tesfa.zones.len(), tesfa.services.len(), tesfa.servers.len()),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_servers_of_a_service_lie_in_different_zones() {
+fn the_servers_of_a_service_are_in_different_zones() {
     for text in [TESFA, SUNDARBAN] {
         let (fleet, _) = read(text);
         for service in fleet.services.values() {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_is_written_reads_the_same() {
+fn a_rendered_configuration_parses_to_the_same_fleet() {
     for text in [TESFA, SUNDARBAN] {
         let (fleet, mut directory) = read(text);
         let written = config::render(&fleet, &directory);
@@ -93,12 +93,12 @@
     assert_eq!(directory.services.find("yard-ledger"), key);
 }
 
-struct Asked {
+struct Example {
     fleet: Fleet,
     directory: Directory,
 }
 
-impl Asked {
+impl Example {
     fn rule(&self, service: &str, caller: &str, sql: &str) -> Option<&str> {
         let caller_key = self.directory.callers.find(caller).expect("a caller");
         let statement = statement::classify(sql);
@@ -120,7 +120,7 @@
 #[test]
 fn the_first_rule_that_matches_applies() {
     let (fleet, directory) = read(TESFA);
-    let tesfa = Asked { fleet, directory };
+    let tesfa = Example { fleet, directory };
     let on_auctions = |caller, sql| tesfa.rule("auction-ledger", caller, sql);
     let bid = "INSERT INTO bids VALUES (1, 2)";
     assert_eq!(on_auctions("member", bid), Some("bids"));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_no_rule_matches_goes_to_the_primary() {
+fn a_request_without_a_matching_rule_goes_to_the_primary() {
     let (fleet, directory) = read(TESFA);
     let statement = statement::classify("DELETE FROM lots");
     let request = Request {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_caller_may_ask_for_less_time_and_fresher_data_only() {
+fn a_caller_can_only_tighten_its_deadline_and_data_age() {
     let (fleet, directory) = read(TESFA);
     let asked = |sql: &str| {
         let statement = statement::classify(sql);
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use flamingopost_core::once::keyed::{Event, Keyed, Next, Step, Stored};
+use flamingopost_core::once::keyed::{Directive, Event, Keyed, Step, Stored};
 use flamingopost_core::once::single::Single;
 use flamingopost_core::once::sql;
 use flamingopost_core::refusal::{Doubt, Ran, Refusal};
@@ -31,33 +31,36 @@
     Event::Broken(Doubt::ConnectionLost)
 }
 
-fn ours(text: &str) -> Next {
-    Next::Send(Step::Ours(text.to_owned()))
+fn internal(text: &str) -> Directive {
+    Directive::Send(Step::Internal(text.to_owned()))
 }
 
 /// A keyed request that has come as far as its commit.
 fn committing() -> Keyed {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
-    keyed.on(done("INSERT 0 1"));
-    keyed.on(done("INSERT 0 1"));
+    keyed.handle(done("INSERT 0 1"));
+    keyed.handle(done("INSERT 0 1"));
     keyed
 }
 
 /// An importer's desk resubmits an airway bill through another host because the first answer was
 /// lost. The key is found, and the answer is that of the first run.
 #[test]
-fn a_resubmission_gets_the_first_answer() {
+fn a_resubmission_returns_the_first_result() {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
-    assert_eq!(keyed.on(failed(sql::DUPLICATE)), ours(sql::ROLLBACK));
-    assert_eq!(keyed.on(done("ROLLBACK")), ours(&sql::look_up("k")));
+    assert_eq!(
+        keyed.handle(failed(sql::UNIQUE_VIOLATION)),
+        internal(sql::ROLLBACK)
+    );
+    assert_eq!(keyed.handle(done("ROLLBACK")), internal(&sql::look_up("k")));
     let stored = Stored {
         request: REQUEST.to_owned(),
         tag: "INSERT 0 1".to_owned(),
     };
     let tag = stored.tag.clone();
     assert_eq!(
-        keyed.on(Event::Found(Some(stored))),
-        Next::DoneBefore { tag }
+        keyed.handle(Event::Found(Some(stored))),
+        Directive::AlreadyDone { tag }
     );
 }
 
@@ -66,45 +69,57 @@
 #[test]
 fn a_key_of_another_request_is_refused() {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
-    keyed.on(failed(sql::DUPLICATE));
-    keyed.on(done("ROLLBACK"));
+    keyed.handle(failed(sql::UNIQUE_VIOLATION));
+    keyed.handle(done("ROLLBACK"));
     let stored = Stored {
         request: "other".to_owned(),
         tag: "INSERT 0 1".to_owned(),
     };
     let key = "k".to_owned();
     let refusal = Refusal::KeyMismatch { key };
-    assert_eq!(keyed.on(Event::Found(Some(stored))), Next::Refuse(refusal));
+    assert_eq!(
+        keyed.handle(Event::Found(Some(stored))),
+        Directive::Refuse(refusal)
+    );
 }
 
 #[test]
-fn the_record_is_created_where_there_is_none() {
+fn the_key_table_is_created_once_if_it_is_missing() {
     let (mut keyed, first) = Keyed::start("k", REQUEST);
-    assert_eq!(keyed.on(failed(sql::NO_TABLE)), ours(sql::ROLLBACK));
-    assert_eq!(keyed.on(done("ROLLBACK")), ours(sql::INSTALL));
-    assert_eq!(keyed.on(done("CREATE TABLE")), Next::Send(first));
-    let refused = keyed.on(failed(sql::NO_TABLE));
-    assert_eq!(refused, ours(sql::ROLLBACK), "created once only");
-    assert!(matches!(keyed.on(done("ROLLBACK")), Next::Again(_)));
+    assert_eq!(
+        keyed.handle(failed(sql::UNDEFINED_TABLE)),
+        internal(sql::ROLLBACK)
+    );
+    assert_eq!(keyed.handle(done("ROLLBACK")), internal(sql::CREATE_TABLE));
+    assert_eq!(keyed.handle(done("CREATE TABLE")), Directive::Send(first));
+    let refused = keyed.handle(failed(sql::UNDEFINED_TABLE));
+    assert_eq!(refused, internal(sql::ROLLBACK), "created once only");
+    assert!(matches!(
+        keyed.handle(done("ROLLBACK")),
+        Directive::Retry(_)
+    ));
 }
 
 /// The connection breaks before the commit was sent: the server undoes the transaction. "Not
 /// run" is true.
 #[test]
-fn a_break_before_the_commit_is_not_run() {
+fn a_connection_lost_before_the_commit_reports_not_run() {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
-    keyed.on(done("INSERT 0 1"));
-    assert_eq!(keyed.on(broken()), Next::Again(Refusal::TransactionLost));
+    keyed.handle(done("INSERT 0 1"));
+    assert_eq!(
+        keyed.handle(broken()),
+        Directive::Retry(Refusal::TransactionLost)
+    );
     assert_eq!(keyed.ran(), Ran::No);
 }
 
 /// The commit left and its answer is lost: "not run" would be a guess.
 #[test]
-fn a_break_after_the_commit_is_unknown() {
+fn a_connection_lost_after_the_commit_reports_unknown() {
     let mut keyed = committing();
     let doubt = Doubt::ConnectionLost;
     let unknown = Refusal::OutcomeUnknown { doubt };
-    assert_eq!(keyed.on(broken()), Next::Again(unknown));
+    assert_eq!(keyed.handle(broken()), Directive::Retry(unknown));
     assert_eq!(keyed.ran(), Ran::Unknown);
 }
 
@@ -112,28 +127,28 @@
 fn a_commit_that_the_server_rolled_back_is_not_run() {
     let mut keyed = committing();
     assert_eq!(
-        keyed.on(done("ROLLBACK")),
-        Next::Again(Refusal::TransactionLost)
+        keyed.handle(done("ROLLBACK")),
+        Directive::Retry(Refusal::TransactionLost)
     );
     let mut keyed = committing();
-    assert_eq!(keyed.on(failed("23514")), ours(sql::ROLLBACK));
-    assert_eq!(keyed.on(done("ROLLBACK")), Next::Failed);
+    assert_eq!(keyed.handle(failed("23514")), internal(sql::ROLLBACK));
+    assert_eq!(keyed.handle(done("ROLLBACK")), Directive::Failed);
     assert_eq!(keyed.ran(), Ran::No);
 }
 
 #[test]
 fn a_statement_that_fails_leaves_no_key() {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
-    keyed.on(done("INSERT 0 1"));
-    assert_eq!(keyed.on(failed("23514")), ours(sql::ROLLBACK));
-    assert_eq!(keyed.on(done("ROLLBACK")), Next::Failed);
+    keyed.handle(done("INSERT 0 1"));
+    assert_eq!(keyed.handle(failed("23514")), internal(sql::ROLLBACK));
+    assert_eq!(keyed.handle(done("ROLLBACK")), Directive::Failed);
 }
 
 /// Two hosts record one key at once. Only the record's primary key makes the second wait and fail;
 /// the fake service below takes that for granted.
 #[test]
-fn the_record_has_the_key_as_its_primary_key() {
-    assert!(sql::INSTALL.contains("(key text PRIMARY KEY,"));
+fn the_key_table_has_the_key_as_its_primary_key() {
+    assert!(sql::CREATE_TABLE.contains("(key text PRIMARY KEY,"));
 }
 
 #[test]
@@ -147,11 +162,11 @@
 #[test]
 fn an_unkeyed_request_is_not_run_until_it_is_sent() {
     let mut single = Single::default();
-    assert_eq!(single.doubt(Doubt::DeadlinePassed), None);
-    single.send();
-    let unknown = single.doubt(Doubt::DeadlinePassed).unwrap();
+    assert_eq!(single.unknown_outcome(Doubt::DeadlinePassed), None);
+    single.mark_sent();
+    let unknown = single.unknown_outcome(Doubt::DeadlinePassed).unwrap();
     assert_eq!(unknown.ran(), Ran::Unknown);
-    single.answered(true);
+    single.record_outcome(true);
     assert_eq!(single.ran(), Ran::No);
 }
 
@@ -159,16 +174,16 @@
 #[should_panic(expected = "at_most_once")]
 fn sending_an_unkeyed_request_twice_is_caught() {
     let mut single = Single::default();
-    single.send();
-    single.send();
+    single.mark_sent();
+    single.mark_sent();
 }
 
 #[test]
 #[should_panic(expected = "true_refusal")]
-fn saying_not_run_of_a_sent_request_is_caught() {
+fn reporting_not_run_for_a_sent_request_is_caught() {
     let mut single = Single::default();
-    single.send();
-    single.refuse(Refusal::TransactionLost);
+    single.mark_sent();
+    single.check_refusal(Refusal::TransactionLost);
 }
 
 /// A server of the fake service: its committed keys and how often each request took effect.
@@ -192,7 +207,7 @@
     random: ChaCha8Rng,
     primary: Data,
     replica: Data,
-    stray: Vec<Transaction>,
+    pending_commits: Vec<Transaction>,
 }
 
 /// What a statement came to, and whether the answer arrives.
@@ -207,31 +222,31 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             primary: Data::default(),
             replica: Data::default(),
-            stray: Vec::new(),
+            pending_commits: Vec::new(),
         }
     }
 
-    /// Time passes: the replica catches up or not, stray commits land or not, the primary dies.
-    fn drift(&mut self) {
+    /// Time passes: the replica catches up or not, pending_commits commits land or not, the primary dies.
+    fn advance(&mut self) {
         if self.random.random_ratio(1, 4) {
             self.replica = self.primary.clone();
         }
         if self.random.random_ratio(1, 3) {
-            for transaction in std::mem::take(&mut self.stray) {
+            for transaction in std::mem::take(&mut self.pending_commits) {
                 self.commit(transaction);
             }
         }
         if self.random.random_ratio(1, 40) {
             self.primary = self.replica.clone();
-            self.stray.clear();
+            self.pending_commits.clear();
         }
     }
 
     /// How often `key` has taken effect or may yet.
-    fn possible(&self, key: &str) -> u32 {
+    fn possible_effects(&self, key: &str) -> u32 {
         let ran = self.primary.effects.get(key).copied().unwrap_or(0);
         let waits = |transaction: &&Transaction| transaction.effect.as_deref() == Some(key);
-        ran + self.stray.iter().filter(waits).count() as u32
+        ran + self.pending_commits.iter().filter(waits).count() as u32
     }
 
     fn commit(&mut self, transaction: Transaction) {
@@ -242,15 +257,17 @@
     }
 
     /// An insert of a key waits for every transaction that has inserted it and not ended.
-    fn settle(&mut self, key: &str) {
+    fn finish_transactions_with(&mut self, key: &str) {
         let holds = |transaction: &Transaction| {
-            let held = transaction.key.as_ref();
-            held.is_some_and(|(held, _)| held == key)
+            let own_key = transaction.key.as_ref();
+            own_key.is_some_and(|(own_key, _)| own_key == key)
         };
-        let (held, rest) = std::mem::take(&mut self.stray).into_iter().partition(holds);
-        self.stray = rest;
-        let held: Vec<Transaction> = held;
-        for transaction in held {
+        let (matching, rest) = std::mem::take(&mut self.pending_commits)
+            .into_iter()
+            .partition(holds);
+        self.pending_commits = rest;
+        let matching: Vec<Transaction> = matching;
+        for transaction in matching {
             if self.random.random_bool(0.5) {
                 self.commit(transaction);
             }
@@ -258,7 +275,7 @@
     }
 
     fn run(&mut self, key: &str, step: &Step, open: &mut Transaction) -> Answer {
-        self.drift();
+        self.advance();
         let lost = self.random.random_ratio(1, 8);
         if lost && self.random.random_bool(0.5) {
             *open = Transaction::default();
@@ -278,13 +295,13 @@
                 open.effect = Some(key.to_owned());
                 return done("INSERT 0 1");
             }
-            Step::Ours(text) => text.as_str(),
+            Step::Internal(text) => text.as_str(),
         };
         if text.starts_with("BEGIN") {
-            self.settle(key);
+            self.finish_transactions_with(key);
             if self.primary.keys.contains_key(key) {
                 open.failed = true;
-                return failed(sql::DUPLICATE);
+                return failed(sql::UNIQUE_VIOLATION);
             }
             let stored = Stored {
                 request: REQUEST.to_owned(),
@@ -313,7 +330,7 @@
             stored.tag = "INSERT 0 1".to_owned();
         }
         if lost && self.random.random_bool(0.5) {
-            self.stray.push(transaction);
+            self.pending_commits.push(transaction);
         } else {
             self.commit(transaction);
         }
@@ -322,7 +339,7 @@
 }
 
 /// One attempt through one host, to its end.
-fn attempt(service: &mut Service, key: &str) -> Next {
+fn attempt(service: &mut Service, key: &str) -> Directive {
     let (mut keyed, mut step) = Keyed::start(key, REQUEST);
     let mut open = Transaction::default();
     loop {
@@ -330,9 +347,9 @@
             Answer::Event(event) => event,
             Answer::Lost => broken(),
         };
-        match keyed.on(event) {
-            Next::Send(next) => step = next,
-            next => return next,
+        match keyed.handle(event) {
+            Directive::Send(next) => step = next,
+            directive => return directive,
         }
     }
 }
@@ -351,13 +368,13 @@
         for number in 0..20 {
             let key = format!("bid-{number}");
             for _ in 0..20 {
-                let possible = service.possible(&key);
-                let next = attempt(&mut service, &key);
+                let possible = service.possible_effects(&key);
+                let directive = attempt(&mut service, &key);
                 let effects = service.primary.effects.get(&key).copied().unwrap_or(0);
                 assert!(effects <= 1, "seed {seed}: {key} ran {effects} times");
-                match next {
-                    Next::Done { .. } => break,
-                    Next::DoneBefore { .. } => {
+                match directive {
+                    Directive::Done { .. } => break,
+                    Directive::AlreadyDone { .. } => {
                         assert_eq!(
                             effects, 1,
                             "seed {seed}: {key} is told done and is not there"
@@ -365,9 +382,9 @@
                         before += 1;
                         break;
                     }
-                    Next::Again(refusal) if refusal.ran() == Ran::Unknown => unknown += 1,
-                    Next::Again(_) => {
-                        let after = service.possible(&key);
+                    Directive::Retry(refusal) if refusal.ran() == Ran::Unknown => unknown += 1,
+                    Directive::Retry(_) => {
+                        let after = service.possible_effects(&key);
                         assert!(
                             after <= possible,
                             "seed {seed}: {key} is told not run and may"
--- a/crates/core/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -86,10 +86,10 @@
     })
 }
 
-fn rule(place: usize, when: When) -> Rule {
+fn rule(position: usize, when: When) -> Rule {
     Rule {
-        name: format!("rule-{place}"),
-        line: place + 1,
+        name: format!("rule-{position}"),
+        line: position + 1,
         when,
         then: Then {
             target: Target::Primary,
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn the_index_chooses_like_the_list() {
+fn the_index_chooses_the_same_rule_as_a_linear_search() {
     let statements = TEXTS.map(statement::classify);
     let all = requests(&statements);
     let strategy = prop::collection::vec(whens(), 0..12);
@@ -133,7 +133,7 @@
         .run(&strategy, |whens| {
             let rules = whens.into_iter().enumerate();
             let fleet = Arc::new(Fleet {
-                rules: rules.map(|(place, when)| rule(place, when)).collect(),
+                rules: rules.map(|(position, when)| rule(position, when)).collect(),
                 ..Fleet::default()
             });
             let index = Index::new(Arc::clone(&fleet));
@@ -148,7 +148,7 @@
 // The checker calls a rule unreachable, the operator removes it, and requests that it did match
 // are treated differently from then on.
 #[test]
-fn a_covered_rule_matches_nothing_more() {
+fn a_covered_rule_matches_no_further_request() {
     let statements = TEXTS.map(statement::classify);
     let all = requests(&statements);
     runner()
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn every_condition_narrows() {
+fn every_condition_can_reject_a_request() {
     let statement = statement::classify("/* flamingopost: tag=bid */ INSERT INTO bids VALUES (1)");
     let request = Request {
         service: service("auction-ledger"),
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -8,7 +8,9 @@
 use flamingopost_core::rule::Target;
 use flamingopost_core::session::Session;
 use flamingopost_core::session::need::Need;
-use flamingopost_core::session::state::{Carried, Effect, Pin, Replay, State, Transaction};
+use flamingopost_core::session::state::{
+    ConnectionParameters, Effect, Pin, Replay, State, Transaction,
+};
 use flamingopost_core::term::Term;
 
 const BEGAN: Duration = Duration::from_secs(100);
@@ -34,23 +36,25 @@
 #[test]
 fn a_position_travels_between_hosts() {
     let history = history();
-    let mut there = Session::new(BEGAN);
-    assert!(there.wrote(at(FIRST, 40), &history));
-    let carried = there.position().unwrap().to_string();
-    let mut here = Session::new(BEGAN);
-    here.set_position(&carried, BEGAN, &history).unwrap();
+    let mut first_host = Session::new(BEGAN);
+    assert!(first_host.record_write(at(FIRST, 40), &history));
+    let reported = first_host.position().unwrap().to_string();
+    let mut second_host = Session::new(BEGAN);
+    second_host
+        .set_position(&reported, BEGAN, &history)
+        .unwrap();
     let position = at(FIRST, 40);
     let wanted = Need::Position {
         position,
         max_age: None,
     };
-    assert_eq!(need(&mut here, &history), Ok(wanted));
+    assert_eq!(need(&mut second_host, &history), Ok(wanted));
 }
 
 /// The same clerk's application forgets to bring the position. Whatever a replica shows could lack
 /// her booking, so only data proven current since she came will do.
 #[test]
-fn a_session_that_brings_nothing_needs_data_from_after_it_began() {
+fn a_session_without_a_position_needs_data_proven_since_its_start() {
     let history = history();
     let mut session = Session::new(BEGAN);
     let wanted = Need::Since {
@@ -61,16 +65,16 @@
 }
 
 #[test]
-fn one_look_at_the_primary_bounds_all_earlier_writes() {
+fn one_position_of_the_primary_bounds_all_earlier_writes() {
     let mut session = Session::new(BEGAN);
     let before = BEGAN - Duration::from_millis(1);
     assert!(
-        !session.saw_primary(at(FIRST, 50), before),
+        !session.observe_primary(at(FIRST, 50), before),
         "asked too early"
     );
-    assert!(session.saw_primary(at(FIRST, 60), BEGAN));
+    assert!(session.observe_primary(at(FIRST, 60), BEGAN));
     assert!(
-        !session.saw_primary(at(FIRST, 70), BEGAN),
+        !session.observe_primary(at(FIRST, 70), BEGAN),
         "nothing new is needed"
     );
     assert_eq!(session.position(), Some(at(FIRST, 60)));
@@ -90,7 +94,7 @@
         need(&mut session, &history),
         Ok(Need::Any { max_age: None })
     );
-    session.wrote(at(FIRST, 3), &history);
+    session.record_write(at(FIRST, 3), &history);
     let needed = need(&mut session, &history).unwrap();
     assert_eq!(
         needed.position(),
@@ -124,7 +128,7 @@
 }
 
 #[test]
-fn positions_only_rise_and_an_empty_one_forgets() {
+fn positions_only_advance_and_an_empty_value_resets_the_session() {
     let history = history();
     let mut session = Session::new(BEGAN);
     session.set_position("1.0/40", BEGAN, &history).unwrap();
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn values_that_cannot_be_read_are_refused() {
+fn invalid_parameter_values_are_refused() {
     let mut session = Session::new(BEGAN);
     for value in ["17", "1.0", "1.0/x", "None", "1.0/-1"] {
         let refusal = session.set_position(value, BEGAN, &history()).unwrap_err();
@@ -157,17 +161,17 @@
 /// A member's bid is acknowledged at 150; the primary dies and the replica that is promoted had
 /// only 100. The member's next statement is told so, once, instead of a lot view without the bid.
 #[test]
-fn a_lost_write_is_told_once() {
+fn a_lost_write_is_reported_once() {
     let mut history = history();
     let mut session = Session::new(BEGAN);
-    session.wrote(at(FIRST, 150), &history);
+    session.record_write(at(FIRST, 150), &history);
     history.open(SECOND, 100);
     let lost = Refusal::PositionLost {
         position: at(FIRST, 150),
         ended_by: SECOND,
         start: 100,
     };
-    assert_eq!(session.tell_loss(&history), Err(lost));
+    assert_eq!(session.check_lost_write(&history), Err(lost));
     let needed = need(&mut session, &history).unwrap();
     assert_eq!(needed.position(), Some(at(SECOND, 100)));
 }
@@ -178,14 +182,14 @@
 fn a_later_write_does_not_hide_a_loss() {
     let mut history = history();
     let mut session = Session::new(BEGAN);
-    session.wrote(at(FIRST, 150), &history);
+    session.record_write(at(FIRST, 150), &history);
     history.open(SECOND, 100);
-    session.wrote(at(SECOND, 130), &history);
+    session.record_write(at(SECOND, 130), &history);
     assert!(matches!(
-        session.tell_loss(&history),
+        session.check_lost_write(&history),
         Err(Refusal::PositionLost { start: 100, .. })
     ));
-    assert_eq!(session.tell_loss(&history), Ok(()));
+    assert_eq!(session.check_lost_write(&history), Ok(()));
     assert_eq!(session.position(), Some(at(SECOND, 130)));
 }
 
@@ -208,22 +212,22 @@
 fn settings_of_one_session_do_not_reach_another() {
     let mut one = State::default();
     one.apply(set("search_path", "yard"));
-    let left = one.carried();
+    let left = one.connection_parameters();
     let other = State::default();
     assert_eq!(other.replay(&left), [reset("search_path")]);
     assert_eq!(one.replay(&left), []);
-    assert_eq!(one.replay(&Carried::default()).len(), 1);
+    assert_eq!(one.replay(&ConnectionParameters::default()).len(), 1);
 }
 
 #[test]
-fn a_rollback_takes_back_settings() {
+fn a_rollback_restores_settings() {
     let mut state = State::default();
     state.apply(set("timezone", "utc"));
-    state.ready(Transaction::Open);
+    state.set_transaction(Transaction::Open);
     state.apply(set("timezone", "eat"));
     state.apply(set("role", "clerk"));
     state.apply(Effect::Rollback);
-    state.ready(Transaction::Idle);
+    state.set_transaction(Transaction::Idle);
     assert_eq!(state.parameter("timezone"), Some("SET timezone = utc"));
     assert_eq!(state.parameter("role"), None);
 }
@@ -231,10 +235,10 @@
 #[test]
 fn a_commit_keeps_settings() {
     let mut state = State::default();
-    state.ready(Transaction::Open);
+    state.set_transaction(Transaction::Open);
     state.apply(set("timezone", "eat"));
     state.apply(Effect::Commit);
-    state.ready(Transaction::Idle);
+    state.set_transaction(Transaction::Idle);
     assert_eq!(state.parameter("timezone"), Some("SET timezone = eat"));
     assert!(!state.is_bound());
 }
@@ -242,19 +246,19 @@
 /// A `SET` after a savepoint may be taken back by a rollback to it, which is not followed. The
 /// session must stay where the truth is.
 #[test]
-fn a_setting_after_a_savepoint_pins() {
+fn a_setting_after_a_savepoint_pins_the_session() {
     let mut state = State::default();
-    state.ready(Transaction::Open);
+    state.set_transaction(Transaction::Open);
     state.apply(Effect::Savepoint);
     state.apply(set("timezone", "eat"));
     state.apply(Effect::Commit);
-    state.ready(Transaction::Idle);
+    state.set_transaction(Transaction::Idle);
     assert!(state.is_bound());
     assert_eq!(state.pins().collect::<Vec<_>>(), [Pin::Untracked]);
 }
 
 #[test]
-fn what_cannot_be_replayed_pins_until_it_is_discarded() {
+fn state_that_cannot_be_replayed_pins_until_discard_all() {
     let mut state = State::default();
     state.apply(Effect::Pin(Pin::Listen));
     state.apply(Effect::Pin(Pin::TemporaryTable));
--- a/crates/core/tests/statement.rs
+++ b/crates/core/tests/statement.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use flamingopost_core::rule::Access;
-use flamingopost_core::statement::{self, Action, Cache, Mistake, SessionState};
+use flamingopost_core::statement::{self, Action, Cache, MarkerError, SessionState};
 
 fn tables(sql: &str) -> Vec<String> {
     let statement = statement::classify(sql);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn reads_go_where_replicas_are() {
+fn statements_that_only_read_are_classified_as_reads() {
     let reads = [
         "SELECT * FROM lots",
         "select count(*), max(price) from lots where closes > now()",
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn whatever_may_write_goes_to_the_primary() {
+fn statements_that_may_write_are_classified_as_writes() {
     let writes = [
         "INSERT INTO bids VALUES (1)",
         "UPDATE lots SET price = 1",
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn tables_are_those_touched_and_no_others() {
+fn tables_are_the_touched_relations_only() {
     assert_eq!(
         tables("SELECT * FROM lots JOIN public.bids USING (id)"),
         ["bids", "lots"]
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn transaction_control_is_told_apart() {
+fn transaction_and_session_statements_have_their_own_actions() {
     let cases = [
         ("BEGIN", Action::Begin { read_only: false }),
         ("begin work read only;", Action::Begin { read_only: true }),
@@ -156,7 +156,7 @@
                 channel: "hammer".into(),
             },
         ),
-        ("CREATE TEMP TABLE x (id int)", Action::Temporary),
+        ("CREATE TEMP TABLE x (id int)", Action::CreateTemporary),
     ];
     for (sql, action) in cases {
         assert_eq!(statement::classify(sql).action(), Some(&action), "{sql}");
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn settings_keep_their_value_and_a_text_to_repeat() {
+fn set_statements_keep_their_value_and_a_text_to_replay() {
     let set = |sql: &str| match statement::classify(sql).action() {
         Some(Action::Set {
             name,
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_stays_on_a_connection_is_tracked_or_pins() {
+fn session_state_is_tracked_or_pinned() {
     let cases = [
         ("SELECT 1", SessionState::Unchanged),
         ("SET LOCAL a.b = 1", SessionState::Unchanged),
@@ -277,7 +277,7 @@
         assert_eq!(statement.marker.key.as_deref(), Some("abc123"));
         assert_eq!(statement.marker.deadline, Some(Duration::from_millis(200)));
         assert_eq!(statement.marker.max_age, Some(Duration::from_millis(500)));
-        assert_eq!(statement.marker.mistake, None);
+        assert_eq!(statement.marker.error, None);
         assert_eq!(statement.access(), Access::Read);
     }
     let inside = statement::classify("SELECT '/* flamingopost: tag=bid */'");
@@ -287,29 +287,32 @@
 // A caller misspells `key` in its marker and later sends the bid again after a lost answer. Were
 // the marker passed over in silence, the bid would run without its key and then a second time.
 #[test]
-fn a_marker_that_cannot_be_understood_says_so() {
-    let mistake = |text: &str| {
+fn an_invalid_marker_carries_its_error() {
+    let error = |text: &str| {
         statement::classify(&format!("/* flamingopost: {text} */ SELECT 1"))
             .marker
-            .mistake
+            .error
     };
-    assert_eq!(mistake("kye=a"), Some(Mistake::UnknownName("kye".into())));
-    assert_eq!(mistake("tag"), Some(Mistake::NotAPair("tag".into())));
-    assert_eq!(mistake("tag=a tag=b"), Some(Mistake::Twice("tag".into())));
-    assert_eq!(mistake("key="), Some(Mistake::Empty("key".into())));
+    assert_eq!(error("kye=a"), Some(MarkerError::UnknownName("kye".into())));
+    assert_eq!(error("tag"), Some(MarkerError::NotAPair("tag".into())));
+    assert_eq!(
+        error("tag=a tag=b"),
+        Some(MarkerError::Duplicate("tag".into()))
+    );
+    assert_eq!(error("key="), Some(MarkerError::Empty("key".into())));
     let name = "deadline_ms".to_owned();
     assert_eq!(
-        mistake("deadline_ms=soon"),
-        Some(Mistake::NotMilliseconds {
+        error("deadline_ms=soon"),
+        Some(MarkerError::NotMilliseconds {
             name,
             value: "soon".into()
         })
     );
-    assert_eq!(mistake("tag=a"), None);
+    assert_eq!(error("tag=a"), None);
 }
 
 #[test]
-fn the_cache_answers_like_the_parser_and_stays_bounded() {
+fn the_cache_agrees_with_the_parser_and_stays_bounded() {
     let mut cache = Cache::new(8);
     for round in 0..100 {
         let sql = format!(
@@ -326,7 +329,7 @@
 }
 
 #[test]
-fn texts_that_differ_in_literals_only_share_an_entry() {
+fn texts_that_differ_only_in_literals_share_an_entry() {
     let mut cache = Cache::new(8);
     for id in 0..50 {
         let sql = format!("SELECT * FROM lots WHERE id = {id} AND name = 'car {id}'");
@@ -348,7 +351,7 @@
 // One caller sends a text with a literal that the parser cannot read, and every other caller's
 // statement of that form would be sent to the primary from then on.
 #[test]
-fn an_unreadable_text_does_not_speak_for_readable_ones() {
+fn an_unparsable_text_does_not_decide_for_parsable_ones() {
     let mut cache = Cache::new(8);
     for sql in [
         "SELECT * FROM lots WHERE name = 'a",
@@ -363,7 +366,7 @@
 // A co-op creates a function make_booking(), whose name starts like make_date(). Taken for a read, its
 // call would be sent to a replica, tried again and hedged: two bookings.
 #[test]
-fn a_function_that_is_named_like_a_built_in_one_may_write() {
+fn a_function_named_like_a_built_in_one_may_write() {
     for name in [
         "make_booking",
         "to_settle",
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use flamingopost_core::invariant::{self, Invariant};
-use flamingopost_core::once::keyed::{Keyed, Next as KeyedNext};
+use flamingopost_core::once::keyed::{Directive as KeyedNext, Keyed};
 use flamingopost_core::refusal::{Doubt, Ran, Refusal};
 use flamingopost_core::retry::{self, Failure};
 use flamingopost_core::route::TargetRole;
@@ -302,7 +302,7 @@
                     .await?;
                 Ok(Outcome::Answered(By::Primary))
             }
-            (KeyedNext::DoneBefore { tag }, _) => {
+            (KeyedNext::AlreadyDone { tag }, _) => {
                 let key = key.to_owned();
                 Err(Stop::Refused(Refusal::AlreadyRan { key, tag }))
             }
@@ -310,7 +310,7 @@
                 self.ready();
                 Ok(Outcome::Answered(By::Primary))
             }
-            (KeyedNext::Again(refusal), _) if !progress.streamed && !late => {
+            (KeyedNext::Retry(refusal), _) if !progress.streamed && !late => {
                 self.front.out.truncate(mark);
                 // The key makes another run from the start safe, whatever became of this one.
                 Ok(Outcome::Failed {
@@ -319,7 +319,7 @@
                     refusal,
                 })
             }
-            (KeyedNext::Again(refusal) | KeyedNext::Refuse(refusal), _) => {
+            (KeyedNext::Retry(refusal) | KeyedNext::Refuse(refusal), _) => {
                 if !progress.streamed {
                     self.front.out.truncate(mark);
                 }
--- a/crates/entry/src/answer/kept.rs
+++ b/crates/entry/src/answer/kept.rs
@@ -75,7 +75,7 @@
                 Doubt::ConnectionLost => Doubt::CommitUnconfirmed,
                 other => other,
             };
-            self.state.ready(Transaction::Idle);
+            self.state.set_transaction(Transaction::Idle);
             Refusal::OutcomeUnknown { doubt }
         } else if open {
             self.orphan();
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -110,7 +110,7 @@
         let statements: Vec<String> = replays.iter().map(statement).collect();
         match back.ask(&statements.join("; ")).await {
             Ok(_) => {
-                back.carried = self.state.carried();
+                back.carried = self.state.connection_parameters();
                 Ok(())
             }
             Err(back::Error::Refused { .. }) => Err(Fault::Settings),
--- a/crates/entry/src/back.rs
+++ b/crates/entry/src/back.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::position::Position;
-use flamingopost_core::session::state::Carried;
+use flamingopost_core::session::state::ConnectionParameters;
 use pgwire::messages::Message;
 use pgwire::messages::response::{ErrorResponse, TransactionStatus};
 use pgwire::messages::simplequery::Query;
@@ -90,7 +90,7 @@
     /// Whether the server last reported to be the primary.
     pub primary: bool,
     /// Session parameters set on it.
-    pub carried: Carried,
+    pub carried: ConnectionParameters,
     /// Numbers of the statements prepared on it.
     pub prepared: BTreeSet<u64>,
     /// Number of the statement behind the unnamed one, where it is known.
@@ -143,7 +143,7 @@
             },
             position: None,
             primary: false,
-            carried: Carried::default(),
+            carried: ConnectionParameters::default(),
             prepared: BTreeSet::new(),
             unnamed: None,
             parameters: Vec::new(),
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use flamingopost_core::digest::Digest;
-use flamingopost_core::once::keyed::{Event, Keyed, Next, Step, Stored};
+use flamingopost_core::once::keyed::{Directive, Event, Keyed, Step, Stored};
 use flamingopost_core::refusal::{Doubt, Refusal};
 use flamingopost_core::rule::Access;
 use flamingopost_core::statement::Action;
@@ -56,12 +56,12 @@
         request: &Request,
         deadline: Duration,
         progress: &mut Progress,
-    ) -> Result<Next, Fault> {
+    ) -> Result<Directive, Fault> {
         let left = deadline.saturating_sub(self.now());
         let work = self.steps(held, keyed, request, progress);
         match tokio::time::timeout(left, work).await {
             Ok(next) => next,
-            Err(_) => Ok(keyed.0.on(Event::Broken(Doubt::DeadlinePassed))),
+            Err(_) => Ok(keyed.0.handle(Event::Broken(Doubt::DeadlinePassed))),
         }
     }
 
@@ -71,17 +71,17 @@
         keyed: &mut (Keyed, Step),
         request: &Request,
         progress: &mut Progress,
-    ) -> Result<Next, Fault> {
+    ) -> Result<Directive, Fault> {
         self.replay(held).await?;
         let (keyed, first) = keyed;
         let mut step = first.clone();
         loop {
             let event = match &step {
-                Step::Ours(sql) => ours(held.lent.back(), sql).await,
+                Step::Internal(sql) => ours(held.lent.back(), sql).await,
                 Step::Statement => self.statement(held, request, progress).await?,
             };
-            match keyed.on(event) {
-                Next::Send(next) => step = next,
+            match keyed.handle(event) {
+                Directive::Send(next) => step = next,
                 ended => return Ok(ended),
             }
         }
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -146,7 +146,7 @@
 
 fn forget(session: &mut Session) {
     let now = session.now();
-    session.writes.forget(now);
+    session.writes.reset(now);
 }
 
 fn show(session: &Session, name: &str) -> Result<Reply, Error> {
@@ -212,7 +212,7 @@
     if request.action().is_some_and(ends) {
         session.orphaned = false;
         session.state.apply(Effect::Rollback);
-        session.state.ready(Transaction::Idle);
+        session.state.set_transaction(Transaction::Idle);
         return give(session, request, &Reply::Done("ROLLBACK"));
     }
     fail(session, request, &Error::Refused(Refusal::TransactionLost));
--- a/crates/entry/src/seek.rs
+++ b/crates/entry/src/seek.rs
@@ -92,7 +92,7 @@
             ..
         } = self;
         service.with_table(|table, now| {
-            session.tell_loss(table.history())?;
+            session.check_lost_write(table.history())?;
             if writes {
                 return Ok((Need::Primary, table.write(now)));
             }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -339,7 +339,7 @@
     pub fn orphan(&mut self) {
         if self.state.transaction() != Transaction::Idle {
             self.orphaned = true;
-            self.state.ready(Transaction::Failed);
+            self.state.set_transaction(Transaction::Failed);
         }
     }
 
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/settle.rs
@@ -141,8 +141,8 @@
             TransactionStatus::Transaction => Transaction::Open,
             TransactionStatus::Error => Transaction::Failed,
         };
-        self.state.ready(now);
-        held.lent.back().carried = self.state.carried();
+        self.state.set_transaction(now);
+        held.lent.back().carried = self.state.connection_parameters();
         if now != Transaction::Idle {
             return Ended::Not;
         }
@@ -224,7 +224,7 @@
         let Session {
             service, writes, ..
         } = self;
-        let risen = service.with_table(|table, _| writes.wrote(position, table.history()));
+        let risen = service.with_table(|table, _| writes.record_write(position, table.history()));
         if risen {
             Verdict::Report(position)
         } else {
@@ -281,7 +281,7 @@
             let Some(position) = position.filter(|position| self.is_kept(*position)) else {
                 return Verdict::Pass;
             };
-            return if self.writes.saw_primary(position, sent) {
+            return if self.writes.observe_primary(position, sent) {
                 Verdict::Report(position)
             } else {
                 Verdict::Pass
--- a/crates/entry/src/tracking.rs
+++ b/crates/entry/src/tracking.rs
@@ -28,7 +28,7 @@
         Action::Commit { .. } => Some(Effect::Commit),
         Action::Rollback { .. } => Some(Effect::Rollback),
         Action::Savepoint => Some(Effect::Savepoint),
-        Action::Temporary => Some(Effect::Pin(Pin::TemporaryTable)),
+        Action::CreateTemporary => Some(Effect::Pin(Pin::TemporaryTable)),
         Action::Listen { .. } => Some(Effect::Pin(Pin::Listen)),
         Action::Unlisten { channel } if channel == "*" => Some(Effect::Unpin(Pin::Listen)),
         Action::DeclareCursor { hold: true } => Some(Effect::Pin(Pin::HeldCursor)),
--- a/crates/entry/src/treatment.rs
+++ b/crates/entry/src/treatment.rs
@@ -62,7 +62,7 @@
         }
     };
     check_marker(statement)?;
-    let statement = statement.tagged(tag);
+    let statement = statement.with_default_tag(tag);
     let statement = statement.as_ref();
     let fleet = rules.index.fleet();
     let role = fleet.callers.get(&caller);
@@ -119,7 +119,7 @@
 
 /// A key that was passed over in silence would let a resubmission run twice.
 fn check_marker(statement: &Statement) -> Result<(), Refusal> {
-    match &statement.marker.mistake {
+    match &statement.marker.error {
         Some(mistake) => Err(Refusal::BadParameter {
             parameter: MARKER,
             value: mistake.to_string(),
--- a/crates/standin/src/backend/engine.rs
+++ b/crates/standin/src/backend/engine.rs
@@ -22,7 +22,7 @@
 /// The virtual file system that keeps the index of the write-ahead log on the heap.
 const FILE_SYSTEM: &std::ffi::CStr = c"unix-excl";
 
-const SCHEMA: &str = flamingopost_core::once::sql::INSTALL;
+const SCHEMA: &str = flamingopost_core::once::sql::CREATE_TABLE;
 
 /// Files of one server. A rebuild begins a new file.
 #[derive(Debug)]
--- a/crates/wire/src/explanation.rs
+++ b/crates/wire/src/explanation.rs
@@ -133,7 +133,7 @@
             tables: statement.tables().clone(),
             tag: statement.tag().map(str::to_owned),
             session_state: session_state(statement.session_state()).to_owned(),
-            mistake: statement.marker.mistake.as_ref().map(ToString::to_string),
+            mistake: statement.marker.error.as_ref().map(ToString::to_string),
             rule: rule.map(|rule| Rule {
                 name: rule.name.clone(),
                 line: rule.line,
