--- a/crates/core/src/budget/host_budget.rs
+++ b/crates/core/src/budget/host_budget.rs
@@ -98,7 +98,7 @@
     }
 
     /// Counts a connection that was closed, or failed to open.
-    pub fn closed(&mut self) {
+    pub fn connection_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -446,19 +446,19 @@
         if ticket.opens_transaction && !server.accepts_transaction(now) {
             return false;
         }
-        let leads = self.leader == Some(key);
+        let is_leader = self.leader == Some(key);
         if ticket.need == Need::Leader {
             // A leaving primary serves writes until another server is the primary.
-            return leads && !self.is_on_hold(now);
+            return is_leader && !self.is_on_hold(now);
         }
         if server.state != ServerState::Serving || ticket.avoid == Some(key) {
             return false;
         }
         match ticket.need {
-            Need::Leader => leads,
+            Need::Leader => is_leader,
             Need::Position { position, at } => {
-                let leads = leads && !(self.holds_reads && self.is_on_hold(now));
-                !server.is_broken(now) && (leads || server.may_have_position(position, at, now))
+                let is_leader = is_leader && !(self.holds_reads && self.is_on_hold(now));
+                !server.is_broken(now) && (is_leader || server.may_have_position(position, at, now))
             }
         }
     }
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -23,13 +23,13 @@
 ///
 /// let at = Duration::from_secs(1);
 /// let mut feed = Feed::default();
-/// feed.read(40, Some(37));
+/// feed.record_read(40, Some(37));
 /// feed.record_peer_read(40, at);
 /// assert!(!feed.is_stuck(at + STUCK_AFTER), "as of 40 there was nothing newer than 37");
 /// feed.record_peer_read(41, at);
 /// assert!(feed.is_behind() && !feed.is_stuck(at));
 /// assert!(feed.is_stuck(at + STUCK_AFTER));
-/// feed.read(43, Some(41));
+/// feed.record_read(43, Some(41));
 /// assert!(!feed.is_stuck(at + STUCK_AFTER));
 /// assert_eq!(feed.newest(), 41);
 /// ```
@@ -53,7 +53,7 @@
 impl Feed {
     /// Records that everything up to version `as_of` was read. `newest` is the version of the newest
     /// change in it, if there was any.
-    pub fn read(&mut self, as_of: u64, newest: Option<u64>) {
+    pub fn record_read(&mut self, as_of: u64, newest: Option<u64>) {
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(newest.unwrap_or_default());
         if self
--- a/crates/core/src/hedge.rs
+++ b/crates/core/src/hedge.rs
@@ -32,7 +32,7 @@
 /// }
 /// let wait = hedge.wait(Duration::from_millis(2)).unwrap();
 /// assert!(wait >= Duration::from_millis(2));
-/// assert!(hedge.send(&mut Budget::hedges()));
+/// assert!(hedge.may_send(&mut Budget::hedges()));
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Hedge {
@@ -62,7 +62,7 @@
 
     /// Returns whether the copy may be sent now. If so, it takes a token from `budget`.
     #[must_use]
-    pub fn send(&self, budget: &mut Budget) -> bool {
+    pub fn may_send(&self, budget: &mut Budget) -> bool {
         self.seen >= MIN_ANSWERS && budget.take()
     }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -142,7 +142,13 @@
     /// and their answers contain a position but no age. So a replica is also proven current when it
     /// has reached a position of the primary: the position in the primary's answer covers every
     /// write that was acknowledged before the message to the primary was sent.
-    pub fn status(&mut self, server: ServerKey, status: Status, sent: Duration, now: Duration) {
+    pub fn record_status(
+        &mut self,
+        server: ServerKey,
+        status: Status,
+        sent: Duration,
+        now: Duration,
+    ) {
         if self.primary(now).map(|(primary, _)| primary) == Some(server) {
             self.primary_positions.record(status.position, sent);
         }
@@ -158,7 +164,7 @@
     }
 
     /// Records that a server could not be reached.
-    pub fn unreachable(&mut self, server: ServerKey, now: Duration) {
+    pub fn mark_unreachable(&mut self, server: ServerKey, now: Duration) {
         if let Some(server) = self.servers.get_mut(&server) {
             server.record_failure(now);
         }
@@ -172,7 +178,7 @@
     }
 
     /// Records that a request starts on `server`.
-    pub fn started(&mut self, server: ServerKey, now: Duration) {
+    pub fn request_started(&mut self, server: ServerKey, now: Duration) {
         let Some(server) = self.servers.get_mut(&server) else {
             return;
         };
@@ -189,9 +195,9 @@
     }
 
     /// Records that a request ended on `server`. `took` is its latency if it was answered.
-    pub fn finished(&mut self, server: ServerKey, took: Option<Duration>) {
+    pub fn request_finished(&mut self, server: ServerKey, took: Option<Duration>) {
         if let Some(server) = self.servers.get_mut(&server) {
-            server.finished(took);
+            server.request_finished(took);
         }
     }
 
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -151,7 +151,7 @@
         self.failed_at = Some(now);
     }
 
-    pub(super) fn finished(&mut self, took: Option<Duration>) {
+    pub(super) fn request_finished(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
             let old = self.average_latency.unwrap_or(took);
@@ -205,9 +205,9 @@
         if passed <= 0.0 {
             return;
         }
-        let grown = position.log.saturating_sub(before.log) as f64 / passed;
-        let old = self.log_rate.unwrap_or(grown);
-        self.log_rate = Some(old + SMOOTHING * (grown - old));
+        let rate = position.log.saturating_sub(before.log) as f64 / passed;
+        let old = self.log_rate.unwrap_or(rate);
+        self.log_rate = Some(old + SMOOTHING * (rate - old));
         self.last_sample = Some((now, position));
     }
 }
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -119,7 +119,7 @@
     assert!(due <= LEASE - CLOSE_MARGIN);
     let excess = 6 - grant.floor;
     assert_eq!(budget.advise(due), Advice::Close(excess));
-    (0..excess).for_each(|_| budget.closed());
+    (0..excess).for_each(|_| budget.connection_closed());
     budget.check(seconds(3600));
     assert_eq!(budget.advise(seconds(3600)), Advice::Keep);
 }
@@ -130,10 +130,10 @@
 fn floors_of_vanished_hosts_never_use_up_the_limit() {
     let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
     let host = hosts(1)[0];
-    for life in 0..100 {
-        let now = seconds(5 * life);
-        let grant = server_budget.renew(renewal(host, life, 4), now);
-        assert!(grant.leased >= 1, "life {life} gets nothing");
+    for incarnation in 0..100 {
+        let now = seconds(5 * incarnation);
+        let grant = server_budget.renew(renewal(host, incarnation, 4), now);
+        assert!(grant.leased >= 1, "life {incarnation} gets nothing");
     }
     let floors: u16 = server_budget
         .floors()
@@ -174,7 +174,7 @@
 /// One host of a randomised run.
 struct Host {
     key: HostKey,
-    life: u64,
+    incarnation: u64,
     budget: HostBudget,
     /// Rate of its clock relative to the controller's.
     rate: f64,
@@ -189,10 +189,10 @@
 }
 
 /// A grant that is in transit to a host.
-struct Flight {
+struct GrantInFlight {
     arrives: Duration,
     host: usize,
-    life: u64,
+    incarnation: u64,
     sent: Duration,
     grant: Grant,
 }
@@ -201,12 +201,12 @@
     random: ChaCha8Rng,
     server_budget: ServerBudget,
     hosts: Vec<Host>,
-    flights: Vec<Flight>,
+    in_flight: Vec<GrantInFlight>,
     /// Connections of killed processes that the server has not closed yet, and the time until which
     /// it may keep them: the end of the grant that they were opened under.
     orphaned: Vec<(Duration, u16)>,
     now: Duration,
-    most: u16,
+    max_open: u16,
 }
 
 impl Fleet {
@@ -216,7 +216,7 @@
             .into_iter()
             .map(|key| Host {
                 key,
-                life: 0,
+                incarnation: 0,
                 budget: HostBudget::default(),
                 rate: 1.0 + random.random_range(-0.01..0.01),
                 paused_until: Duration::ZERO,
@@ -227,18 +227,18 @@
             random,
             server_budget: ServerBudget::new(LIMIT, Duration::ZERO),
             hosts,
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             orphaned: Vec::new(),
             now: Duration::from_secs(1),
-            most: 0,
+            max_open: 0,
         }
     }
 
     fn step(&mut self) {
         self.now += Duration::from_millis(self.random.random_range(1..60));
-        self.land();
+        self.deliver();
         for index in 0..self.hosts.len() {
-            self.act(index);
+            self.step_host(index);
         }
         if self.random.random_ratio(1, 200) {
             self.replace_controller();
@@ -246,36 +246,36 @@
         self.check();
     }
 
-    fn land(&mut self) {
+    fn deliver(&mut self) {
         let now = self.now;
-        let (landed, flying) = std::mem::take(&mut self.flights)
+        let (arrived, pending) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|flight| flight.arrives <= now);
-        self.flights = flying;
-        let landed: Vec<Flight> = landed;
-        for flight in landed {
+        self.in_flight = pending;
+        let arrived: Vec<GrantInFlight> = arrived;
+        for flight in arrived {
             let host = &mut self.hosts[flight.host];
-            if host.life == flight.life && now >= host.paused_until {
+            if host.incarnation == flight.incarnation && now >= host.paused_until {
                 host.budget.grant(flight.grant, flight.sent, LEASE);
             }
         }
     }
 
-    fn act(&mut self, index: usize) {
-        let dice = self.random.random_range(0..1000);
+    fn step_host(&mut self, index: usize) {
+        let choice = self.random.random_range(0..1000);
         let host = &mut self.hosts[index];
         if self.now < host.paused_until {
             return;
         }
         let clock = host.clock(self.now);
         while let Advice::Close(_) = host.budget.advise(clock) {
-            host.budget.closed();
+            host.budget.connection_closed();
         }
-        match dice {
+        match choice {
             0..600 => {
                 let _ = host.budget.try_open(clock);
             }
-            600..640 if host.budget.open_connections() > 0 => host.budget.closed(),
+            600..640 if host.budget.open_connections() > 0 => host.budget.connection_closed(),
             640..780 if self.now >= host.cut_until => self.renew(index),
             780..784 => self.kill(index),
             784..787 => host.cut_until = self.now + seconds(8),
@@ -292,17 +292,17 @@
         let host = &self.hosts[index];
         let ask = Renewal {
             same_zone,
-            ..renewal(host.key, host.life, demand)
+            ..renewal(host.key, host.incarnation, demand)
         };
-        let (life, sent) = (host.life, host.clock(self.now));
+        let (incarnation, sent) = (host.incarnation, host.clock(self.now));
         let grant = self.server_budget.renew(ask, self.now + delay / 2);
         if self.random.random_ratio(1, 5) {
             return;
         }
-        self.flights.push(Flight {
+        self.in_flight.push(GrantInFlight {
             arrives: self.now + delay,
             host: index,
-            life,
+            incarnation,
             sent,
             grant,
         });
@@ -325,7 +325,7 @@
             .push((self.now + leased.unwrap_or(LEASE), rest));
         self.orphaned.push((self.now + seconds(7000), floor));
         host.budget = HostBudget::default();
-        host.life += 1;
+        host.incarnation += 1;
     }
 
     fn replace_controller(&mut self) {
@@ -349,7 +349,7 @@
             open + orphaned <= LIMIT,
             "{open} open and {orphaned} of killed processes"
         );
-        self.most = self.most.max(open + orphaned);
+        self.max_open = self.max_open.max(open + orphaned);
         for host in &self.hosts {
             if now >= host.paused_until {
                 host.budget.check(host.clock(now));
@@ -369,7 +369,7 @@
     for seed in first..first + schedules {
         let mut fleet = Fleet::new(seed);
         (0..600).for_each(|_| fleet.step());
-        most = most.max(fleet.most);
+        most = most.max(fleet.max_open);
     }
     println!("{schedules} schedules from seed {first}: at most {most} of {LIMIT} open");
     assert!(
--- a/crates/core/tests/dispatch/load.rs
+++ b/crates/core/tests/dispatch/load.rs
@@ -65,12 +65,12 @@
         }
         window(dispatch, keys[0], now)
     };
-    let calm = answer(&mut dispatch, 20, 400);
-    assert_eq!(calm, 4, "as many as the host may have connections");
-    let crowded = answer(&mut dispatch, 200, 400);
-    assert_eq!(crowded, 1);
-    let calm = answer(&mut dispatch, 20, 400);
-    assert_eq!(calm, 4, "it widens again");
+    let uncongested = answer(&mut dispatch, 20, 400);
+    assert_eq!(uncongested, 4, "as many as the host may have connections");
+    let congested = answer(&mut dispatch, 200, 400);
+    assert_eq!(congested, 1);
+    let uncongested = answer(&mut dispatch, 20, 400);
+    assert_eq!(uncongested, 4, "it widens again");
 }
 
 /// Returns how many requests run at `server` at once when the host has enough connections.
--- a/crates/core/tests/dispatch/main.rs
+++ b/crates/core/tests/dispatch/main.rs
@@ -1,8 +1,8 @@
 //! Assignment of requests to pooled connections.
 
-mod crowd;
 mod load;
 mod random;
+mod shared_server;
 
 use std::time::Duration;
 
--- a/crates/core/tests/dispatch/crowd.rs
+++ b/crates/core/tests/dispatch/shared_server.rs
@@ -35,7 +35,7 @@
 fn hosts_share_a_congested_server_evenly() {
     for hosts in [2, 5] {
         for seed in 0..4 {
-            let served = Crowd::new(hosts, seed).play();
+            let served = Simulation::new(hosts, seed).run();
             let least = served.iter().min().copied().unwrap_or_default();
             let most = served.iter().max().copied().unwrap_or_default();
             assert!(
@@ -47,7 +47,7 @@
 }
 
 /// Simulation of the hosts and of the server that they share.
-struct Crowd {
+struct Simulation {
     rng: ChaCha8Rng,
     server: ServerKey,
     hosts: Vec<Host>,
@@ -71,8 +71,8 @@
     sent: Duration,
 }
 
-impl Crowd {
-    fn new(hosts: usize, seed: u64) -> Crowd {
+impl Simulation {
+    fn new(hosts: usize, seed: u64) -> Simulation {
         let server = keys()[0];
         let host = |_| {
             let mut dispatch = Dispatch::default();
@@ -84,7 +84,7 @@
                 opening: 0,
             }
         };
-        Crowd {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             server,
             hosts: (0..hosts).map(host).collect(),
@@ -96,20 +96,20 @@
     }
 
     /// Returns the number of requests answered for each host in the counted phase.
-    fn play(mut self) -> Vec<u64> {
+    fn run(mut self) -> Vec<u64> {
         let start = self.now;
         for tick in 0..CALM + SETTLING + COUNTED {
             if tick == CALM + SETTLING {
                 self.hosts.iter_mut().for_each(|host| host.served = 0);
             }
             self.now = start + ms(tick);
-            self.finish();
+            self.finish_requests();
             // 30% of the server's capacity, then 150% of it.
             let load = if tick < CALM { 0.3 } else { 1.5 };
             for host in 0..self.hosts.len() {
                 self.step(host, load);
             }
-            self.begin();
+            self.start_requests();
         }
         self.hosts.iter().map(|host| host.served).collect()
     }
@@ -136,7 +136,7 @@
     }
 
     /// Answers the requests that the server has completed.
-    fn finish(&mut self) {
+    fn finish_requests(&mut self) {
         let now = self.now;
         let done: Vec<Job> = self
             .running
@@ -157,7 +157,7 @@
     }
 
     /// Starts queued requests on free slots, in order of arrival.
-    fn begin(&mut self) {
+    fn start_requests(&mut self) {
         while self.running.len() < SLOTS
             && let Some(job) = self.queue.pop_front()
         {
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_feed_behind_its_peers_becomes_stuck() {
     let mut feed = Feed::default();
-    feed.read(10, Some(10));
+    feed.record_read(10, Some(10));
     feed.record_peer_read(12, at(1_000));
     assert!(!feed.is_stuck(at(1_399)), "the change may still arrive");
     assert!(feed.is_stuck(at(1_400)));
@@ -25,7 +25,7 @@
 #[test]
 fn changes_of_other_tables_do_not_count() {
     let mut feed = Feed::default();
-    feed.read(20, Some(12));
+    feed.record_read(20, Some(12));
     feed.record_peer_read(15, at(0));
     assert!(!feed.is_stuck(at(60_000)));
     assert_eq!(
@@ -40,7 +40,7 @@
 #[test]
 fn a_host_refused_by_the_store_retries_with_backoff() {
     let mut feed = Feed::default();
-    feed.read(10, None);
+    feed.record_read(10, None);
     let mut asked = Vec::new();
     for now in (0..20_000).step_by(50) {
         feed.record_peer_read(11 + now / 1_000, at(now));
@@ -53,7 +53,7 @@
     assert_eq!(gaps[..3], [800, 1_600, 3_200]);
     let most = u64::try_from(STUCK_AFTER_MAX.as_millis()).unwrap();
     assert!(gaps[3..].iter().all(|gap| *gap == most), "{gaps:?}");
-    feed.read(40, Some(30));
+    feed.record_read(40, Some(30));
     assert!(!feed.is_stuck(at(30_000)));
     feed.record_peer_read(41, at(30_000));
     assert!(
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -144,7 +144,7 @@
     let mut sent = 0;
     for _ in 0..1000 {
         budget.record_request();
-        sent += u32::from(hedge.send(&mut budget));
+        sent += u32::from(hedge.may_send(&mut budget));
     }
     assert!((50..=60).contains(&sent), "{sent}");
 }
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -76,7 +76,7 @@
         });
         let position = Position { term: TERM, log };
         self.table
-            .status(server, Status { position, fresh }, now, now);
+            .record_status(server, Status { position, fresh }, now, now);
     }
 
     fn read(&self, need: Need) -> Route {
@@ -155,7 +155,7 @@
 fn an_idle_remote_replica_is_preferred_to_a_busy_local_one() {
     let mut scene = Scene::new();
     for _ in 0..12 {
-        scene.table.started(scene.near, NOW);
+        scene.table.request_started(scene.near, NOW);
     }
     assert_eq!(scene.read(after(100)), replica(scene.far));
 }
@@ -166,8 +166,8 @@
 fn a_partitioned_zone_refuses_only_reads_that_need_newer_data() {
     let mut scene = Scene::new();
     let now = LEASE_END + ms(500);
-    scene.table.unreachable(scene.primary, now);
-    scene.table.unreachable(scene.far, now);
+    scene.table.mark_unreachable(scene.primary, now);
+    scene.table.mark_unreachable(scene.far, now);
     scene.report_at(scene.near, 100, 400, now);
     assert!(matches!(
         scene.read_at(aged(450), now),
@@ -185,8 +185,8 @@
 fn a_primary_without_a_lease_ages_like_a_replica() {
     let mut scene = Scene::new();
     let now = LEASE_END + ms(100);
-    scene.table.unreachable(scene.near, now);
-    scene.table.unreachable(scene.far, now);
+    scene.table.mark_unreachable(scene.near, now);
+    scene.table.mark_unreachable(scene.far, now);
     scene.report_at(scene.primary, 120, 0, now);
     assert_eq!(scene.read_at(aged(150), now), replica(scene.primary));
     assert!(matches!(
@@ -223,7 +223,7 @@
     service.history.open(NEXT, 100);
     scene.table.adopt(service, NOW);
     scene.table.extend_lease(NEXT, LEASE_END);
-    scene.table.unreachable(scene.far, NOW);
+    scene.table.mark_unreachable(scene.far, NOW);
     let any = Need::Any { max_age: None };
     let to_new = Route::Go {
         server: scene.near,
@@ -245,7 +245,9 @@
         },
         fresh: None,
     };
-    scene.table.status(scene.near, old, NOW, NOW + ms(20));
+    scene
+        .table
+        .record_status(scene.near, old, NOW, NOW + ms(20));
     assert_eq!(scene.read_at(after(100), NOW + ms(20)), replica(scene.far));
 }
 
@@ -290,7 +292,9 @@
     let mut scene = Scene::new();
     scene.settings.get_mut(&scene.near).unwrap().leaving = true;
     scene.table.configure(&scene.settings, NOW);
-    scene.table.started(scene.near, NOW + LEAVING_GRACE + ms(1));
+    scene
+        .table
+        .request_started(scene.near, NOW + LEAVING_GRACE + ms(1));
 }
 
 #[test]
@@ -318,11 +322,17 @@
     };
     let asked = NOW + ms(1000);
     let now = asked + ms(5);
-    scene.table.status(scene.primary, status(200), asked, now);
+    scene
+        .table
+        .record_status(scene.primary, status(200), asked, now);
     let later = NOW + ms(1100);
-    scene.table.status(scene.near, status(199), later, later);
+    scene
+        .table
+        .record_status(scene.near, status(199), later, later);
     assert_eq!(scene.read_at(aged(150), later), primary(scene.primary));
-    scene.table.status(scene.near, status(200), later, later);
+    scene
+        .table
+        .record_status(scene.near, status(200), later, later);
     assert_eq!(scene.read_at(aged(150), later), replica(scene.near));
     assert_eq!(scene.read_at(aged(50), later), primary(scene.primary));
 }
@@ -337,8 +347,10 @@
         position: Position { term: TERM, log },
         fresh: None,
     };
-    scene.table.status(scene.primary, status(200), now, now);
-    scene.table.status(scene.near, status(200), now, now);
+    scene
+        .table
+        .record_status(scene.primary, status(200), now, now);
+    scene.table.record_status(scene.near, status(200), now, now);
     assert!(matches!(
         scene.read_at(aged(300), now),
         Route::Refuse(Refusal::DataTooOld { .. })
@@ -374,7 +386,7 @@
 #[test]
 fn a_position_that_no_server_has_reached_is_refused_with_a_retry_time() {
     let mut scene = Scene::new();
-    scene.table.unreachable(scene.primary, NOW);
+    scene.table.mark_unreachable(scene.primary, NOW);
     let Route::Refuse(refusal) = scene.read(after(200)) else {
         panic!("served without the position");
     };
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -160,7 +160,7 @@
             return;
         };
         let status = Status { position, fresh };
-        self.with_table(|table, now| table.status(back.server, status, sent, now));
+        self.with_table(|table, now| table.record_status(back.server, status, sent, now));
         let mut state = self.lock();
         if state.parameters.is_empty() && !back.parameters.is_empty() {
             state.parameters = Arc::new(back.parameters.clone());
@@ -171,7 +171,7 @@
     /// controllers need not wait as long as for one that is merely silent.
     pub fn broke(&self, server: ServerKey) {
         self.shared.report(server, Outcome::Broken);
-        self.with_table(|table, now| table.unreachable(server, now));
+        self.with_table(|table, now| table.mark_unreachable(server, now));
     }
 
     /// Notes what kept a connection to `server` from being opened or used.
@@ -185,7 +185,7 @@
     /// Notes that `server` did not answer in time, or could not be used.
     pub fn failed(&self, server: ServerKey) {
         self.shared.report(server, Outcome::Failed);
-        self.with_table(|table, now| table.unreachable(server, now));
+        self.with_table(|table, now| table.mark_unreachable(server, now));
     }
 
     /// The time.
@@ -203,7 +203,7 @@
 
     /// Notes that a request starts on `server`.
     pub fn started(&self, server: ServerKey) {
-        self.with_table(|table, now| table.started(server, now));
+        self.with_table(|table, now| table.request_started(server, now));
     }
 
     /// After which wait a copy of a read is sent, where its rule says `wait`; nothing before
@@ -218,7 +218,7 @@
     pub fn may_hedge(&self) -> bool {
         let mut state = self.lock();
         let State { hedge, hedges, .. } = &mut *state;
-        hedge.send(hedges)
+        hedge.may_send(hedges)
     }
 
     /// The first copy of a read was answered after `took`.
@@ -229,7 +229,7 @@
     /// Notes that it ended, after `took` where it was answered.
     pub fn finished(&self, server: ServerKey, took: Option<Duration>) {
         let distance = self.with_table(|table, _| {
-            table.finished(server, took);
+            table.request_finished(server, took);
             let known = table.servers().get(&server);
             known.map(|known| known.settings.distance)
         });
--- a/crates/load/src/reads.rs
+++ b/crates/load/src/reads.rs
@@ -226,7 +226,7 @@
             }
             let word = entry.remove();
             self.table
-                .status(word.server, word.status, word.sent, self.now);
+                .record_status(word.server, word.status, word.sent, self.now);
         }
     }
 
--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -142,7 +142,7 @@
 
     /// Everything up to `revision` was read.
     pub fn read(&self, revision: u64, newest: Option<u64>) {
-        self.feed.borrow_mut().read(revision, newest);
+        self.feed.borrow_mut().record_read(revision, newest);
     }
 
     /// Takes in how far `read` goes.
