--- a/crates/proxy/src/feeds.rs
+++ b/crates/proxy/src/feeds.rs
@@ -146,7 +146,7 @@
 
     /// Records that everything up to `revision` was read.
     pub fn record_read(&self, revision: u64, newest: Option<u64>) {
-        self.feed.borrow_mut().read(revision, newest);
+        self.feed.borrow_mut().record_read(revision, newest);
     }
 
     /// Records how far `read` reaches.
