--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -46,7 +46,7 @@
 /// let sent = Duration::from_secs(10);
 /// let ticket = holder.renewal_sent(0, sent);
 /// let lease = Duration::from_secs(2);
-/// holder.granted(ticket, view.version, lease, Some(view), sent);
+/// holder.on_granted(ticket, view.version, lease, Some(view), sent);
 ///
 /// let position = Position { term, log: 5 };
 /// let in_time = sent + Duration::from_secs(1);
--- a/crates/core/src/lease_ledger.rs
+++ b/crates/core/src/lease_ledger.rs
@@ -35,7 +35,7 @@
 /// let mut ledger = Ledger::default();
 /// let holder = Instance { host: HostKey::default(), incarnation: 1 };
 /// ledger.grant(holder, Duration::from_secs(2), Duration::from_secs(10));
-/// assert_eq!(ledger.longest(Duration::from_secs(11)), Duration::from_secs(1));
+/// assert_eq!(ledger.longest_remaining(Duration::from_secs(11)), Duration::from_secs(1));
 /// assert!(ledger.running(Duration::from_secs(12)).is_empty());
 /// ```
 #[derive(Debug, Default)]
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -80,7 +80,7 @@
 /// let process = Process { host: HostKey::default(), incarnation: 7 };
 /// let heartbeat = Member {
 ///     zone: ZoneKey::default(),
-///     heard: Duration::from_secs(1),
+///     last_heartbeat: Duration::from_secs(1),
 ///     config: 4,
 ///     stopping: false,
 /// };
