--- a/crates/core/src/epoch.rs
+++ b/crates/core/src/epoch.rs
@@ -1,4 +1,4 @@
-//! EpochTracker of the platform's store: what holds after it has come back from a copy.
+//! Epochs of the platform's store: what holds after it has come back from a copy.
 //!
 //! The store may lose the last seconds of what it has acknowledged. Its counts go back then and are
 //! given out again, so nothing that one epoch has counted is compared with what another has. What is
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -78,8 +78,8 @@
     /// A repeated claim to lead carries no news: a replaced primary keeps reporting it until it
     /// learns of its successor, whose row may be older by then.
     pub fn record_listing(&mut self, server: ServerKey, role: Role, version: u64) {
-        let proves = self.ended_term > Term::default() && self.successor != Some(server);
-        let ended = proves.then_some(self.ended_term);
+        let needs_proof = self.ended_term > Term::default() && self.successor != Some(server);
+        let ended = needs_proof.then_some(self.ended_term);
         let known = self.servers.entry(server).or_insert(ServerState {
             claims_primary: false,
             distrusted: false,
@@ -94,9 +94,9 @@
             return;
         }
         known.listed_version = version;
-        let claimed = known.claims_primary;
+        let claimed_before = known.claims_primary;
         known.claims_primary = role == Role::Primary;
-        if known.claims_primary && !claimed {
+        if known.claims_primary && !claimed_before {
             known.claim_version = version;
         }
         known.distrusted &= known.claims_primary;
@@ -172,8 +172,10 @@
     pub fn record_order(&mut self, term: Term, successor: Option<ServerKey>) {
         // The host that gave the order may not know that the successor of the previous order
         // already leads, in a term that this order does not name.
-        let before = self.successor.filter(|before| Some(*before) != successor);
-        if let Some(known) = before.and_then(|before| self.servers.get_mut(&before)) {
+        let previous = self
+            .successor
+            .filter(|previous| Some(*previous) != successor);
+        if let Some(known) = previous.and_then(|previous| self.servers.get_mut(&previous)) {
             known.ended_through = known.ended_through.max(Some(known.led_term.max(term)));
         }
         if term >= self.ended_term {
--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -151,9 +151,9 @@
     /// Returns the hosts that count as gone for good.
     pub fn gone_hosts(&self, now: Duration) -> BTreeSet<HostKey> {
         let silent = |contact: &Contact| now >= contact.heard_at + GONE_TIMEOUT;
-        let lost = self.others.values().filter(|it| silent(it)).count();
+        let silent_count = self.others.values().filter(|it| silent(it)).count();
         // If most hosts are silent, this host is the one that is cut off.
-        if lost * 2 > self.others.len() {
+        if silent_count * 2 > self.others.len() {
             return BTreeSet::new();
         }
         let gone = self.others.iter().filter(|(_, contact)| silent(contact));
@@ -168,13 +168,14 @@
         others.map(|(host, _)| *host).collect()
     }
 
-    /// Returns when the last lease ends that a host not in `told` may hold from an earlier answer
+    /// Returns when the last lease ends that a host not in `answered` may hold from an earlier answer
     /// of this host.
-    pub fn leases_end(&self, told: &BTreeSet<HostKey>, now: Duration) -> Duration {
+    pub fn leases_end(&self, answered: &BTreeSet<HostKey>, now: Duration) -> Duration {
         let gone = self.gone_hosts(now);
-        let writing = self.others.iter();
-        let writing = writing.filter(|(host, _)| !told.contains(host) && !gone.contains(host));
-        let until = writing.map(|(_, contact)| contact.heard_at + LEASE_DURATION + CLOCK_MARGIN);
+        let unanswered = self.others.iter();
+        let unanswered =
+            unanswered.filter(|(host, _)| !answered.contains(host) && !gone.contains(host));
+        let until = unanswered.map(|(_, contact)| contact.heard_at + LEASE_DURATION + CLOCK_MARGIN);
         until.max().unwrap_or_default()
     }
 }
--- a/crates/core/src/succession.rs
+++ b/crates/core/src/succession.rs
@@ -126,7 +126,7 @@
     Ordering {
         token: FencingToken,
         server: ServerKey,
-        had: Position,
+        position: Position,
     },
     /// An order was accepted and has not taken effect yet.
     Awaiting {
@@ -185,7 +185,7 @@
     /// begins there or later.
     pub fn successor_position(&self) -> Position {
         match self.phase {
-            Phase::Ordering { had, .. } => had,
+            Phase::Ordering { position, .. } => position,
             _ => Position::default(),
         }
     }
@@ -304,8 +304,16 @@
                 until,
                 inquiry,
             } => self.choose_successor(token, until, inquiry, view, now),
-            Phase::Ordering { token, server, had } => {
-                self.phase = Phase::Ordering { token, server, had };
+            Phase::Ordering {
+                token,
+                server,
+                position,
+            } => {
+                self.phase = Phase::Ordering {
+                    token,
+                    server,
+                    position,
+                };
                 Vec::new()
             }
             Phase::Awaiting { until } => self.wait(Phase::Awaiting { until }, until, view, now),
@@ -372,8 +380,8 @@
     /// their own turn.
     fn replace_leaving(&mut self, view: &View, now: Duration) -> Vec<NextStep> {
         let since = *self.leaving_since.get_or_insert(now);
-        let turn = (LEAVING_TURN * view.rank).min(LEAVING_DELAY_MAX);
-        if now < since + turn {
+        let delay = (LEAVING_TURN * view.rank).min(LEAVING_DELAY_MAX);
+        if now < since + delay {
             return Vec::new();
         }
         self.phase = Phase::Claiming(Inquiry {
@@ -479,21 +487,23 @@
     ) -> Vec<NextStep> {
         // Another host's order may have taken effect while the store decided on the claim. The
         // result of an inquiry about one primary is no reason to replace the next.
-        let over = view.term > inquiry.term;
-        if view.trouble.is_none() || over || inquiry.sees_newer_leader(view) {
+        let replaced = view.term > inquiry.term;
+        if view.trouble.is_none() || replaced || inquiry.sees_newer_leader(view) {
             return Vec::new();
         }
         // Hosts that are cut off together with the primary may keep relying on it until their
         // leases end. The successor would lack what they acknowledge after the order.
-        let quiet = now >= view.leases_end;
+        let leases_ended = now >= view.leases_end;
         let best = inquiry.best_candidate(view, &self.leader_history, now);
-        let best = best.filter(|best| quiet && self.may_order(token, *best, view, now));
-        let over = now >= until;
+        let best = best.filter(|best| leases_ended && self.may_order(token, *best, view, now));
+        let timed_out = now >= until;
         let complete = inquiry.is_complete(view, &self.leader_history, now);
-        let gains = inquiry.may_find_better(view, &self.leader_history, now);
-        let lacks = view.synchronous && !complete || gains;
+        let may_improve = inquiry.may_find_better(view, &self.leader_history, now);
+        let must_wait = view.synchronous && !complete || may_improve;
         match best {
-            Some(_) if inquiry.are_reports_outdated(now) && (complete || over && !lacks) => {
+            Some(_)
+                if inquiry.are_reports_outdated(now) && (complete || timed_out && !must_wait) =>
+            {
                 inquiry.ask_again(now);
                 self.phase = Phase::Choosing {
                     token,
@@ -502,12 +512,18 @@
                 };
                 vec![NextStep::AskServers]
             }
-            Some(server) if complete && inquiry.has_confirmed(server) || over && !lacks => {
-                let had = inquiry.received_position(server);
-                self.phase = Phase::Ordering { token, server, had };
+            Some(server)
+                if complete && inquiry.has_confirmed(server) || timed_out && !must_wait =>
+            {
+                let position = inquiry.received_position(server);
+                self.phase = Phase::Ordering {
+                    token,
+                    server,
+                    position,
+                };
                 vec![NextStep::Promote { server, token }]
             }
-            _ if over && (lacks || !quiet) => {
+            _ if timed_out && (must_wait || !leases_ended) => {
                 inquiry.ask_again(now);
                 self.phase = Phase::Choosing {
                     token,
@@ -517,7 +533,7 @@
                 // A host that is reachable and has not answered may have missed the request.
                 vec![NextStep::AskHosts, NextStep::AskServers]
             }
-            None if over => {
+            None if timed_out => {
                 self.retry_at = now + INQUIRY_BACKOFF;
                 Vec::new()
             }
@@ -545,8 +561,8 @@
         view: &View,
         now: Duration,
     ) -> bool {
-        let newest = Some(token) >= view.newest_token;
-        newest
+        let is_newest = Some(token) >= view.newest_token;
+        is_newest
             && self.unanswered_order.is_none_or(|order| {
                 order.token != token
                     || order.server == server
--- a/crates/core/src/succession/inquiry.rs
+++ b/crates/core/src/succession/inquiry.rs
@@ -79,7 +79,7 @@
         &self,
         trouble: Trouble,
         view: &View,
-        led: &LeaderHistory,
+        history: &LeaderHistory,
         now: Duration,
     ) -> Decision {
         if self.sees_newer_leader(view) {
@@ -92,32 +92,32 @@
             Trouble::Refuses { since } | Trouble::Silent { since } => (since, false),
         };
         let refuses = matches!(trouble, Trouble::Refuses { .. });
-        let over = now >= self.deadline;
-        let reach = self.count(Opinion::Reaches);
-        let most = self.has_majority(view);
-        let replaced = led.is_last_replaced(view);
-        let alone = if replaced {
+        let timed_out = now >= self.deadline;
+        let reaching = self.count(Opinion::Reaches);
+        let majority = self.has_majority(view);
+        let replaced = history.is_last_replaced(view);
+        let delay = if replaced {
             RETURN_TIMEOUT
         } else {
             MINORITY_DELAY
         };
-        let complete = self.opinions.len() == view.peers.len() && !replaced;
-        match (most, reach) {
-            (true, 0) if over || complete => Decision::Replace,
+        let all_answered = self.opinions.len() == view.peers.len() && !replaced;
+        match (majority, reaching) {
+            (true, 0) if timed_out || all_answered => Decision::Replace,
             // No process listens on the primary's port any more, so a host that has not answered
             // yet cannot know better.
             (true, 0) if refuses && now >= self.started_at + OBJECTION_TIMEOUT => Decision::Replace,
-            (true, _) if over && now >= since + DIVIDED_DELAY => Decision::Replace,
-            (false, 0) if over && unlisted && now >= since + alone => Decision::Replace,
-            _ if over => Decision::Keep,
+            (true, _) if timed_out && now >= since + DIVIDED_DELAY => Decision::Replace,
+            (false, 0) if timed_out && unlisted && now >= since + delay => Decision::Replace,
+            _ if timed_out => Decision::Keep,
             _ => Decision::Pending,
         }
     }
 
     /// Reports whether more than half of all hosts miss the primary.
     fn has_majority(&self, view: &View) -> bool {
-        let fail = self.count(Opinion::Fails) + 1;
-        fail * 2 > view.peers.len() + 1
+        let missing = self.count(Opinion::Fails) + 1;
+        missing * 2 > view.peers.len() + 1
     }
 
     /// Records the status report of a server.
@@ -180,8 +180,8 @@
     /// servers have to report, and the best candidate has to reach the newest position that this
     /// host has seen acknowledged, even when the replica that had it is down for a while. When only
     /// the first reports counted, 54 and 67 acknowledged commits were lost on two of 24 days.
-    pub(super) fn is_complete(&self, view: &View, led: &LeaderHistory, now: Duration) -> bool {
-        if !self.all_reported(view) || self.may_find_better(view, led, now) {
+    pub(super) fn is_complete(&self, view: &View, history: &LeaderHistory, now: Duration) -> bool {
+        if !self.all_reported(view) || self.may_find_better(view, history, now) {
             return false;
         }
         // A leaving primary keeps acknowledging commits meanwhile, and its replicas receive them.
@@ -189,7 +189,7 @@
             return true;
         }
         let best = self
-            .best_candidate(view, led, now)
+            .best_candidate(view, history, now)
             .and_then(|best| self.reports.get(&best));
         let has_all = best.is_some_and(|report| report.received >= view.newest_position);
         has_all || now >= self.started_at + RETURN_TIMEOUT
@@ -206,8 +206,13 @@
     /// and may be the only server with a log: 242 acknowledged writes were rolled back for an empty
     /// server that had just been listed again. After [`RETURN_TIMEOUT`] without a primary, the
     /// former primary is the best candidate.
-    pub(super) fn may_find_better(&self, view: &View, led: &LeaderHistory, now: Duration) -> bool {
-        let best = self.best_candidate(view, led, now);
+    pub(super) fn may_find_better(
+        &self,
+        view: &View,
+        history: &LeaderHistory,
+        now: Duration,
+    ) -> bool {
+        let best = self.best_candidate(view, history, now);
         let Some((best, report)) = best.and_then(|it| Some((it, self.reports.get(&it)?))) else {
             return false;
         };
@@ -217,21 +222,21 @@
         if now >= self.started_at + RETURN_TIMEOUT {
             return false;
         }
-        let mark = view.required_positions.get(&best);
+        let required = view.required_positions.get(&best);
         // The position of an empty log carries the newest term, so it compares greater than every
         // log that ends in an older one.
         let lacks =
             |mark: &Position| report.received < *mark || report.has_empty_log() && mark.log > 0;
-        let behind = mark.is_some_and(lacks);
-        let unheard = !self.all_reported(view);
+        let behind = required.is_some_and(lacks);
+        let incomplete = !self.all_reported(view);
         // The old primary may come back with its log, and is no candidate while it is down. It is
         // worth the wait when the alternative is a server that has lost its whole log.
         let lost_all = report.has_empty_log() && behind;
         // A leaving primary is alive and has a longer log, which it may still send.
-        let leaves = self.cause == Some(Trouble::Leaving) && view.newest_position.log > 0;
+        let is_leaving = self.cause == Some(Trouble::Leaving) && view.newest_position.log > 0;
         lost_all
-            || leaves && report.has_empty_log()
-            || unheard && (report.has_empty_log() || behind)
+            || is_leaving && report.has_empty_log()
+            || incomplete && (report.has_empty_log() || behind)
     }
 
     /// Returns the candidate with the longest log. On a tie all hosts choose the lowest key.
@@ -243,25 +248,25 @@
     pub(super) fn best_candidate(
         &self,
         view: &View,
-        led: &LeaderHistory,
+        history: &LeaderHistory,
         now: Duration,
     ) -> Option<ServerKey> {
-        let most = self.has_majority(view);
+        let majority = self.has_majority(view);
         // No inquiry is made for a leaving primary: it leads, so no other successor does.
-        let known = most || self.cause == Some(Trouble::Leaving);
-        let fit = |server: &ServerKey, report: &Report| {
-            !led.has_unmerged_log(*server, report)
-                || known && led.follows_newest_primary(*server, report)
+        let trusts_report = majority || self.cause == Some(Trouble::Leaving);
+        let eligible = |server: &ServerKey, report: &Report| {
+            !history.has_unmerged_log(*server, report)
+                || trusts_report && history.follows_newest_primary(*server, report)
         };
-        let best = self.longest_log(view, fit);
-        let any = self.longest_log(view, |_, _| true);
+        let best = self.longest_log(view, eligible);
+        let longest = self.longest_log(view, |_, _| true);
         let waited = self.has_waited_long(view, now);
-        let empty =
+        let is_empty =
             |server: ServerKey| self.reports.get(&server).is_some_and(Report::has_empty_log);
         match best {
-            Some(best) if empty(best) && waited => any,
+            Some(best) if is_empty(best) && waited => longest,
             Some(best) => Some(best),
-            None => any.filter(|_| waited && most),
+            None => longest.filter(|_| waited && majority),
         }
     }
 
@@ -287,16 +292,16 @@
     fn longest_log(
         &self,
         view: &View,
-        fit: impl Fn(&ServerKey, &Report) -> bool,
+        eligible: impl Fn(&ServerKey, &Report) -> bool,
     ) -> Option<ServerKey> {
         let candidates = view.candidates.iter().filter_map(|server| {
             let report = self.reports.get(server)?;
-            let follows = view.leader != Some(*server) && report.role == Role::Replica;
+            let is_replica = view.leader != Some(*server) && report.role == Role::Replica;
             let confirmed = self.has_confirmed(*server);
-            let extent = (!report.has_empty_log(), report.received, confirmed);
-            (follows && fit(server, report)).then_some((extent, *server))
+            let order = (!report.has_empty_log(), report.received, confirmed);
+            (is_replica && eligible(server, report)).then_some((order, *server))
         });
-        let best = candidates.max_by_key(|(extent, _)| *extent);
+        let best = candidates.max_by_key(|(order, _)| *order);
         best.map(|(_, server)| server)
     }
 }
--- a/crates/core/tests/adoption.rs
+++ b/crates/core/tests/adoption.rs
@@ -16,7 +16,7 @@
 /// A host restarts while the platform is down. The first peer that answers was cut off for an
 /// hour and has an old version; adopting it would revert what the host did before its restart.
 #[test]
-fn a_fresh_host_waits_for_all_it_can_ask() {
+fn a_starting_host_waits_for_all_sources() {
     let mut adoption = Adoption::starting(2);
     assert_eq!(adoption.record_platform_failure(), AdoptionStep::Idle);
     assert_eq!(adoption.record_peer_answer(Some(4)), AdoptionStep::Idle);
@@ -37,7 +37,7 @@
 
 /// An answer is cut short on its way. Half a configuration must not come into force.
 #[test]
-fn a_damaged_body_is_not_taken() {
+fn a_damaged_body_is_rejected() {
     let mut adoption = Adoption::starting(0);
     adoption.record_head(1, digest(1));
     let whole = body(1);
@@ -74,7 +74,7 @@
 /// on purpose, and the program itself has to notice.
 #[test]
 #[should_panic(expected = "upward_configuration")]
-fn going_back_is_noticed() {
+fn a_version_that_goes_back_violates_the_invariant() {
     let mut adoption = Adoption::starting(0);
     adoption.record_adopted(2);
     adoption.record_adopted(1);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn versions_only_go_up_and_reach_everybody() {
+fn versions_never_go_back_and_reach_every_host() {
     let schedules = match std::env::var("FLAMINGOPOST_SCHEDULES") {
         Ok(count) => count.parse().expect("FLAMINGOPOST_SCHEDULES is a number"),
         Err(_) => 500,
--- a/crates/core/tests/epoch.rs
+++ b/crates/core/tests/epoch.rs
@@ -107,8 +107,8 @@
         let view = self.view(number, leases);
         let servers = self.servers.clone();
         let host = &mut self.hosts[number];
-        let mut todo = host.succession.step(&view, now);
-        while let Some(next) = todo.pop() {
+        let mut pending = host.succession.step(&view, now);
+        while let Some(next) = pending.pop() {
             match next {
                 NextStep::AskHosts => view.peers.iter().for_each(|peer| {
                     host.succession.record_opinion(*peer, Opinion::Fails);
@@ -118,7 +118,7 @@
                 }),
                 NextStep::Claim => {
                     host.claims += 1;
-                    todo.extend(host.succession.claim_won(grant, now));
+                    pending.extend(host.succession.claim_won(grant, now));
                 }
                 NextStep::Promote { token, .. } => host.orders.push((now, token)),
             }
@@ -149,13 +149,13 @@
 /// back from a copy without that claim, and another host wins it anew. Both ordered a successor, each
 /// its own, and what the first one had acknowledged was rolled back: the second waits until the first
 /// has heard of the drill, and the first claims anew.
-fn a_lost_claim_is_not_acted_on(hosts: usize) {
+fn a_lost_claim_causes_no_order(hosts: usize) {
     let (first, second) = (0, hosts - 1);
     let mut fleet = Fleet::new(hosts);
-    let (leases, drill, heard) = (ms(950), ms(700), ms(1_300));
+    let (leases, restore_at, heard) = (ms(950), ms(700), ms(1_300));
     let mut now = ms(400);
     while now < ms(6_000) {
-        if now == drill {
+        if now == restore_at {
             fleet.restore(second, now);
         }
         if now == heard {
@@ -169,7 +169,7 @@
         if now < heard || claims < 2 {
             fleet.step(first, leases, BEFORE, now);
         }
-        if now >= drill {
+        if now >= restore_at {
             fleet.step(second, leases, AFTER, now);
         }
         now += STEP;
@@ -180,25 +180,25 @@
     assert_eq!(grant, AFTER);
     assert!(at >= heard, "{at:?}");
     assert!(
-        at <= drill + CLAIM_HOLDER_TIMEOUT + STEP,
+        at <= restore_at + CLAIM_HOLDER_TIMEOUT + STEP,
         "{at:?}: nobody is waited for"
     );
 }
 
 #[test]
-fn a_lost_claim_is_not_acted_on_with_six_hosts() {
-    a_lost_claim_is_not_acted_on(6);
+fn a_lost_claim_causes_no_order_with_six_hosts() {
+    a_lost_claim_causes_no_order(6);
 }
 
 #[test]
-fn a_lost_claim_is_not_acted_on_with_seventy_four_hosts() {
-    a_lost_claim_is_not_acted_on(74);
+fn a_lost_claim_causes_no_order_with_seventy_four_hosts() {
+    a_lost_claim_causes_no_order(74);
 }
 
 /// A host that waits for leases under a claim hears of a drill: it gives no order under that claim,
 /// and claims anew at once, without asking all others again.
 #[test]
-fn a_claim_is_made_anew_after_a_drill() {
+fn a_claim_is_made_again_after_a_restore() {
     let mut fleet = Fleet::new(6);
     let mut now = ms(400);
     while now < ms(800) {
@@ -220,7 +220,7 @@
 /// A host that starts after a drill hears the new epoch first and takes it for the only one: another
 /// host, which knows the one before, tells it that claims may be missing.
 #[test]
-fn a_host_that_has_just_started_is_told_of_a_drill() {
+fn a_host_that_has_just_started_learns_of_a_restore() {
     let mut fleet = Fleet::new(6);
     let others = fleet.hosts[0].others.clone();
     let epochs = &mut fleet.hosts[0].epochs;
@@ -241,7 +241,7 @@
 /// A stranger at an address that a host had before tells of an epoch that the store never had. Hosts took
 /// its word, passed over all that the store told, and asked it again at once, 6,000 times a second each.
 #[test]
-fn what_others_tell_of_epochs_does_not_outdate_the_store() {
+fn an_epoch_reported_by_a_host_does_not_outdate_the_store() {
     let fleet = Fleet::new(6);
     let mut epochs = EpochTracker::default();
     epochs.record_store_epoch(Epoch(2), ms(0));
--- a/crates/core/tests/extent.rs
+++ b/crates/core/tests/extent.rs
@@ -24,7 +24,7 @@
 /// A primary starts again without its log, in the term that it led. On the first connection to it,
 /// it shows the start of that term, while a replica had shown an entry of it.
 #[test]
-fn a_primary_with_less_than_was_shown_before_is_not_the_one_that_led() {
+fn a_primary_with_less_than_an_earlier_position_has_lost_its_log() {
     let mut extent = LogExtent::default();
     extent.record_position(position(3, 40), ms(100));
     assert!(extent.lacks(position(3, 0), ms(200)));
@@ -36,7 +36,7 @@
 /// Answers overtake each other. What was asked before the log had got that far was answered in
 /// good faith: a primary was taken for an empty one whenever two callers wrote at once.
 #[test]
-fn a_question_from_before_proves_nothing() {
+fn a_request_sent_before_a_position_was_seen_proves_nothing() {
     let mut extent = LogExtent::default();
     extent.record_position(position(3, 40), ms(100));
     assert!(!extent.lacks(position(3, 39), ms(99)));
@@ -45,7 +45,7 @@
 /// An empty log shows the start of the newest term. It is past each entry of older terms, so right
 /// after a change of primary an empty server would count as the one with most.
 #[test]
-fn the_start_of_a_term_is_nothing_that_was_written() {
+fn the_start_of_a_term_does_not_extend_the_log() {
     let mut extent = LogExtent::default();
     extent.record_position(position(3, 40), ms(100));
     extent.record_position(position(4, 0), ms(110));
@@ -56,7 +56,7 @@
 /// that this host had not heard of; its empty log showed the start of that one, and was taken for the
 /// log of a server that had been promoted since.
 #[test]
-fn a_server_that_started_again_proves_its_log() {
+fn a_restarted_server_has_to_prove_its_log() {
     let mut extent = LogExtent::default();
     assert!(extent.proves(position(3, 0)), "nothing was written");
     extent.record_position(position(2, 40), ms(100));
@@ -73,7 +73,7 @@
 /// word came between a question and its answer; the empty one was believed for a moment, and took
 /// the bids that had waited.
 #[test]
-fn no_allowance_is_made_for_a_server_that_is_doubted() {
+fn a_distrusted_server_gets_no_allowance_for_requests_in_flight() {
     let mut extent = LogExtent::default();
     extent.record_position(position(3, 40), ms(100));
     assert!(!extent.lacks(position(3, 39), ms(90)));
@@ -83,7 +83,7 @@
 /// A primary starts again without its log. A read is sent there, and while it is on its way another
 /// server shows a write more. That the primary lacked nearly all of the log was known long before.
 #[test]
-fn a_log_that_has_just_grown_hides_no_loss() {
+fn a_log_that_has_just_grown_does_not_hide_a_loss() {
     let mut extent = LogExtent::default();
     extent.record_position(position(3, 111), ms(1_000));
     extent.record_position(position(3, 113), ms(2_040));
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -23,7 +23,7 @@
 /// before the freeze, so no replica can be shown to be fresh enough; a guess would show the lot
 /// as open although it was sold during the freeze.
 #[test]
-fn nothing_is_vouched_for_after_a_freeze() {
+fn samples_from_before_a_pause_prove_no_freshness() {
     let mut vouch = FreshnessTracker::default();
     vouch.add_sample(position(1, 40), ms(1_000));
     let arrived = ms(4_200);
@@ -33,7 +33,7 @@
 /// A member's bid is at 1.57 when its primary dies; the successor starts term 2 from 1.55. The
 /// session would ask for 1.57 for ever and be refused everywhere. The start of term 2 stands in.
 #[test]
-fn a_position_that_a_promotion_dropped_does_not_wedge_its_session() {
+fn a_position_dropped_by_a_promotion_does_not_block_its_session() {
     let mut vouch = FreshnessTracker::default();
     vouch.add_sample(position(1, 57), ms(100));
     vouch.record_term(Term::from_number(2));
@@ -44,7 +44,7 @@
 /// A primary was replaced while an answer of its was on the way. The answer arrives after those
 /// of the successor and must not vouch for anything.
 #[test]
-fn an_answer_of_an_ended_term_vouches_for_nothing() {
+fn an_answer_of_an_ended_term_is_no_sample() {
     let mut vouch = FreshnessTracker::default();
     vouch.add_sample(position(2, 60), ms(200));
     vouch.add_sample(position(1, 99), ms(300));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn samples_older_than_the_horizon_go() {
+fn samples_past_the_retention_are_removed() {
     let mut vouch = FreshnessTracker::default();
     vouch.add_sample(position(1, 1), ms(0));
     vouch.add_sample(position(1, 9), SAMPLE_RETENTION + ms(100));
@@ -62,7 +62,7 @@
 /// Whatever the order in which answers arrive: the floor covers everything that was acknowledged
 /// before the moment that a read names.
 #[test]
-fn floors_cover_all_that_was_acknowledged() {
+fn required_positions_cover_all_acknowledged_writes() {
     for seed in 0..2_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut vouch = FreshnessTracker::default();
--- a/crates/core/tests/leader.rs
+++ b/crates/core/tests/leader.rs
@@ -18,7 +18,7 @@
 /// Bids go to a primary that was replaced a moment ago, because its entry in the list still says
 /// that it leads. It refuses the first; from then on nothing more is sent there.
 #[test]
-fn a_refusal_outlives_the_list_that_it_contradicts() {
+fn a_refusal_overrides_an_older_list_entry() {
     let (old, new) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(old, Role::Primary, 4);
@@ -33,7 +33,7 @@
 /// A primary crashes and its entry stays for seconds, while a successor reports itself. Both say
 /// that they lead; the one whose entry changed last, and later the one of the higher term, does.
 #[test]
-fn the_successor_wins_over_the_entry_of_the_dead() {
+fn a_successor_is_preferred_to_the_entry_of_a_dead_primary() {
     let (dead, successor) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(dead, Role::Primary, 3);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn changes_are_told_once_with_what_was_before() {
+fn each_change_is_returned_once_with_the_previous_primary() {
     let (first, _) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(first, Role::Primary, 1);
@@ -75,7 +75,7 @@
 /// went there, and were gone with the next change of primary. It has to show the log first,
 /// whatever it says of itself.
 #[test]
-fn a_claim_that_is_doubted_does_not_count() {
+fn a_distrusted_claim_to_lead_does_not_count() {
     let (empty, other) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(other, Role::Replica, 3);
@@ -94,7 +94,7 @@
 /// An empty primary was replaced and follows its successor. Later it is promoted, and
 /// nothing is written at first; it was still doubted for what it had lost, and nobody led.
 #[test]
-fn a_server_that_has_followed_is_believed_again() {
+fn a_server_that_has_followed_is_trusted_again() {
     let (empty, other) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(other, Role::Replica, 3);
@@ -114,7 +114,7 @@
 /// the list, but the former start was refused and gone for a while: nothing of that holds for the
 /// newer one, which is known under a key of its own.
 #[test]
-fn a_newer_start_owes_nothing_to_the_former() {
+fn a_restarted_server_inherits_no_state_of_its_previous_start() {
     let (former, newer) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(former, Role::Primary, 9);
@@ -130,7 +130,7 @@
 /// before and answers as before, and hosts went back and forth between it and its successor, whose
 /// term they had not seen yet.
 #[test]
-fn a_replaced_primary_that_leads_on_gives_way_to_any_other() {
+fn any_other_claim_is_preferred_to_a_replaced_primary_that_keeps_leading() {
     let (old, new) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(old, Role::Primary, 3);
@@ -150,7 +150,7 @@
 /// A host hears of an order, but no successor shows. The order may still be carried out after
 /// seconds, so the old primary is not gone back to, not even when it says that it leads.
 #[test]
-fn an_ended_term_does_not_come_back() {
+fn a_primary_of_an_ended_term_is_not_accepted_again() {
     let (old, new) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(old, Role::Primary, 3);
@@ -166,7 +166,7 @@
 
 /// A host missed the order and sees only that some replica's log has reached the next term.
 #[test]
-fn a_newer_term_ends_those_before() {
+fn a_newer_term_ends_older_ones() {
     let (old, new) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_role(old, Role::Primary, term(1));
@@ -181,7 +181,7 @@
 /// was seen to lead. It lists itself as the primary, later than the successor did, and its term is not
 /// known yet: hosts wrote to it until they had asked.
 #[test]
-fn a_replaced_primary_under_another_id_is_not_believed_before_it_shows_its_term() {
+fn a_replaced_primary_under_another_id_is_not_trusted_before_it_shows_its_term() {
     let mut names: Names<ServerKey> = Names::default();
     let [old, new, again] = ["ledger-1", "ledger-2", "ledger-4"].map(|name| names.intern(name));
     let mut leader = LeaderTracker::default();
@@ -203,7 +203,7 @@
 /// hears of it when the cut ends, and went on reading at the first successor: buses that had been given
 /// away since were shown as free, 4 to 8 reads in three of four plays of a day.
 #[test]
-fn an_order_ends_the_lead_that_the_order_before_began() {
+fn an_order_ends_the_term_that_the_previous_order_began() {
     let mut names: Names<ServerKey> = Names::default();
     let [old, first, second] = ["ledger-1", "ledger-2", "ledger-3"].map(|name| names.intern(name));
     let mut leader = LeaderTracker::default();
@@ -228,7 +228,7 @@
 /// entry anew a moment later, as it does with each heartbeat: it leads. Hosts went back to it for 18 ms, and
 /// what it acknowledged was gone.
 #[test]
-fn a_primary_that_repeats_itself_does_not_hide_its_successor() {
+fn a_repeated_claim_to_lead_does_not_hide_the_successor() {
     let (old, new) = servers();
     let mut leader = LeaderTracker::default();
     leader.record_listing(old, Role::Primary, 3);
@@ -245,7 +245,7 @@
 /// Guards against a service without a primary for good: its successor never came to lead, and hosts went back
 /// to a new start of the replaced one again and again, which they refuse to rely on.
 #[test]
-fn a_new_start_of_a_replaced_primary_is_not_gone_back_to() {
+fn a_restarted_replaced_primary_is_not_accepted_again() {
     let (old, successor) = servers();
     let mut names: Names<ServerKey> = Names::default();
     let again = ["ledger-1", "ledger-2", "ledger-1 again"].map(|name| names.intern(name))[2];
--- a/crates/core/tests/quorum.rs
+++ b/crates/core/tests/quorum.rs
@@ -25,7 +25,7 @@
 /// Two hosts of six are cut off together with a primary. They would go on telling clerks that
 /// sales are recorded, which the successor of that primary does not have.
 #[test]
-fn a_cut_off_part_stops_writing() {
+fn a_minority_partition_loses_its_lease() {
     let others = hosts(5);
     let mut quorum = Quorum::default();
     quorum.set_hosts(others.iter().copied().collect(), ms(0));
@@ -55,7 +55,7 @@
 /// In a large fleet a few hosts are asked by all. One that is not among them counts only those:
 /// its own opinion is no part of a majority.
 #[test]
-fn a_host_outside_counts_only_those_that_it_asks() {
+fn a_host_that_is_no_elector_counts_only_electors() {
     let others = hosts(3);
     let mut quorum = Quorum::default();
     quorum.set_elector(false);
@@ -69,7 +69,7 @@
 /// Most hosts are killed at once. The one that is left has nobody to ask, but the platform's
 /// store says that nobody replaces the primary: writes go on.
 #[test]
-fn the_store_stands_in_for_hosts_that_are_gone() {
+fn a_store_lease_replaces_the_majority() {
     let mut quorum = Quorum::default();
     quorum.set_hosts(hosts(5).into_iter().collect(), ms(0));
     assert!(!quorum.holds_lease(ms(2_000)));
@@ -83,7 +83,7 @@
 /// A host was removed for good without notice and stays in the list. It must not count for ever:
 /// with one more lost, half of the list would be no majority any more.
 #[test]
-fn a_host_that_is_gone_for_good_counts_no_more() {
+fn a_host_that_is_gone_for_good_does_not_count() {
     let others = hosts(3);
     let mut quorum = Quorum::default();
     quorum.set_hosts(others.iter().copied().collect(), ms(0));
@@ -98,7 +98,7 @@
 /// A host alone in its fleet, or one that all others have answered, waits for nobody: with the
 /// moment of the question as the answer, a step that had begun before it never found it quiet.
 #[test]
-fn with_everybody_told_there_is_nothing_to_wait_for() {
+fn no_lease_is_waited_for_when_all_hosts_have_answered() {
     let others = hosts(2);
     let mut quorum = Quorum::default();
     assert_eq!(quorum.leases_end(&BTreeSet::new(), ms(5_000)), ms(0));
@@ -109,7 +109,7 @@
 
 /// Where nobody is heard, it is this host that is cut off, however long it lasts.
 #[test]
-fn a_cut_off_host_takes_nobody_as_gone() {
+fn an_isolated_host_counts_no_host_as_gone() {
     let mut quorum = Quorum::default();
     quorum.set_hosts(hosts(4).into_iter().collect(), ms(0));
     assert!(quorum.gone_hosts(GONE_TIMEOUT * 4).is_empty());
@@ -127,7 +127,7 @@
 /// sides of a contact have to be looked at, which is why the order waits from when a host was last
 /// heard and the lease runs from when the question was sent.
 #[test]
-fn nobody_relies_on_a_primary_whose_successor_leads() {
+fn no_host_relies_on_a_primary_whose_successor_leads() {
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(3..8);
--- a/crates/core/tests/succession.rs
+++ b/crates/core/tests/succession.rs
@@ -32,7 +32,7 @@
     }
 }
 
-struct Scene {
+struct Fixture {
     succession: Succession,
     view: View,
     servers: [ServerKey; 3],
@@ -40,7 +40,7 @@
 }
 
 /// Six hosts, a primary and two replicas; the primary refuses connections since 1 s.
-fn scene() -> Scene {
+fn fixture() -> Fixture {
     let mut servers: Names<ServerKey> = Names::default();
     let servers = ["ledger-1", "ledger-2", "ledger-3"].map(|name| servers.intern(name));
     let mut hosts: Names<HostKey> = Names::default();
@@ -64,7 +64,7 @@
         previous_starts: BTreeMap::new(),
         distrusted: BTreeSet::new(),
     };
-    Scene {
+    Fixture {
         succession: Succession::default(),
         view,
         servers,
@@ -72,18 +72,18 @@
     }
 }
 
-impl Scene {
+impl Fixture {
     /// All hosts miss the primary, the claim is won, and only the first replica has answered.
-    fn claim(&mut self) {
+    fn win_claim(&mut self) {
         self.step(ms(1_020));
         self.succession.record_report(self.servers[1], replica(40));
-        self.hear(5, 0);
+        self.record_opinions(5, 0);
         self.step(ms(1_025));
         self.succession.claim_won(FencingToken(7), ms(1_032));
     }
 
     /// The order that makes the second replica the primary.
-    fn order(&self) -> NextStep {
+    fn expected_order(&self) -> NextStep {
         NextStep::Promote {
             server: self.servers[2],
             token: FencingToken(7),
@@ -94,7 +94,7 @@
         self.succession.step(&self.view, now)
     }
 
-    fn hear(&mut self, fails: usize, reaches: usize) {
+    fn record_opinions(&mut self, fails: usize, reaches: usize) {
         let (missing, reaching) = (&self.hosts[..fails], &self.hosts[fails..fails + reaches]);
         for host in missing {
             self.succession.record_opinion(*host, Opinion::Fails);
@@ -108,41 +108,51 @@
 /// A primary's process dies. All hosts see it within milliseconds, so the claim is made at once,
 /// and the replica that has received most is ordered to lead as soon as the claim is won.
 #[test]
-fn a_dead_primary_is_replaced_by_the_replica_with_most() {
-    let mut scene = scene();
+fn a_dead_primary_is_replaced_by_the_replica_with_the_longest_log() {
+    let mut fixture = fixture();
     assert_eq!(
-        scene.step(ms(1_020)),
+        fixture.step(ms(1_020)),
         [NextStep::AskHosts, NextStep::AskServers]
     );
-    scene
+    fixture
         .succession
-        .record_report(scene.servers[1], replica(40));
-    scene
+        .record_report(fixture.servers[1], replica(40));
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(43));
-    scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
-    assert_eq!(scene.step(ms(1_030)), [], "the store has not answered yet");
-    scene.succession.claim_won(FencingToken(7), ms(1_032));
-    let order = scene.order();
-    assert_eq!(scene.step(ms(1_032)), [order]);
-    scene.succession.order_finished(Order::Accepted, ms(1_050));
-    assert!(scene.succession.is_under_way());
-    assert_eq!(scene.step(ms(1_500)), [], "it takes about a second to show");
+        .record_report(fixture.servers[2], replica(43));
+    fixture.record_opinions(5, 0);
+    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
+    assert_eq!(
+        fixture.step(ms(1_030)),
+        [],
+        "the store has not answered yet"
+    );
+    fixture.succession.claim_won(FencingToken(7), ms(1_032));
+    let order = fixture.expected_order();
+    assert_eq!(fixture.step(ms(1_032)), [order]);
+    fixture
+        .succession
+        .order_finished(Order::Accepted, ms(1_050));
+    assert!(fixture.succession.is_under_way());
+    assert_eq!(
+        fixture.step(ms(1_500)),
+        [],
+        "it takes about a second to show"
+    );
 }
 
 /// A service acknowledges a bid when one replica has it. The primary died, one replica was too
 /// busy to answer in time, and the other one, to which nothing had come through for a while, was
 /// made the primary: sixty acknowledged bids were gone.
 #[test]
-fn a_replica_that_is_not_heard_may_be_the_one_that_has_it() {
-    let mut scene = scene();
-    scene.view.synchronous = true;
-    scene.view.newest_position = position(1, 43);
-    scene.claim();
+fn a_synchronous_service_waits_for_the_report_of_every_replica() {
+    let mut fixture = fixture();
+    fixture.view.synchronous = true;
+    fixture.view.newest_position = position(1, 43);
+    fixture.win_claim();
     let mut asked = 0;
     for now in (1_040..2_000).step_by(20) {
-        let next = scene.step(ms(now));
+        let next = fixture.step(ms(now));
         assert!(
             !next.iter().any(|it| matches!(it, NextStep::Promote { .. })),
             "at {now}"
@@ -150,25 +160,25 @@
         asked += usize::from(next.contains(&NextStep::AskServers));
     }
     assert!(asked >= 3, "it is asked again");
-    scene
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(43));
-    let order = scene.order();
-    assert_eq!(scene.step(ms(2_000)), [order]);
+        .record_report(fixture.servers[2], replica(43));
+    let order = fixture.expected_order();
+    assert_eq!(fixture.step(ms(2_000)), [order]);
 }
 
 /// The replica that alone had received the last bids restarts just when the primary dies. It is
 /// waited for while it may come back, not for ever: callers who write get nothing meanwhile.
 #[test]
-fn what_was_acknowledged_is_waited_for_as_long_as_a_restart_takes() {
-    let mut scene = scene();
-    scene.view.synchronous = true;
-    scene.view.newest_position = position(1, 43);
-    scene.view.candidates.remove(&scene.servers[2]);
-    scene.claim();
+fn the_wait_for_a_replica_with_acknowledged_commits_is_bounded() {
+    let mut fixture = fixture();
+    fixture.view.synchronous = true;
+    fixture.view.newest_position = position(1, 43);
+    fixture.view.candidates.remove(&fixture.servers[2]);
+    fixture.win_claim();
     let mut now = 1_040;
     let ordered = loop {
-        let next = scene.step(ms(now));
+        let next = fixture.step(ms(now));
         if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
@@ -183,89 +193,95 @@
 /// again. It is passed over while the other one may answer.
 #[test]
 fn a_replica_that_lost_its_log_is_passed_over_while_others_may_answer() {
-    let mut scene = scene();
-    scene
+    let mut fixture = fixture();
+    fixture
         .view
         .required_positions
-        .insert(scene.servers[1], position(1, 40));
-    scene.step(ms(1_020));
-    scene.succession.record_report(scene.servers[1], replica(0));
-    scene.hear(5, 0);
-    scene.step(ms(1_025));
-    scene.succession.claim_won(FencingToken(7), ms(1_032));
+        .insert(fixture.servers[1], position(1, 40));
+    fixture.step(ms(1_020));
+    fixture
+        .succession
+        .record_report(fixture.servers[1], replica(0));
+    fixture.record_opinions(5, 0);
+    fixture.step(ms(1_025));
+    fixture.succession.claim_won(FencingToken(7), ms(1_032));
     for now in (1_040..4_000).step_by(20) {
-        let next = scene.step(ms(now));
+        let next = fixture.step(ms(now));
         let promotes = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
-    scene
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(38));
-    let order = scene.order();
-    assert_eq!(scene.step(ms(4_000)), [order]);
+        .record_report(fixture.servers[2], replica(38));
+    let order = fixture.expected_order();
+    assert_eq!(fixture.step(ms(4_000)), [order]);
 }
 
 /// The same on a host that has started since and knows of no restart: an empty log is reason enough
 /// to wait for a server that has not answered.
 #[test]
-fn an_empty_log_is_not_chosen_on_a_host_that_knows_nothing() {
-    let mut scene = scene();
-    scene.view.newest_position = Position::default();
-    scene.step(ms(1_020));
-    scene.succession.record_report(scene.servers[1], replica(0));
-    scene.hear(5, 0);
-    scene.step(ms(1_025));
-    scene.succession.claim_won(FencingToken(7), ms(1_032));
+fn a_host_that_has_just_started_does_not_choose_an_empty_log() {
+    let mut fixture = fixture();
+    fixture.view.newest_position = Position::default();
+    fixture.step(ms(1_020));
+    fixture
+        .succession
+        .record_report(fixture.servers[1], replica(0));
+    fixture.record_opinions(5, 0);
+    fixture.step(ms(1_025));
+    fixture.succession.claim_won(FencingToken(7), ms(1_032));
     assert_eq!(
-        scene.step(ms(1_500)),
+        fixture.step(ms(1_500)),
         [NextStep::AskHosts, NextStep::AskServers]
     );
-    scene
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(38));
-    let order = scene.order();
-    assert_eq!(scene.step(ms(1_510)), [order]);
+        .record_report(fixture.servers[2], replica(38));
+    let order = fixture.expected_order();
+    assert_eq!(fixture.step(ms(1_510)), [order]);
 }
 
 /// Right after a change of primary nothing is written yet. A replica that has lost its log shows the
 /// start of the new term, which is past what the others have; it was taken for the one with most.
 #[test]
-fn an_empty_log_in_the_newest_term_is_less_than_a_full_one_in_the_term_before() {
-    let mut scene = scene();
-    scene.step(ms(1_020));
+fn an_empty_log_of_the_newest_term_ranks_below_a_log_of_the_previous_term() {
+    let mut fixture = fixture();
+    fixture.step(ms(1_020));
     let empty = Report {
         received: position(2, 0),
         ..replica(0)
     };
-    scene.succession.record_report(scene.servers[1], empty);
-    scene
+    fixture.succession.record_report(fixture.servers[1], empty);
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(38));
-    scene.hear(5, 0);
-    scene.step(ms(1_025));
-    scene.succession.claim_won(FencingToken(7), ms(1_032));
-    let order = scene.order();
-    assert_eq!(scene.step(ms(1_032)), [order]);
+        .record_report(fixture.servers[2], replica(38));
+    fixture.record_opinions(5, 0);
+    fixture.step(ms(1_025));
+    fixture.succession.claim_won(FencingToken(7), ms(1_032));
+    let order = fixture.expected_order();
+    assert_eq!(fixture.step(ms(1_032)), [order]);
 }
 
 /// All servers that are left have lost their logs. Callers wait for one that has more as long as a
 /// restart takes, not for ever.
 #[test]
-fn an_empty_replica_leads_when_nobody_else_comes_back() {
-    let mut scene = scene();
-    scene
+fn an_empty_replica_is_promoted_when_no_other_server_comes_back() {
+    let mut fixture = fixture();
+    fixture
         .view
         .required_positions
-        .insert(scene.servers[1], position(1, 40));
-    scene.view.candidates.remove(&scene.servers[2]);
-    scene.step(ms(1_020));
-    scene.succession.record_report(scene.servers[1], replica(0));
-    scene.hear(5, 0);
-    scene.step(ms(1_025));
-    scene.succession.claim_won(FencingToken(7), ms(1_032));
+        .insert(fixture.servers[1], position(1, 40));
+    fixture.view.candidates.remove(&fixture.servers[2]);
+    fixture.step(ms(1_020));
+    fixture
+        .succession
+        .record_report(fixture.servers[1], replica(0));
+    fixture.record_opinions(5, 0);
+    fixture.step(ms(1_025));
+    fixture.succession.claim_won(FencingToken(7), ms(1_032));
     let mut now = 1_040;
     let ordered = loop {
-        let next = scene.step(ms(now));
+        let next = fixture.step(ms(now));
         if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
@@ -280,16 +296,16 @@
 /// had acknowledged within the second of the change was missing afterwards, and buyers saw lots
 /// as open that were sold.
 #[test]
-fn a_lone_host_replaces_nothing() {
-    let mut scene = scene();
-    scene.view.trouble = Some(Trouble::Silent { since: ms(1_000) });
+fn an_isolated_host_does_not_replace_the_primary() {
+    let mut fixture = fixture();
+    fixture.view.trouble = Some(Trouble::Silent { since: ms(1_000) });
     let mut now = ms(1_450);
     while now < ms(12_000) {
-        let next = scene.step(now);
+        let next = fixture.step(now);
         assert!(!next.contains(&NextStep::Claim), "at {now:?}");
-        scene
+        fixture
             .succession
-            .record_report(scene.servers[1], replica(40));
+            .record_report(fixture.servers[1], replica(40));
         now += ms(20);
     }
 }
@@ -298,64 +314,64 @@
 /// order a successor only when those can no longer acknowledge anything: what they acknowledged
 /// within the second that a promotion takes was missing afterwards.
 #[test]
-fn an_order_waits_until_unheard_hosts_cannot_write() {
-    let mut scene = scene();
-    scene.view.leases_end = ms(2_000);
-    scene.step(ms(1_020));
-    scene
+fn an_order_waits_until_the_leases_of_unreachable_hosts_have_ended() {
+    let mut fixture = fixture();
+    fixture.view.leases_end = ms(2_000);
+    fixture.step(ms(1_020));
+    fixture
         .succession
-        .record_report(scene.servers[1], replica(40));
-    scene
+        .record_report(fixture.servers[1], replica(40));
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(40));
-    scene.hear(3, 0);
+        .record_report(fixture.servers[2], replica(40));
+    fixture.record_opinions(3, 0);
     let over = ms(1_020) + INQUIRY_TIMEOUT;
-    assert_eq!(scene.step(over), [NextStep::Claim]);
-    scene.succession.claim_won(FencingToken(7), over);
+    assert_eq!(fixture.step(over), [NextStep::Claim]);
+    fixture.succession.claim_won(FencingToken(7), over);
     assert_eq!(
-        scene.step(ms(1_990)),
+        fixture.step(ms(1_990)),
         [NextStep::AskHosts, NextStep::AskServers],
         "asked once more, and no order"
     );
-    scene
+    fixture
         .succession
-        .record_report(scene.servers[1], replica(40));
-    scene
+        .record_report(fixture.servers[1], replica(40));
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(40));
-    assert_eq!(scene.step(ms(1_999)), []);
-    let order = scene.order();
-    assert_eq!(scene.step(ms(2_000)), [order]);
+        .record_report(fixture.servers[2], replica(40));
+    assert_eq!(fixture.step(ms(1_999)), []);
+    let order = fixture.expected_order();
+    assert_eq!(fixture.step(ms(2_000)), [order]);
 }
 
 /// The hosts of one zone are cut off with each other. Two like opinions of six are no majority.
 #[test]
-fn a_minority_replaces_nothing() {
-    let mut scene = scene();
-    scene.step(ms(1_020));
-    scene.hear(1, 0);
-    assert_eq!(scene.step(ms(1_020) + INQUIRY_TIMEOUT), []);
-    assert!(!scene.succession.is_under_way());
+fn a_minority_does_not_replace_the_primary() {
+    let mut fixture = fixture();
+    fixture.step(ms(1_020));
+    fixture.record_opinions(1, 0);
+    assert_eq!(fixture.step(ms(1_020) + INQUIRY_TIMEOUT), []);
+    assert!(!fixture.succession.is_under_way());
 }
 
 /// A zone is cut off. Its clerks reach its hosts, which reach no primary: they were refused for six
 /// seconds. Hosts that know themselves outvoted say that they are not ready, and callers go on in
 /// other zones.
 #[test]
-fn an_outvoted_host_knows_it() {
-    let mut scene = scene();
-    assert_eq!(scene.succession.outvoted(), None);
-    scene.step(ms(1_020));
-    scene.hear(1, 0);
+fn a_host_records_since_when_it_is_outvoted() {
+    let mut fixture = fixture();
+    assert_eq!(fixture.succession.outvoted(), None);
+    fixture.step(ms(1_020));
+    fixture.record_opinions(1, 0);
     let over = ms(1_020) + INQUIRY_TIMEOUT;
-    scene.step(over);
-    assert_eq!(scene.succession.outvoted(), Some(over));
-    scene.step(ms(3_000));
-    assert_eq!(scene.succession.outvoted(), Some(over), "since then");
-    scene.view.trouble = None;
-    scene.step(ms(3_100));
+    fixture.step(over);
+    assert_eq!(fixture.succession.outvoted(), Some(over));
+    fixture.step(ms(3_000));
+    assert_eq!(fixture.succession.outvoted(), Some(over), "since then");
+    fixture.view.trouble = None;
+    fixture.step(ms(3_100));
     assert_eq!(
-        scene.succession.outvoted(),
+        fixture.succession.outvoted(),
         None,
         "it reaches the primary again"
     );
@@ -363,24 +379,24 @@
 
 /// Most hosts agree that a primary is gone. None of them is worse than the others.
 #[test]
-fn with_most_nobody_is_outvoted() {
-    let mut scene = scene();
-    scene.step(ms(1_020));
-    scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_030)), [NextStep::Claim]);
-    assert_eq!(scene.succession.outvoted(), None);
+fn a_host_in_the_majority_is_not_outvoted() {
+    let mut fixture = fixture();
+    fixture.step(ms(1_020));
+    fixture.record_opinions(5, 0);
+    assert_eq!(fixture.step(ms(1_030)), [NextStep::Claim]);
+    assert_eq!(fixture.succession.outvoted(), None);
 }
 
 /// All other hosts were lost for good, and then the primary: the platform's list loses it too
 /// after some seconds. Whoever is left has to act in the end, or nobody books any more.
 #[test]
 fn the_last_host_acts_once_the_platform_has_lost_the_primary_too() {
-    let mut scene = scene();
-    scene.view.leader = None;
-    scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+    let mut fixture = fixture();
+    fixture.view.leader = None;
+    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut now = ms(1_020);
     let claimed = loop {
-        if scene.step(now).contains(&NextStep::Claim) {
+        if fixture.step(now).contains(&NextStep::Claim) {
             break now;
         }
         now += ms(20);
@@ -392,15 +408,15 @@
 /// Most hosts miss the primary and some reach it. The path may heal, so the change waits; it does
 /// not wait for ever, because most requests come through the hosts that miss it.
 #[test]
-fn a_divided_house_waits_first() {
-    let mut scene = scene();
-    scene.step(ms(1_020));
-    scene.hear(3, 2);
-    assert_eq!(scene.step(ms(1_020) + INQUIRY_TIMEOUT), []);
-    scene.step(ms(1_000) + DIVIDED_DELAY);
-    scene.hear(3, 2);
+fn a_majority_waits_while_some_hosts_reach_the_primary() {
+    let mut fixture = fixture();
+    fixture.step(ms(1_020));
+    fixture.record_opinions(3, 2);
+    assert_eq!(fixture.step(ms(1_020) + INQUIRY_TIMEOUT), []);
+    fixture.step(ms(1_000) + DIVIDED_DELAY);
+    fixture.record_opinions(3, 2);
     assert_eq!(
-        scene.step(ms(1_000) + DIVIDED_DELAY + INQUIRY_TIMEOUT),
+        fixture.step(ms(1_000) + DIVIDED_DELAY + INQUIRY_TIMEOUT),
         [NextStep::Claim]
     );
 }
@@ -408,93 +424,96 @@
 /// A host that was replaced never answers. With most others refused by the primary's own machine,
 /// nobody waits for it: a fifth of a second more without bids for each host that is gone.
 #[test]
-fn a_closed_port_seen_by_most_is_enough() {
-    let mut scene = scene();
-    scene.step(ms(1_020));
-    scene.hear(4, 0);
-    assert_eq!(scene.step(ms(1_030)), [], "somebody may object");
-    assert_eq!(scene.step(ms(1_020) + OBJECTION_TIMEOUT), [NextStep::Claim]);
+fn a_closed_port_seen_by_a_majority_is_enough() {
+    let mut fixture = fixture();
+    fixture.step(ms(1_020));
+    fixture.record_opinions(4, 0);
+    assert_eq!(fixture.step(ms(1_030)), [], "somebody may object");
+    assert_eq!(
+        fixture.step(ms(1_020) + OBJECTION_TIMEOUT),
+        [NextStep::Claim]
+    );
 }
 
 /// Another host has acted already: a server leads a newer term that this host has not heard of.
 #[test]
-fn a_change_that_has_happened_is_not_made_again() {
-    let mut scene = scene();
-    scene.step(ms(1_020));
-    scene.hear(5, 0);
+fn a_completed_change_of_primary_is_not_repeated() {
+    let mut fixture = fixture();
+    fixture.step(ms(1_020));
+    fixture.record_opinions(5, 0);
     let leads = Report {
         role: Role::Primary,
         term: Term::from_number(2),
         received: position(2, 44),
     };
-    scene.succession.record_report(scene.servers[1], leads);
-    assert_eq!(scene.step(ms(1_025)), []);
+    fixture.succession.record_report(fixture.servers[1], leads);
+    assert_eq!(fixture.step(ms(1_025)), []);
 }
 
 /// The platform's store is away when a primary dies. Hosts act one after the other with tokens
 /// that they reserved before, so that most times only one order goes out.
 #[test]
 fn without_the_store_hosts_act_in_turn() {
-    let mut scene = scene();
-    scene.succession.reserve_token(FencingToken(3));
-    scene.step(ms(1_020));
-    scene
+    let mut fixture = fixture();
+    fixture.succession.reserve_token(FencingToken(3));
+    fixture.step(ms(1_020));
+    fixture
         .succession
-        .record_report(scene.servers[1], replica(40));
-    scene
+        .record_report(fixture.servers[1], replica(40));
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(40));
-    scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
-    scene.succession.claim_undecided(2, ms(1_275));
-    assert_eq!(scene.step(ms(1_300)), [], "two hosts come first");
-    scene.succession.defer_to_peer(ms(1_310));
-    assert_eq!(scene.step(ms(2_000)), [], "one of them has acted");
+        .record_report(fixture.servers[2], replica(40));
+    fixture.record_opinions(5, 0);
+    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
+    fixture.succession.claim_undecided(2, ms(1_275));
+    assert_eq!(fixture.step(ms(1_300)), [], "two hosts come first");
+    fixture.succession.defer_to_peer(ms(1_310));
+    assert_eq!(fixture.step(ms(2_000)), [], "one of them has acted");
 }
 
 /// The host that won the claim was killed before it gave the order. The others stand back for a
 /// while and then look again.
 #[test]
-fn a_claim_whose_holder_died_does_not_end_the_change() {
-    let mut scene = scene();
-    scene.step(ms(1_020));
-    scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
-    scene.succession.claim_lost(ms(1_030));
-    assert_eq!(scene.step(ms(1_500)), []);
-    let again = scene.step(ms(1_030) + ms(1_800));
+fn another_host_acts_after_the_holder_of_the_claim_has_died() {
+    let mut fixture = fixture();
+    fixture.step(ms(1_020));
+    fixture.record_opinions(5, 0);
+    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
+    fixture.succession.claim_lost(ms(1_030));
+    assert_eq!(fixture.step(ms(1_500)), []);
+    let again = fixture.step(ms(1_030) + ms(1_800));
     assert_eq!(again, [NextStep::AskHosts, NextStep::AskServers]);
 }
 
 /// An order is refused: the token is outdated. It is never used again, with or without the store.
 #[test]
 fn a_refused_token_is_not_used_again() {
-    let mut scene = scene();
-    scene.succession.reserve_token(FencingToken(3));
-    scene.step(ms(1_020));
-    scene
+    let mut fixture = fixture();
+    fixture.succession.reserve_token(FencingToken(3));
+    fixture.step(ms(1_020));
+    fixture
         .succession
-        .record_report(scene.servers[1], replica(40));
-    scene
+        .record_report(fixture.servers[1], replica(40));
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(40));
-    scene.hear(5, 0);
-    scene.step(ms(1_025));
-    scene.succession.claim_undecided(0, ms(1_275));
+        .record_report(fixture.servers[2], replica(40));
+    fixture.record_opinions(5, 0);
+    fixture.step(ms(1_025));
+    fixture.succession.claim_undecided(0, ms(1_275));
     assert_eq!(
-        scene.step(ms(1_280)),
+        fixture.step(ms(1_280)),
         [],
         "its turn has come; what servers said is looked at"
     );
     let order = NextStep::Promote {
-        server: scene.servers[2],
+        server: fixture.servers[2],
         token: FencingToken(3),
     };
-    assert_eq!(scene.step(ms(1_281)), [order]);
-    scene.succession.order_finished(Order::Refused, ms(1_300));
+    assert_eq!(fixture.step(ms(1_281)), [order]);
+    fixture.succession.order_finished(Order::Refused, ms(1_300));
     let mut now = ms(1_320);
     while now < ms(4_000) {
-        for next in scene.step(now) {
+        for next in fixture.step(now) {
             assert!(!matches!(
                 next,
                 NextStep::Promote {
@@ -503,13 +522,13 @@
                 }
             ));
             if next == NextStep::Claim {
-                scene.succession.claim_undecided(0, now);
+                fixture.succession.claim_undecided(0, now);
             }
         }
-        scene
+        fixture
             .succession
-            .record_report(scene.servers[1], replica(40));
-        scene.hear(5, 0);
+            .record_report(fixture.servers[1], replica(40));
+        fixture.record_opinions(5, 0);
         now += ms(20);
     }
 }
@@ -519,27 +538,31 @@
 /// servers' connections: each waits its turn, here the third.
 #[test]
 fn a_leaving_primary_is_replaced_while_it_serves() {
-    let mut scene = scene();
-    scene.view.trouble = Some(Trouble::Leaving);
-    scene.view.candidates = BTreeSet::from([scene.servers[1], scene.servers[2]]);
-    assert_eq!(scene.step(ms(1_000)), [], "two hosts come first");
-    assert_eq!(scene.step(ms(1_040)), [NextStep::Claim]);
+    let mut fixture = fixture();
+    fixture.view.trouble = Some(Trouble::Leaving);
+    fixture.view.candidates = BTreeSet::from([fixture.servers[1], fixture.servers[2]]);
+    assert_eq!(fixture.step(ms(1_000)), [], "two hosts come first");
+    assert_eq!(fixture.step(ms(1_040)), [NextStep::Claim]);
     assert_eq!(
-        scene.succession.claim_won(FencingToken(9), ms(1_045)),
+        fixture.succession.claim_won(FencingToken(9), ms(1_045)),
         [NextStep::AskServers]
     );
-    scene
+    fixture
         .succession
-        .record_report(scene.servers[1], replica(50));
-    assert_eq!(scene.step(ms(1_048)), [], "the other replica may have more");
-    scene
+        .record_report(fixture.servers[1], replica(50));
+    assert_eq!(
+        fixture.step(ms(1_048)),
+        [],
+        "the other replica may have more"
+    );
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(51));
+        .record_report(fixture.servers[2], replica(51));
     let order = NextStep::Promote {
-        server: scene.servers[2],
+        server: fixture.servers[2],
         token: FencingToken(9),
     };
-    assert_eq!(scene.step(ms(1_050)), [order]);
+    assert_eq!(fixture.step(ms(1_050)), [order]);
 }
 
 /// A zone is cut off together with the primary while the store is away. The others have a replica
@@ -548,26 +571,26 @@
 /// the cut healed. Sales recorded since were gone, those told before the change were back, and
 /// clerks had meanwhile read lots as open that were sold.
 #[test]
-fn a_replaced_primary_is_not_ordered_back() {
-    let mut scene = scene();
-    scene.view.trouble = None;
-    scene.step(ms(500));
-    scene.view.leader = None;
-    scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+fn an_isolated_replaced_primary_is_not_promoted_again() {
+    let mut fixture = fixture();
+    fixture.view.trouble = None;
+    fixture.step(ms(500));
+    fixture.view.leader = None;
+    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut now = ms(1_020);
     while now < ms(9_000) {
-        for next in scene.step(now) {
+        for next in fixture.step(now) {
             assert!(
                 !matches!(next, NextStep::Promote { .. }),
                 "{next:?} at {now:?}"
             );
             if next == NextStep::Claim {
-                scene.succession.claim_won(FencingToken(7), now);
+                fixture.succession.claim_won(FencingToken(7), now);
             }
         }
-        scene
+        fixture
             .succession
-            .record_report(scene.servers[0], replica(56));
+            .record_report(fixture.servers[0], replica(56));
         now += ms(20);
     }
 }
@@ -576,96 +599,105 @@
 /// heard of the successor yet. The replaced primary has the longest log of all, by writes that
 /// no other server has. It was promoted again, within a second of its replacement.
 #[test]
-fn the_longest_log_is_not_best_where_its_server_was_replaced() {
-    let mut scene = scene();
-    scene.view.trouble = None;
-    scene.step(ms(500));
-    scene.view.leader = None;
-    scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+fn the_longest_log_is_passed_over_if_its_server_was_replaced() {
+    let mut fixture = fixture();
+    fixture.view.trouble = None;
+    fixture.step(ms(500));
+    fixture.view.leader = None;
+    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut orders = Vec::new();
     let mut now = ms(1_020);
     while now < ms(2_500) {
-        for next in scene.step(now) {
+        for next in fixture.step(now) {
             match next {
-                NextStep::Claim => orders.extend(scene.succession.claim_won(FencingToken(7), now)),
+                NextStep::Claim => {
+                    orders.extend(fixture.succession.claim_won(FencingToken(7), now))
+                }
                 NextStep::Promote { .. } => orders.push(next),
                 NextStep::AskHosts | NextStep::AskServers => {}
             }
         }
-        scene.hear(5, 0);
-        scene
+        fixture.record_opinions(5, 0);
+        fixture
             .succession
-            .record_report(scene.servers[0], replica(56));
-        scene
+            .record_report(fixture.servers[0], replica(56));
+        fixture
             .succession
-            .record_report(scene.servers[1], replica(40));
-        scene
+            .record_report(fixture.servers[1], replica(40));
+        fixture
             .succession
-            .record_report(scene.servers[2], replica(43));
+            .record_report(fixture.servers[2], replica(43));
         now += ms(20);
     }
-    assert_eq!(orders, [scene.order()]);
+    assert_eq!(orders, [fixture.expected_order()]);
 }
 
 /// A replaced primary starts again with its log, before it has followed its successor. Its log ends
 /// with writes that no other server has; as a server that nobody had seen lead, it was ordered back,
 /// and what its successor had acknowledged was gone.
 #[test]
-fn a_replaced_primary_that_starts_again_is_not_ordered_back() {
-    let mut scene = scene();
-    scene.view.trouble = None;
-    scene.step(ms(500));
+fn a_restarted_replaced_primary_is_not_promoted_again() {
+    let mut fixture = fixture();
+    fixture.view.trouble = None;
+    fixture.step(ms(500));
     let mut names: Names<ServerKey> = Names::default();
     let starts = ["ledger-1", "ledger-2", "ledger-3", "ledger-1 again"];
     let again = starts.map(|name| names.intern(name))[3];
-    scene.view.previous_starts.insert(again, scene.servers[0]);
-    scene.view.candidates = BTreeSet::from([again, scene.servers[1], scene.servers[2]]);
-    scene.view.leader = None;
-    scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+    fixture
+        .view
+        .previous_starts
+        .insert(again, fixture.servers[0]);
+    fixture.view.candidates = BTreeSet::from([again, fixture.servers[1], fixture.servers[2]]);
+    fixture.view.leader = None;
+    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut orders = Vec::new();
     let mut now = ms(1_020);
     while now < ms(2_500) {
-        for next in scene.step(now) {
+        for next in fixture.step(now) {
             match next {
-                NextStep::Claim => orders.extend(scene.succession.claim_won(FencingToken(7), now)),
+                NextStep::Claim => {
+                    orders.extend(fixture.succession.claim_won(FencingToken(7), now))
+                }
                 NextStep::Promote { .. } => orders.push(next),
                 NextStep::AskHosts | NextStep::AskServers => {}
             }
         }
-        scene.hear(5, 0);
-        scene.succession.record_report(again, replica(56));
-        scene
+        fixture.record_opinions(5, 0);
+        fixture.succession.record_report(again, replica(56));
+        fixture
             .succession
-            .record_report(scene.servers[1], replica(40));
-        scene
+            .record_report(fixture.servers[1], replica(40));
+        fixture
             .succession
-            .record_report(scene.servers[2], replica(43));
+            .record_report(fixture.servers[2], replica(43));
         now += ms(20);
     }
-    assert_eq!(orders, [scene.order()]);
+    assert_eq!(orders, [fixture.expected_order()]);
 }
 
 /// A primary is about to leave, and its only replica has just started again without its log, which
 /// the hosts do not know: they have just started as well. The primary has all, and seconds to send
 /// it; the empty replica was ordered to lead at once.
 #[test]
-fn a_leaving_primary_is_not_relieved_by_an_empty_replica() {
-    let mut scene = scene();
-    scene.view.trouble = Some(Trouble::Leaving);
-    scene.view.candidates = BTreeSet::from([scene.servers[1]]);
-    scene.step(ms(1_000));
-    assert_eq!(scene.step(ms(1_040)), [NextStep::Claim]);
-    scene.succession.claim_won(FencingToken(7), ms(1_045));
-    scene.succession.record_report(scene.servers[1], replica(0));
+fn a_leaving_primary_is_not_replaced_by_an_empty_replica() {
+    let mut fixture = fixture();
+    fixture.view.trouble = Some(Trouble::Leaving);
+    fixture.view.candidates = BTreeSet::from([fixture.servers[1]]);
+    fixture.step(ms(1_000));
+    assert_eq!(fixture.step(ms(1_040)), [NextStep::Claim]);
+    fixture.succession.claim_won(FencingToken(7), ms(1_045));
+    fixture
+        .succession
+        .record_report(fixture.servers[1], replica(0));
     for now in (1_060..3_000).step_by(20) {
-        let next = scene.step(ms(now));
+        let next = fixture.step(ms(now));
         let promotes = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
-    scene
+    fixture
         .succession
-        .record_report(scene.servers[1], replica(40));
-    let next = scene.step(ms(3_000));
+        .record_report(fixture.servers[1], replica(40));
+    let next = fixture.step(ms(3_000));
     assert!(matches!(next[..], [NextStep::Promote { .. }]), "{next:?}");
 }
 
@@ -673,19 +705,19 @@
 /// The platform carries out whatever it is told: an order under the lower token that this host had
 /// reserved at its start undid the change of whoever came next.
 #[test]
-fn no_order_goes_out_under_a_lower_token_than_was_used() {
-    let mut scene = scene();
-    scene.succession.reserve_token(FencingToken(4));
-    scene.view.newest_token = Some(FencingToken(18));
-    scene.step(ms(1_020));
-    scene
+fn no_order_is_given_under_a_lower_token_than_one_used_before() {
+    let mut fixture = fixture();
+    fixture.succession.reserve_token(FencingToken(4));
+    fixture.view.newest_token = Some(FencingToken(18));
+    fixture.step(ms(1_020));
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(43));
-    scene.hear(5, 0);
-    assert_eq!(scene.step(ms(1_025)), [NextStep::Claim]);
-    scene.succession.claim_undecided(2, ms(1_275));
+        .record_report(fixture.servers[2], replica(43));
+    fixture.record_opinions(5, 0);
+    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
+    fixture.succession.claim_undecided(2, ms(1_275));
     for now in (1_280..3_000).step_by(20) {
-        let next = scene.step(ms(now));
+        let next = fixture.step(ms(now));
         let orders = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!orders, "at {now}: {next:?}");
     }
@@ -695,58 +727,58 @@
 /// the claim over and acted.
 #[test]
 fn a_claim_that_was_taken_over_is_not_acted_on() {
-    let mut scene = scene();
-    scene.claim();
-    scene
+    let mut fixture = fixture();
+    fixture.win_claim();
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(43));
-    scene.view.newest_token = Some(FencingToken(9));
-    let next = scene.step(ms(1_300));
-    assert!(!next.contains(&scene.order()), "{next:?}");
+        .record_report(fixture.servers[2], replica(43));
+    fixture.view.newest_token = Some(FencingToken(9));
+    let next = fixture.step(ms(1_300));
+    assert!(!next.contains(&fixture.expected_order()), "{next:?}");
 }
 
 /// A host is suspended between its claim and its order. When it wakes up, another host has taken
 /// the claim over and somebody else leads, which it has not heard of yet.
 #[test]
 fn a_host_that_was_paused_drops_its_claim() {
-    let mut scene = scene();
-    scene.claim();
-    scene
+    let mut fixture = fixture();
+    fixture.win_claim();
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(43));
-    scene.succession.resume_after_pause(ms(6_000));
-    let next = scene.step(ms(6_000));
+        .record_report(fixture.servers[2], replica(43));
+    fixture.succession.resume_after_pause(ms(6_000));
+    let next = fixture.step(ms(6_000));
     assert_eq!(next, [], "it looks around first");
 }
 
 /// Hosts were asked about one primary. Before the order goes out, a replica's log shows a newer
 /// term: another server leads, whom nobody was asked about.
 #[test]
-fn what_was_found_out_of_one_primary_replaces_no_other() {
-    let mut scene = scene();
-    scene.claim();
-    scene
+fn an_inquiry_about_one_primary_does_not_replace_the_next() {
+    let mut fixture = fixture();
+    fixture.win_claim();
+    fixture
         .succession
-        .record_report(scene.servers[2], replica(43));
-    scene.view.term = Term::from_number(2);
-    assert_eq!(scene.step(ms(1_300)), []);
-    assert!(!scene.succession.is_under_way());
+        .record_report(fixture.servers[2], replica(43));
+    fixture.view.term = Term::from_number(2);
+    assert_eq!(fixture.step(ms(1_300)), []);
+    assert!(!fixture.succession.is_under_way());
 }
 
 /// A successor was too busy to say for half a second whether it leads. Its promotion counted as one
 /// that took no time, the shortest of all, and each primary that left afterwards was given up a whole
 /// promotion too early.
 #[test]
-fn a_promotion_that_was_not_seen_well_is_no_measure() {
-    let mut effect = PromotionTimer::start(ms(1_000));
+fn a_promotion_without_recent_answers_gives_no_measurement() {
+    let mut timer = PromotionTimer::start(ms(1_000));
     assert_eq!(
-        effect.min_duration(ms(1_600)),
+        timer.min_duration(ms(1_600)),
         None,
         "nothing was heard before"
     );
-    effect.record_replica(ms(1_250));
-    assert_eq!(effect.min_duration(ms(1_600)), None);
-    assert_eq!(effect.min_duration(ms(1_290)), Some(ms(250)));
+    timer.record_replica(ms(1_250));
+    assert_eq!(timer.min_duration(ms(1_600)), None);
+    assert_eq!(timer.min_duration(ms(1_290)), Some(ms(250)));
 }
 
 /// Two hosts of six are cut off from the others, with the store and the replicas on their side. The
@@ -754,12 +786,12 @@
 /// it. The list loses it, since it does not reach the store, and 1.5 s later the two had it replaced,
 /// while the others acknowledged 19 more writes.
 #[test]
-fn a_minority_with_the_store_waits_until_a_cut_has_ended() {
-    let mut scene = scene();
-    scene.view.leader = None;
-    scene.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+fn a_minority_with_the_store_waits_until_a_partition_has_usually_ended() {
+    let mut fixture = fixture();
+    fixture.view.leader = None;
+    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     for now in (1_020..8_700).step_by(20) {
-        let next = scene.step(ms(now));
+        let next = fixture.step(ms(now));
         assert!(!next.contains(&NextStep::Claim), "at {now}");
     }
 }
--- a/crates/core/tests/succession_fleet.rs
+++ b/crates/core/tests/succession_fleet.rs
@@ -23,7 +23,7 @@
 
 /// Hosts that are asked in a large fleet, and up to how many hosts all are.
 const ELECTORS: usize = 7;
-const SMALL: usize = 9;
+const SMALL_FLEET: usize = 9;
 
 const CUT: Duration = ms(1_000);
 const END: Duration = ms(14_000);
@@ -73,25 +73,25 @@
     /// Since when the primary is silent, or nobody leads.
     since: Option<Duration>,
     /// Claims of others, and since when each is known.
-    held: BTreeMap<(i64, u64), Duration>,
+    claims_seen: BTreeMap<(i64, u64), Duration>,
 }
 
 /// What happens at some moment.
 enum Event {
     Step(usize),
     Ask(usize, usize, Option<usize>),
-    Tell(usize, usize, Option<usize>, Opinion),
+    Opinion(usize, usize, Option<usize>, Opinion),
     Report(usize, usize, Report),
-    Acting(usize),
+    PeerActs(usize),
     Claimed(usize, i64),
     Ordered(usize, Order),
     Order(usize, usize, u64),
     Leads(usize),
-    Heals,
+    CutEnds,
 }
 
-struct World {
-    dice: ChaCha8Rng,
+struct Simulation {
+    rng: ChaCha8Rng,
     now: Duration,
     events: BTreeMap<(Duration, u64), Event>,
     count: u64,
@@ -103,18 +103,18 @@
     host_keys: Vec<HostKey>,
     server_keys: Vec<ServerKey>,
     /// When the cut ends, and when the store is away.
-    heals: Duration,
-    away: (Duration, Duration),
+    cut_ends: Duration,
+    outage: (Duration, Duration),
     promotion: Duration,
     claims: BTreeMap<i64, (usize, u64)>,
     token: u64,
-    fence: u64,
+    highest_token: u64,
     orders: usize,
 }
 
-impl World {
-    fn new(seed: u64, count: usize) -> World {
-        let mut dice = ChaCha8Rng::seed_from_u64(seed);
+impl Simulation {
+    fn new(seed: u64, count: usize) -> Simulation {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut names: Names<HostKey> = Names::default();
         let host_keys = (0..count).map(|i| names.intern(&format!("entry-{i}")));
         let host_keys = host_keys.collect();
@@ -126,8 +126,8 @@
             log: start,
             term: 1,
         };
-        let away = ms(dice.random_range(0..3_000));
-        let mut world = World {
+        let outage = ms(rng.random_range(0..3_000));
+        let mut simulation = Simulation {
             now: ms(0),
             events: BTreeMap::new(),
             count: 0,
@@ -137,22 +137,22 @@
             term: 1,
             host_keys,
             server_keys,
-            heals: CUT + ms(dice.random_range(3_000..8_000)),
-            away: (away, away + ms(dice.random_range(0..6_000))),
-            promotion: ms(dice.random_range(300..1_000)),
+            cut_ends: CUT + ms(rng.random_range(3_000..8_000)),
+            outage: (outage, outage + ms(rng.random_range(0..6_000))),
+            promotion: ms(rng.random_range(300..1_000)),
             claims: BTreeMap::new(),
             token: 100,
-            fence: 0,
+            highest_token: 0,
             orders: 0,
-            dice,
+            rng,
         };
         for host in 0..count {
-            let first = ms(world.dice.random_range(0..20));
-            world.at(first, Event::Step(host));
+            let first = ms(simulation.rng.random_range(0..20));
+            simulation.at(first, Event::Step(host));
         }
-        let settled = world.heals + ms(world.dice.random_range(20..400));
-        world.at(settled, Event::Heals);
-        world
+        let settled = simulation.cut_ends + ms(simulation.rng.random_range(20..400));
+        simulation.at(settled, Event::CutEnds);
+        simulation
     }
 
     fn at(&mut self, when: Duration, event: Event) {
@@ -162,15 +162,15 @@
 
     /// After a way between zones, if it is not lost.
     fn send(&mut self, event: Event) {
-        if !self.dice.random_bool(0.05) {
-            let delay = ms(self.dice.random_range(1..30));
+        if !self.rng.random_bool(0.05) {
+            let delay = ms(self.rng.random_range(1..30));
             self.at(self.now + delay, event);
         }
     }
 
     fn is_cut(&self, one: usize, other: usize) -> bool {
         let apart = one.is_multiple_of(ZONES) != other.is_multiple_of(ZONES);
-        apart && CUT <= self.now && self.now < self.heals
+        apart && CUT <= self.now && self.now < self.cut_ends
     }
 
     /// Store and platform are with the zones that are not cut off.
@@ -179,7 +179,7 @@
     }
 
     fn electors(&self, host: usize) -> BTreeSet<usize> {
-        let count = if self.hosts.len() > SMALL {
+        let count = if self.hosts.len() > SMALL_FLEET {
             ELECTORS
         } else {
             self.hosts.len()
@@ -232,7 +232,7 @@
         let now = self.now;
         let next = self.hosts[host].succession.step(&view, now);
         self.act(host, next);
-        if view.leader.is_none() && self.dice.random_bool(0.15) {
+        if view.leader.is_none() && self.rng.random_bool(0.15) {
             self.act(host, vec![NextStep::AskServers]);
         }
         self.at(now + STEP, Event::Step(host));
@@ -241,7 +241,7 @@
     /// Hosts write to the primary that they believe in, if it leads; it passes the writes on.
     fn write(&mut self, host: usize) {
         let leads = self.hosts[host].leader == Some(self.leader);
-        if !leads || self.is_cut(host, self.leader) || self.dice.random_bool(0.8) {
+        if !leads || self.is_cut(host, self.leader) || self.rng.random_bool(0.8) {
             return;
         }
         self.hosts[host].term = self.term;
@@ -272,16 +272,16 @@
                     }
                 }
                 NextStep::Claim => {
-                    let attempt = self.hosts[host].term;
-                    let way = ms(self.dice.random_range(5..240));
-                    self.at(self.now + way, Event::Claimed(host, attempt));
+                    let term = self.hosts[host].term;
+                    let way = ms(self.rng.random_range(5..240));
+                    self.at(self.now + way, Event::Claimed(host, term));
                 }
                 NextStep::Promote { server, token } => {
                     let server = self.server_keys.iter().position(|key| *key == server);
                     let server = server.expect("it is one of the servers");
                     for other in 0..self.hosts.len() {
                         if other != host {
-                            self.send(Event::Acting(other));
+                            self.send(Event::PeerActs(other));
                         }
                     }
                     self.at(self.now + ms(10), Event::Order(host, server, token.0));
@@ -300,7 +300,7 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
         match event {
             Event::Step(host) => self.step(host),
@@ -311,9 +311,9 @@
                     true => Opinion::Reaches,
                     false => Opinion::Fails,
                 };
-                self.send(Event::Tell(from, to, about, opinion));
+                self.send(Event::Opinion(from, to, about, opinion));
             }
-            Event::Tell(host, from, about, opinion) if !self.is_cut(host, from) => {
+            Event::Opinion(host, from, about, opinion) if !self.is_cut(host, from) => {
                 if self.hosts[host].leader == about {
                     let from = self.host_keys[from];
                     self.hosts[host].succession.record_opinion(from, opinion);
@@ -329,37 +329,37 @@
                     it.since = None;
                 }
             }
-            Event::Acting(host) => self.hosts[host].succession.defer_to_peer(now),
-            Event::Claimed(host, attempt) => self.claim(host, attempt),
+            Event::PeerActs(host) => self.hosts[host].succession.defer_to_peer(now),
+            Event::Claimed(host, term) => self.claim(host, term),
             Event::Ordered(host, order) => self.hosts[host].succession.order_finished(order, now),
             Event::Order(host, server, token) => self.order(host, server, token),
             Event::Leads(server) => self.lead(server),
-            Event::Heals => {
+            Event::CutEnds => {
                 let leader = self.servers[self.leader].clone();
                 self.servers.fill(leader);
             }
-            Event::Ask(..) | Event::Tell(..) | Event::Report(..) => {}
+            Event::Ask(..) | Event::Opinion(..) | Event::Report(..) => {}
         }
     }
 
-    fn claim(&mut self, host: usize, attempt: i64) {
+    fn claim(&mut self, host: usize, term: i64) {
         let now = self.now;
-        let is_away = self.away.0 <= now && now < self.away.1;
+        let is_unavailable = self.outage.0 <= now && now < self.outage.1;
         let rank = u32::try_from(host).unwrap_or(u32::MAX);
-        if is_away || !self.reaches_platform(host) {
+        if is_unavailable || !self.reaches_platform(host) {
             self.hosts[host].succession.claim_undecided(rank, now);
             return;
         }
-        if let Some((by, revision)) = self.claims.get(&attempt).copied() {
+        if let Some((by, revision)) = self.claims.get(&term).copied() {
             let it = &mut self.hosts[host];
-            let seen = *it.held.entry((attempt, revision)).or_insert(now);
+            let seen = *it.claims_seen.entry((term, revision)).or_insert(now);
             if by != host && now < seen + CLAIM_HOLDER_TIMEOUT {
                 it.succession.claim_lost(now);
                 return;
             }
         }
         self.token += 1;
-        self.claims.insert(attempt, (host, self.token));
+        self.claims.insert(term, (host, self.token));
         let next = self.hosts[host]
             .succession
             .claim_won(FencingToken(self.token), now);
@@ -371,12 +371,12 @@
             self.at(self.now + ms(500), Event::Ordered(host, Order::Unknown));
             return;
         }
-        let order = match token < self.fence {
+        let order = match token < self.highest_token {
             true => Order::Refused,
             false => Order::Accepted,
         };
         if order == Order::Accepted {
-            self.fence = token;
+            self.highest_token = token;
             self.check(server);
             self.orders += 1;
             self.at(self.now + self.promotion, Event::Leads(server));
@@ -411,13 +411,13 @@
         }
     }
 
-    fn play(mut self) -> World {
+    fn run(mut self) -> Simulation {
         while let Some(((now, _), event)) = self.events.pop_first() {
             if now >= END {
                 break;
             }
             self.now = now;
-            self.take(event);
+            self.handle(event);
         }
         self
     }
@@ -432,7 +432,7 @@
             leader: Some(0),
             term: 1,
             since: None,
-            held: BTreeMap::new(),
+            claims_seen: BTreeMap::new(),
         }
     }
 }
@@ -441,29 +441,33 @@
 /// the end of the cut, orders of that zone come through. Whichever way it goes, no server is made
 /// the primary whose log still ends with writes that the change has dropped, and callers can write
 /// again in the end.
-fn no_change_brings_back_what_was_dropped(hosts: usize, seeds: u64) {
+fn failover_never_restores_dropped_writes(hosts: usize, seeds: u64) {
     let mut changes = 0;
     for seed in 0..seeds {
-        let world = World::new(seed, hosts).play();
-        changes += usize::from(world.term > 1);
-        let served = world
+        let simulation = Simulation::new(seed, hosts).run();
+        changes += usize::from(simulation.term > 1);
+        let served = simulation
             .hosts
             .iter()
-            .filter(|it| it.leader == Some(world.leader));
+            .filter(|it| it.leader == Some(simulation.leader));
         let served = served.count();
         assert_eq!(served, hosts, "seed {seed}: hosts that know the primary");
-        assert!(world.orders <= 3, "seed {seed}: {} orders", world.orders);
+        assert!(
+            simulation.orders <= 3,
+            "seed {seed}: {} orders",
+            simulation.orders
+        );
     }
     let most = usize::try_from(seeds).unwrap_or_default() * 9 / 10;
     assert!(changes >= most, "{changes} changes of {seeds}");
 }
 
 #[test]
-fn no_change_brings_back_what_was_dropped_with_six_hosts() {
-    no_change_brings_back_what_was_dropped(6, 300);
+fn failover_never_restores_dropped_writes_with_six_hosts() {
+    failover_never_restores_dropped_writes(6, 300);
 }
 
 #[test]
-fn no_change_brings_back_what_was_dropped_with_sixty_five_hosts() {
-    no_change_brings_back_what_was_dropped(65, 30);
+fn failover_never_restores_dropped_writes_with_sixty_five_hosts() {
+    failover_never_restores_dropped_writes(65, 30);
 }
--- a/crates/core/tests/succession_terms.rs
+++ b/crates/core/tests/succession_terms.rs
@@ -33,14 +33,14 @@
 }
 
 /// Six hosts of which one is played, and servers of which the first has led the first term.
-struct Scene {
+struct Fixture {
     succession: Succession,
     view: View,
     servers: Vec<ServerKey>,
     hosts: Vec<HostKey>,
 }
 
-fn scene(servers: &[&str]) -> Scene {
+fn fixture(servers: &[&str]) -> Fixture {
     let mut names: Names<ServerKey> = Names::default();
     let servers: Vec<ServerKey> = servers.iter().map(|name| names.intern(name)).collect();
     let mut names: Names<HostKey> = Names::default();
@@ -64,7 +64,7 @@
         previous_starts: BTreeMap::new(),
         distrusted: BTreeSet::new(),
     };
-    Scene {
+    Fixture {
         succession: Succession::default(),
         view,
         servers,
@@ -72,9 +72,9 @@
     }
 }
 
-impl Scene {
+impl Fixture {
     /// The second server is seen to lead the second term.
-    fn succeed(&mut self, now: Duration) {
+    fn observe_successor(&mut self, now: Duration) {
         self.view.leader = Some(self.servers[1]);
         self.view.term = Term::from_number(2);
         self.view.leader_term = Term::from_number(2);
@@ -84,7 +84,7 @@
 
     /// All hosts miss the primary from `from` on and servers say `reports`; the first order until
     /// `until`, and when it was given.
-    fn lose(
+    fn fail_primary(
         &mut self,
         reports: &[(ServerKey, Report)],
         from: Duration,
@@ -119,50 +119,50 @@
 /// back and follows; it alone has the last acknowledged bids when its successor dies. The host
 /// takes it for one that led the second term, passes it over, and the bids are lost.
 #[test]
-fn a_term_known_from_a_replica_is_not_one_that_the_old_primary_led() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.view.term = Term::from_number(2);
-    scene.succession.step(&scene.view, ms(600));
-    scene.succeed(ms(700));
-    scene.view.newest_position = position(2, 60);
+fn a_term_seen_at_a_replica_is_not_attributed_to_the_old_primary() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
+    fixture.succession.step(&fixture.view, ms(500));
+    fixture.view.term = Term::from_number(2);
+    fixture.succession.step(&fixture.view, ms(600));
+    fixture.observe_successor(ms(700));
+    fixture.view.newest_position = position(2, 60);
     let reports = [
-        (scene.servers[0], replica(2, position(2, 60))),
-        (scene.servers[2], replica(2, position(2, 50))),
+        (fixture.servers[0], replica(2, position(2, 60))),
+        (fixture.servers[2], replica(2, position(2, 50))),
     ];
-    let ordered = scene.lose(&reports, ms(30_000), ms(45_000));
+    let ordered = fixture.fail_primary(&reports, ms(30_000), ms(45_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
 }
 
 /// A service of two servers. The primary was replaced, came back and follows, and nothing was
 /// written since, so its log still ends in the first term though it knows the second. Then the
 /// successor dies and its entry stays listed. Nobody else is there to lead, and nobody is ordered.
 #[test]
-fn a_replaced_primary_that_follows_leads_again_where_it_is_the_last() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    let reports = [(scene.servers[0], replica(2, position(1, 40)))];
-    let ordered = scene.lose(&reports, ms(30_000), ms(60_000));
+fn a_replaced_primary_that_follows_is_promoted_if_it_is_the_last_server() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
+    fixture.succession.step(&fixture.view, ms(500));
+    fixture.observe_successor(ms(700));
+    let reports = [(fixture.servers[0], replica(2, position(1, 40)))];
+    let ordered = fixture.fail_primary(&reports, ms(30_000), ms(60_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "none within 30 s");
+    assert_eq!(server, Some(fixture.servers[0]), "none within 30 s");
 }
 
 /// The same change, with the host told of the successor at once: the old primary counts.
 #[test]
-fn an_old_primary_that_follows_is_a_candidate() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    scene.view.newest_position = position(2, 60);
+fn a_replaced_primary_that_follows_is_a_candidate() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
+    fixture.succession.step(&fixture.view, ms(500));
+    fixture.observe_successor(ms(700));
+    fixture.view.newest_position = position(2, 60);
     let reports = [
-        (scene.servers[0], replica(2, position(2, 60))),
-        (scene.servers[2], replica(2, position(2, 50))),
+        (fixture.servers[0], replica(2, position(2, 60))),
+        (fixture.servers[2], replica(2, position(2, 50))),
     ];
-    let ordered = scene.lose(&reports, ms(30_000), ms(45_000));
+    let ordered = fixture.fail_primary(&reports, ms(30_000), ms(45_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
 }
 
 /// The store is away, and a host orders a replica under the token that it has. The answer is lost,
@@ -170,29 +170,29 @@
 /// later the platform carries out the first order: its token is not lower than the last one. Bids
 /// that the new primary has acknowledged are rolled back.
 #[test]
-fn an_order_without_an_answer_is_not_followed_by_another_under_its_token() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.synchronous = false;
-    scene.succession.reserve_token(FencingToken(7));
-    scene.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
+fn an_unanswered_order_is_not_followed_by_another_under_its_token() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
+    fixture.view.synchronous = false;
+    fixture.succession.reserve_token(FencingToken(7));
+    fixture.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
     let mut orders: Vec<(ServerKey, FencingToken)> = Vec::new();
     for now in (1_000..12_000).step_by(20).map(ms) {
-        let steps = scene.succession.step(&scene.view, now);
-        for host in &scene.hosts {
-            scene.succession.record_opinion(*host, Opinion::Fails);
+        let steps = fixture.succession.step(&fixture.view, now);
+        for host in &fixture.hosts {
+            fixture.succession.record_opinion(*host, Opinion::Fails);
         }
         let report = replica(1, position(1, 40));
-        scene.succession.record_report(scene.servers[1], report);
+        fixture.succession.record_report(fixture.servers[1], report);
         if orders.is_empty() {
             let report = replica(1, position(1, 43));
-            scene.succession.record_report(scene.servers[2], report);
+            fixture.succession.record_report(fixture.servers[2], report);
         }
         for next in steps {
             match next {
-                NextStep::Claim => scene.succession.claim_undecided(0, now),
+                NextStep::Claim => fixture.succession.claim_undecided(0, now),
                 NextStep::Promote { server, token } => {
                     orders.push((server, token));
-                    scene
+                    fixture
                         .succession
                         .order_finished(Order::Unknown, now + ms(500));
                 }
@@ -211,72 +211,72 @@
 /// that one is ordered, as the old primary's log still ends in the term that it led: thirty
 /// acknowledged bids are gone.
 #[test]
-fn a_replaced_primary_that_follows_is_better_than_a_server_that_lags() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.synchronous = false;
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
+fn a_replaced_primary_that_follows_is_preferred_to_a_lagging_replica() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
+    fixture.view.synchronous = false;
+    fixture.succession.step(&fixture.view, ms(500));
+    fixture.observe_successor(ms(700));
     let reports = [
-        (scene.servers[0], replica(2, position(1, 40))),
-        (scene.servers[2], replica(2, position(1, 10))),
+        (fixture.servers[0], replica(2, position(1, 40))),
+        (fixture.servers[2], replica(2, position(1, 10))),
     ];
-    let ordered = scene.lose(&reports, ms(3_000), ms(20_000));
+    let ordered = fixture.fail_primary(&reports, ms(3_000), ms(20_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
 }
 
 /// A replaced primary is back and follows, and nothing was written under its successor, which is about
 /// to leave. No other server is there. The successor was never relieved, and what it had to acknowledge
 /// at its end was refused until somebody missed it.
 #[test]
-fn a_replaced_primary_that_follows_relieves_one_that_leaves() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    scene.view.trouble = Some(Trouble::Leaving);
+fn a_replaced_primary_that_follows_replaces_a_leaving_primary() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
+    fixture.view.synchronous = false;
+    fixture.succession.step(&fixture.view, ms(500));
+    fixture.observe_successor(ms(700));
+    fixture.view.trouble = Some(Trouble::Leaving);
     let mut orders = Vec::new();
     for now in (3_000..5_000).step_by(20).map(ms) {
-        let mut steps = scene.succession.step(&scene.view, now);
+        let mut steps = fixture.succession.step(&fixture.view, now);
         if steps.contains(&NextStep::Claim) {
-            steps.extend(scene.succession.claim_won(FencingToken(7), now));
+            steps.extend(fixture.succession.claim_won(FencingToken(7), now));
         }
         let report = replica(2, position(1, 40));
-        scene.succession.record_report(scene.servers[0], report);
+        fixture.succession.record_report(fixture.servers[0], report);
         orders.extend(steps.into_iter().filter_map(|it| match it {
             NextStep::Promote { server, .. } => Some(server),
             NextStep::Claim | NextStep::AskHosts | NextStep::AskServers => None,
         }));
     }
-    assert_eq!(orders, [scene.servers[0]]);
+    assert_eq!(orders, [fixture.servers[0]]);
 }
 
 /// The store is away, so hosts act in turn, and the third one waits 0.75 s. Meanwhile the replica that
 /// had answered with the longest log starts again without it. By its old word it was ordered to lead,
 /// with nothing, and all that the other one held was rolled back.
 #[test]
-fn an_order_does_not_rest_on_what_a_server_said_long_before() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.synchronous = false;
-    scene.succession.reserve_token(FencingToken(7));
-    scene.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
+fn an_order_does_not_rest_on_an_outdated_report() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
+    fixture.view.synchronous = false;
+    fixture.succession.reserve_token(FencingToken(7));
+    fixture.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
     let mut orders = Vec::new();
     for now in (1_000..4_000).step_by(20).map(ms) {
-        let steps = scene.succession.step(&scene.view, now);
-        for host in &scene.hosts {
-            scene.succession.record_opinion(*host, Opinion::Fails);
+        let steps = fixture.succession.step(&fixture.view, now);
+        for host in &fixture.hosts {
+            fixture.succession.record_opinion(*host, Opinion::Fails);
         }
         for next in steps {
             match next {
-                NextStep::Claim => scene.succession.claim_undecided(3, now),
+                NextStep::Claim => fixture.succession.claim_undecided(3, now),
                 NextStep::AskServers => {
                     let longest = if now < ms(1_300) { 43 } else { 0 };
                     let said = [(1, position(1, 40)), (2, position(1, longest))];
                     for (server, received) in said {
                         let report = replica(1, received);
-                        scene
+                        fixture
                             .succession
-                            .record_report(scene.servers[server], report);
+                            .record_report(fixture.servers[server], report);
                     }
                 }
                 NextStep::Promote { server, .. } => orders.push((server, now)),
@@ -285,36 +285,36 @@
         }
     }
     let servers: Vec<ServerKey> = orders.iter().map(|(server, _)| *server).collect();
-    assert_eq!(servers, [scene.servers[1]], "{orders:?}");
+    assert_eq!(servers, [fixture.servers[1]], "{orders:?}");
 }
 
 /// A primary is told to step down for a successor that dies before it leads. No other server but one
 /// that has started again without its log is there, and its entry is new to the list. The old primary
 /// has all that was acknowledged, yet it was passed over as one that was replaced, and all was gone.
 #[test]
-fn an_empty_server_does_not_lead_where_a_former_primary_has_its_log() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.succession.step(&scene.view, ms(500));
-    scene.view.leader = None;
+fn a_former_primary_with_its_log_is_preferred_to_an_empty_server() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
+    fixture.view.synchronous = false;
+    fixture.succession.step(&fixture.view, ms(500));
+    fixture.view.leader = None;
     let since = ms(1_000);
     let empty = replica(1, position(1, 0));
     let reports = [
-        (scene.servers[0], replica(1, position(1, 40))),
-        (scene.servers[1], empty),
+        (fixture.servers[0], replica(1, position(1, 40))),
+        (fixture.servers[1], empty),
     ];
     let mut ordered = None;
     for now in (1_000..20_000).step_by(20).map(ms) {
-        scene.view.trouble = Some(Trouble::Absent { since });
-        let mut steps = scene.succession.step(&scene.view, now);
-        for host in &scene.hosts {
-            scene.succession.record_opinion(*host, Opinion::Fails);
+        fixture.view.trouble = Some(Trouble::Absent { since });
+        let mut steps = fixture.succession.step(&fixture.view, now);
+        for host in &fixture.hosts {
+            fixture.succession.record_opinion(*host, Opinion::Fails);
         }
         for (server, report) in reports {
-            scene.succession.record_report(server, report);
+            fixture.succession.record_report(server, report);
         }
         if steps.contains(&NextStep::Claim) {
-            steps.extend(scene.succession.claim_won(FencingToken(7), now));
+            steps.extend(fixture.succession.claim_won(FencingToken(7), now));
         }
         let server = steps.into_iter().find_map(|it| match it {
             NextStep::Promote { server, .. } => Some(server),
@@ -322,23 +322,23 @@
         });
         ordered = ordered.or(server);
     }
-    assert_eq!(ordered, Some(scene.servers[0]));
+    assert_eq!(ordered, Some(fixture.servers[0]));
 }
 
 /// Two primaries leave one after the other, as in a rolling restart, with nothing else wrong between.
 /// At the second one no host waits its turn any more: all claim and ask at once, which fills the
 /// servers' connections.
 #[test]
-fn hosts_take_turns_at_a_second_primary_that_leaves() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.rank = 2;
-    scene.view.trouble = Some(Trouble::Leaving);
-    assert_eq!(scene.succession.step(&scene.view, ms(1_000)), []);
-    scene.succession.defer_to_peer(ms(1_010));
-    scene.succeed(ms(2_000));
-    assert_eq!(scene.succession.step(&scene.view, ms(50_000)), []);
-    scene.view.trouble = Some(Trouble::Leaving);
-    assert_eq!(scene.succession.step(&scene.view, ms(60_000)), []);
+fn hosts_take_turns_at_a_second_leaving_primary() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
+    fixture.view.rank = 2;
+    fixture.view.trouble = Some(Trouble::Leaving);
+    assert_eq!(fixture.succession.step(&fixture.view, ms(1_000)), []);
+    fixture.succession.defer_to_peer(ms(1_010));
+    fixture.observe_successor(ms(2_000));
+    assert_eq!(fixture.succession.step(&fixture.view, ms(50_000)), []);
+    fixture.view.trouble = Some(Trouble::Leaving);
+    assert_eq!(fixture.succession.step(&fixture.view, ms(60_000)), []);
 }
 
 /// The same service of two servers on a host that hears no other, with the successor gone from the
@@ -346,20 +346,20 @@
 /// primary while others go on with the successor: it cannot tell, so it orders nobody back. What
 /// that primary never received would be rolled back for all.
 #[test]
-fn a_host_that_hears_no_other_orders_no_replaced_primary_back() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    scene.view.leader = None;
-    scene.view.candidates.remove(&scene.servers[1]);
+fn an_isolated_host_does_not_promote_a_replaced_primary() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
+    fixture.succession.step(&fixture.view, ms(500));
+    fixture.observe_successor(ms(700));
+    fixture.view.leader = None;
+    fixture.view.candidates.remove(&fixture.servers[1]);
     let since = ms(30_000);
-    scene.view.trouble = Some(Trouble::Absent { since });
+    fixture.view.trouble = Some(Trouble::Absent { since });
     for now in (30_000..90_000).step_by(20).map(ms) {
-        let mut steps = scene.succession.step(&scene.view, now);
+        let mut steps = fixture.succession.step(&fixture.view, now);
         let report = replica(2, position(1, 40));
-        scene.succession.record_report(scene.servers[0], report);
+        fixture.succession.record_report(fixture.servers[0], report);
         if steps.contains(&NextStep::Claim) {
-            steps.extend(scene.succession.claim_won(FencingToken(7), now));
+            steps.extend(fixture.succession.claim_won(FencingToken(7), now));
         }
         let promotes = |it: &NextStep| matches!(it, NextStep::Promote { .. });
         assert!(!steps.iter().any(promotes), "{steps:?} at {now:?}");
@@ -368,61 +368,61 @@
 
 /// A host that has started after the first primary was replaced, and takes the second one to lead. The first
 /// one, whose log is the longest, is all that answers.
-fn fresh_beside_a_replaced_primary() -> (Scene, [(ServerKey, Report); 1]) {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.view.leader = Some(scene.servers[1]);
-    scene.view.term = Term::from_number(2);
-    scene.view.leader_term = Term::default();
+fn fixture_with_a_replaced_primary() -> (Fixture, [(ServerKey, Report); 1]) {
+    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
+    fixture.view.synchronous = false;
+    fixture.view.leader = Some(fixture.servers[1]);
+    fixture.view.term = Term::from_number(2);
+    fixture.view.leader_term = Term::default();
     let report = replica(1, position(1, 45));
-    let reports = [(scene.servers[0], report)];
-    (scene, reports)
+    let reports = [(fixture.servers[0], report)];
+    (fixture, reports)
 }
 
 /// Guards against the promotion of a replaced primary that this host has never believed: its log ends with
 /// what the change dropped.
 #[test]
-fn a_replaced_primary_that_was_never_believed_is_passed_over() {
-    let (mut scene, reports) = fresh_beside_a_replaced_primary();
-    scene.view.terms_led = BTreeMap::from([(scene.servers[0], Term::from_number(1))]);
-    assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
+fn a_replaced_primary_that_was_never_trusted_is_passed_over() {
+    let (mut fixture, reports) = fixture_with_a_replaced_primary();
+    fixture.view.terms_led = BTreeMap::from([(fixture.servers[0], Term::from_number(1))]);
+    assert_eq!(fixture.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
 /// The same where only another host has seen it lead.
 #[test]
 fn a_replaced_primary_that_another_host_saw_lead_is_passed_over() {
-    let (mut scene, reports) = fresh_beside_a_replaced_primary();
-    scene
+    let (mut fixture, reports) = fixture_with_a_replaced_primary();
+    fixture
         .succession
-        .record_leader(scene.servers[0], Term::from_number(1));
-    assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
+        .record_leader(fixture.servers[0], Term::from_number(1));
+    assert_eq!(fixture.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
 /// Guards against a service without a primary for good, where the replaced one is the only server left.
 #[test]
-fn a_replaced_primary_that_is_the_only_server_left_is_ordered_in_the_end() {
-    let (mut scene, reports) = fresh_beside_a_replaced_primary();
-    scene
+fn a_replaced_primary_is_promoted_in_the_end_if_no_other_server_is_left() {
+    let (mut fixture, reports) = fixture_with_a_replaced_primary();
+    fixture
         .succession
-        .record_leader(scene.servers[0], Term::from_number(1));
-    let ordered = scene.lose(&reports, ms(1_000), ms(14_000));
+        .record_leader(fixture.servers[0], Term::from_number(1));
+    let ordered = fixture.fail_primary(&reports, ms(1_000), ms(14_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
 }
 
 /// Guards against the loss of the whole log: an empty server, which names the newest term, is ordered while the
 /// primary that has the log is down for a moment.
 #[test]
-fn an_empty_server_that_names_the_newest_term_is_not_ordered_at_once() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.view.term = Term::from_number(4);
-    scene.view.leader_term = Term::from_number(4);
-    scene.view.newest_position = position(4, 0);
-    scene.view.required_positions = BTreeMap::from([(scene.servers[1], position(3, 391))]);
-    let reports = [(scene.servers[1], replica(4, position(4, 0)))];
-    assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
-    let ordered = scene.lose(&reports, ms(9_000), ms(14_000));
+fn an_empty_server_of_the_newest_term_is_not_promoted_at_once() {
+    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
+    fixture.view.synchronous = false;
+    fixture.view.term = Term::from_number(4);
+    fixture.view.leader_term = Term::from_number(4);
+    fixture.view.newest_position = position(4, 0);
+    fixture.view.required_positions = BTreeMap::from([(fixture.servers[1], position(3, 391))]);
+    let reports = [(fixture.servers[1], replica(4, position(4, 0)))];
+    assert_eq!(fixture.fail_primary(&reports, ms(1_000), ms(9_000)), None);
+    let ordered = fixture.fail_primary(&reports, ms(9_000), ms(14_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[1]), "{ordered:?}");
+    assert_eq!(server, Some(fixture.servers[1]), "{ordered:?}");
 }
--- a/crates/core/tests/suspicion.rs
+++ b/crates/core/tests/suspicion.rs
@@ -8,7 +8,7 @@
 use flamingopost_core::timing;
 
 struct Fleet {
-    judge: FailureDetector,
+    detector: FailureDetector,
     server: ServerKey,
     /// Two hosts in each of three zones.
     hosts: Vec<(HostKey, ZoneKey)>,
@@ -22,7 +22,7 @@
         (hosts.intern(&format!("entry-{i}")), zone)
     };
     Fleet {
-        judge: FailureDetector::default(),
+        detector: FailureDetector::default(),
         server: Names::default().intern("ledger-1"),
         hosts: (0..6).map(host).collect(),
     }
@@ -31,12 +31,12 @@
 impl Fleet {
     fn report(&mut self, host: usize, report: Report, now: Duration) {
         let (host, zone) = self.hosts[host];
-        self.judge.record_host(host, zone, now);
-        self.judge.add_report(host, self.server, report, now);
+        self.detector.record_host(host, zone, now);
+        self.detector.add_report(host, self.server, report, now);
     }
 
     fn verdict(&self, now: Duration) -> Reachability {
-        self.judge.reachability(self.server, now)
+        self.detector.reachability(self.server, now)
     }
 }
 
@@ -44,7 +44,7 @@
     Duration::from_secs(secs)
 }
 
-fn well() -> Report {
+fn healthy() -> Report {
     Report {
         silent: Some(Duration::from_millis(50)),
         ..Report::default()
@@ -69,7 +69,7 @@
 
 /// A primary dies and nobody does anything.
 #[test]
-fn refused_by_hosts_of_all_zones_is_dead() {
+fn a_primary_refused_by_hosts_of_all_zones_is_unreachable() {
     let mut fleet = fleet();
     (0..6).for_each(|host| fleet.report(host, broken(), secs(10)));
     assert_eq!(fleet.verdict(secs(10)), Reachability::Unreachable);
@@ -80,7 +80,7 @@
 fn hosts_of_one_zone_are_not_enough() {
     let mut fleet = fleet();
     for host in 0..6 {
-        let report = if host % 3 == 1 { broken() } else { well() };
+        let report = if host % 3 == 1 { broken() } else { healthy() };
         fleet.report(host, report, secs(10));
     }
     assert_eq!(fleet.verdict(secs(10)), Reachability::Reachable);
@@ -91,7 +91,7 @@
 fn a_minority_is_not_enough() {
     let mut fleet = fleet();
     for host in 0..6 {
-        let report = if host < 2 { broken() } else { well() };
+        let report = if host < 2 { broken() } else { healthy() };
         fleet.report(host, report, secs(10));
     }
     assert_eq!(fleet.verdict(secs(10)), Reachability::Reachable);
@@ -99,7 +99,7 @@
 
 /// A busy primary that answers after one and a half seconds is replaced, which makes all worse.
 #[test]
-fn a_slow_primary_is_not_dead() {
+fn a_slow_primary_is_reachable() {
     let mut fleet = fleet();
     for step in 0..20 {
         let now = secs(10) + Duration::from_millis(500) * step;
@@ -112,7 +112,7 @@
 
 /// A primary behind a cut that swallows packets is never replaced, as nothing refuses.
 #[test]
-fn long_silence_is_death() {
+fn a_primary_that_is_silent_for_long_is_unreachable() {
     let mut fleet = fleet();
     (0..6).for_each(|host| fleet.report(host, silent(2_000), secs(10)));
     assert_eq!(fleet.verdict(secs(10)), Reachability::Unreachable);
@@ -124,8 +124,8 @@
 fn hosts_of_the_only_zone_left_are_enough_after_a_while() {
     let mut fleet = fleet();
     let zones = fleet.hosts.iter().map(|(_, zone)| *zone).collect();
-    fleet.judge.set_listed_zones(zones);
-    (0..6).for_each(|host| fleet.report(host, well(), secs(10)));
+    fleet.detector.set_listed_zones(zones);
+    (0..6).for_each(|host| fleet.report(host, healthy(), secs(10)));
     let soon = secs(12);
     for host in [0, 3] {
         fleet.report(host, broken(), soon);
@@ -151,15 +151,15 @@
 
 /// Two servers that fail in turn are promoted back and forth, and no write gets through.
 #[test]
-fn promotions_in_a_row_wait_longer_each_time() {
-    let mut judge = FailureDetector::default();
+fn the_pause_doubles_with_each_promotion_in_a_row() {
+    let mut detector = FailureDetector::default();
     let service = ServiceKey::default();
     let mut now = secs(10);
     let mut pauses = Vec::new();
     for _ in 0..12 {
-        judge.record_promotion(service, now);
+        detector.record_promotion(service, now);
         let from = now;
-        while !judge.has_cooled_down(service, now) {
+        while !detector.has_cooled_down(service, now) {
             now += Duration::from_millis(100);
         }
         pauses.push(now - from);
@@ -171,6 +171,6 @@
             .all(|pair| pair[1] == (pair[0] * 2).min(timing::COOL_DOWN_MAX))
     );
 
-    judge.record_promotion(service, now + secs(3_600));
-    assert!(judge.has_cooled_down(service, now + secs(3_600) + timing::COOL_DOWN));
+    detector.record_promotion(service, now + secs(3_600));
+    assert!(detector.has_cooled_down(service, now + secs(3_600) + timing::COOL_DOWN));
 }
