--- a/crates/core/tests/succession.rs
+++ b/crates/core/tests/succession.rs
@@ -32,7 +32,7 @@
     }
 }
 
-struct Fixture {
+struct Setup {
     succession: Succession,
     view: View,
     servers: [ServerKey; 3],
@@ -40,7 +40,7 @@
 }
 
 /// Six hosts, a primary and two replicas; the primary refuses connections since 1 s.
-fn fixture() -> Fixture {
+fn setup() -> Setup {
     let mut servers: Names<ServerKey> = Names::default();
     let servers = ["ledger-1", "ledger-2", "ledger-3"].map(|name| servers.intern(name));
     let mut hosts: Names<HostKey> = Names::default();
@@ -64,7 +64,7 @@
         previous_starts: BTreeMap::new(),
         distrusted: BTreeSet::new(),
     };
-    Fixture {
+    Setup {
         succession: Succession::default(),
         view,
         servers,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Fixture {
+impl Setup {
     /// All hosts miss the primary, the claim is won, and only the first replica has answered.
     fn win_claim(&mut self) {
         self.step(ms(1_020));
@@ -109,36 +109,26 @@
 /// and the replica that has received most is ordered to lead as soon as the claim is won.
 #[test]
 fn a_dead_primary_is_replaced_by_the_replica_with_the_longest_log() {
-    let mut fixture = fixture();
+    let mut setup = setup();
     assert_eq!(
-        fixture.step(ms(1_020)),
+        setup.step(ms(1_020)),
         [NextStep::AskHosts, NextStep::AskServers]
     );
-    fixture
+    setup
         .succession
-        .record_report(fixture.servers[1], replica(40));
-    fixture
+        .record_report(setup.servers[1], replica(40));
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(43));
-    fixture.record_opinions(5, 0);
-    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
-    assert_eq!(
-        fixture.step(ms(1_030)),
-        [],
-        "the store has not answered yet"
-    );
-    fixture.succession.claim_won(FencingToken(7), ms(1_032));
-    let order = fixture.expected_order();
-    assert_eq!(fixture.step(ms(1_032)), [order]);
-    fixture
-        .succession
-        .order_finished(Order::Accepted, ms(1_050));
-    assert!(fixture.succession.is_under_way());
-    assert_eq!(
-        fixture.step(ms(1_500)),
-        [],
-        "it takes about a second to show"
-    );
+        .record_report(setup.servers[2], replica(43));
+    setup.record_opinions(5, 0);
+    assert_eq!(setup.step(ms(1_025)), [NextStep::Claim]);
+    assert_eq!(setup.step(ms(1_030)), [], "the store has not answered yet");
+    setup.succession.claim_won(FencingToken(7), ms(1_032));
+    let order = setup.expected_order();
+    assert_eq!(setup.step(ms(1_032)), [order]);
+    setup.succession.order_finished(Order::Accepted, ms(1_050));
+    assert!(setup.succession.is_under_way());
+    assert_eq!(setup.step(ms(1_500)), [], "it takes about a second to show");
 }
 
 /// A service acknowledges a bid when one replica has it. The primary died, one replica was too
@@ -146,13 +136,13 @@
 /// made the primary: sixty acknowledged bids were gone.
 #[test]
 fn a_synchronous_service_waits_for_the_report_of_every_replica() {
-    let mut fixture = fixture();
-    fixture.view.synchronous = true;
-    fixture.view.newest_position = position(1, 43);
-    fixture.win_claim();
+    let mut setup = setup();
+    setup.view.synchronous = true;
+    setup.view.newest_position = position(1, 43);
+    setup.win_claim();
     let mut asked = 0;
     for now in (1_040..2_000).step_by(20) {
-        let next = fixture.step(ms(now));
+        let next = setup.step(ms(now));
         assert!(
             !next.iter().any(|it| matches!(it, NextStep::Promote { .. })),
             "at {now}"
@@ -160,25 +150,25 @@
         asked += usize::from(next.contains(&NextStep::AskServers));
     }
     assert!(asked >= 3, "it is asked again");
-    fixture
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(43));
-    let order = fixture.expected_order();
-    assert_eq!(fixture.step(ms(2_000)), [order]);
+        .record_report(setup.servers[2], replica(43));
+    let order = setup.expected_order();
+    assert_eq!(setup.step(ms(2_000)), [order]);
 }
 
 /// The replica that alone had received the last bids restarts just when the primary dies. It is
 /// waited for while it may come back, not for ever: callers who write get nothing meanwhile.
 #[test]
 fn the_wait_for_a_replica_with_acknowledged_commits_is_bounded() {
-    let mut fixture = fixture();
-    fixture.view.synchronous = true;
-    fixture.view.newest_position = position(1, 43);
-    fixture.view.candidates.remove(&fixture.servers[2]);
-    fixture.win_claim();
+    let mut setup = setup();
+    setup.view.synchronous = true;
+    setup.view.newest_position = position(1, 43);
+    setup.view.candidates.remove(&setup.servers[2]);
+    setup.win_claim();
     let mut now = 1_040;
     let ordered = loop {
-        let next = fixture.step(ms(now));
+        let next = setup.step(ms(now));
         if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
@@ -193,95 +183,89 @@
 /// again. It is passed over while the other one may answer.
 #[test]
 fn a_replica_that_lost_its_log_is_passed_over_while_others_may_answer() {
-    let mut fixture = fixture();
-    fixture
+    let mut setup = setup();
+    setup
         .view
         .required_positions
-        .insert(fixture.servers[1], position(1, 40));
-    fixture.step(ms(1_020));
-    fixture
-        .succession
-        .record_report(fixture.servers[1], replica(0));
-    fixture.record_opinions(5, 0);
-    fixture.step(ms(1_025));
-    fixture.succession.claim_won(FencingToken(7), ms(1_032));
+        .insert(setup.servers[1], position(1, 40));
+    setup.step(ms(1_020));
+    setup.succession.record_report(setup.servers[1], replica(0));
+    setup.record_opinions(5, 0);
+    setup.step(ms(1_025));
+    setup.succession.claim_won(FencingToken(7), ms(1_032));
     for now in (1_040..4_000).step_by(20) {
-        let next = fixture.step(ms(now));
+        let next = setup.step(ms(now));
         let promotes = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
-    fixture
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(38));
-    let order = fixture.expected_order();
-    assert_eq!(fixture.step(ms(4_000)), [order]);
+        .record_report(setup.servers[2], replica(38));
+    let order = setup.expected_order();
+    assert_eq!(setup.step(ms(4_000)), [order]);
 }
 
 /// The same on a host that has started since and knows of no restart: an empty log is reason enough
 /// to wait for a server that has not answered.
 #[test]
 fn a_host_that_has_just_started_does_not_choose_an_empty_log() {
-    let mut fixture = fixture();
-    fixture.view.newest_position = Position::default();
-    fixture.step(ms(1_020));
-    fixture
-        .succession
-        .record_report(fixture.servers[1], replica(0));
-    fixture.record_opinions(5, 0);
-    fixture.step(ms(1_025));
-    fixture.succession.claim_won(FencingToken(7), ms(1_032));
+    let mut setup = setup();
+    setup.view.newest_position = Position::default();
+    setup.step(ms(1_020));
+    setup.succession.record_report(setup.servers[1], replica(0));
+    setup.record_opinions(5, 0);
+    setup.step(ms(1_025));
+    setup.succession.claim_won(FencingToken(7), ms(1_032));
     assert_eq!(
-        fixture.step(ms(1_500)),
+        setup.step(ms(1_500)),
         [NextStep::AskHosts, NextStep::AskServers]
     );
-    fixture
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(38));
-    let order = fixture.expected_order();
-    assert_eq!(fixture.step(ms(1_510)), [order]);
+        .record_report(setup.servers[2], replica(38));
+    let order = setup.expected_order();
+    assert_eq!(setup.step(ms(1_510)), [order]);
 }
 
 /// Right after a change of primary nothing is written yet. A replica that has lost its log shows the
 /// start of the new term, which is past what the others have; it was taken for the one with most.
 #[test]
 fn an_empty_log_of_the_newest_term_ranks_below_a_log_of_the_previous_term() {
-    let mut fixture = fixture();
-    fixture.step(ms(1_020));
+    let mut setup = setup();
+    setup.step(ms(1_020));
     let empty = Report {
         received: position(2, 0),
         ..replica(0)
     };
-    fixture.succession.record_report(fixture.servers[1], empty);
-    fixture
+    setup.succession.record_report(setup.servers[1], empty);
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(38));
-    fixture.record_opinions(5, 0);
-    fixture.step(ms(1_025));
-    fixture.succession.claim_won(FencingToken(7), ms(1_032));
-    let order = fixture.expected_order();
-    assert_eq!(fixture.step(ms(1_032)), [order]);
+        .record_report(setup.servers[2], replica(38));
+    setup.record_opinions(5, 0);
+    setup.step(ms(1_025));
+    setup.succession.claim_won(FencingToken(7), ms(1_032));
+    let order = setup.expected_order();
+    assert_eq!(setup.step(ms(1_032)), [order]);
 }
 
 /// All servers that are left have lost their logs. Callers wait for one that has more as long as a
 /// restart takes, not for ever.
 #[test]
 fn an_empty_replica_is_promoted_when_no_other_server_comes_back() {
-    let mut fixture = fixture();
-    fixture
+    let mut setup = setup();
+    setup
         .view
         .required_positions
-        .insert(fixture.servers[1], position(1, 40));
-    fixture.view.candidates.remove(&fixture.servers[2]);
-    fixture.step(ms(1_020));
-    fixture
-        .succession
-        .record_report(fixture.servers[1], replica(0));
-    fixture.record_opinions(5, 0);
-    fixture.step(ms(1_025));
-    fixture.succession.claim_won(FencingToken(7), ms(1_032));
+        .insert(setup.servers[1], position(1, 40));
+    setup.view.candidates.remove(&setup.servers[2]);
+    setup.step(ms(1_020));
+    setup.succession.record_report(setup.servers[1], replica(0));
+    setup.record_opinions(5, 0);
+    setup.step(ms(1_025));
+    setup.succession.claim_won(FencingToken(7), ms(1_032));
     let mut now = 1_040;
     let ordered = loop {
-        let next = fixture.step(ms(now));
+        let next = setup.step(ms(now));
         if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
@@ -297,15 +281,15 @@
 /// as open that were sold.
 #[test]
 fn an_isolated_host_does_not_replace_the_primary() {
-    let mut fixture = fixture();
-    fixture.view.trouble = Some(Trouble::Silent { since: ms(1_000) });
+    let mut setup = setup();
+    setup.view.trouble = Some(Trouble::Silent { since: ms(1_000) });
     let mut now = ms(1_450);
     while now < ms(12_000) {
-        let next = fixture.step(now);
+        let next = setup.step(now);
         assert!(!next.contains(&NextStep::Claim), "at {now:?}");
-        fixture
+        setup
             .succession
-            .record_report(fixture.servers[1], replica(40));
+            .record_report(setup.servers[1], replica(40));
         now += ms(20);
     }
 }
@@ -315,43 +299,43 @@
 /// within the second that a promotion takes was missing afterwards.
 #[test]
 fn an_order_waits_until_the_leases_of_unreachable_hosts_have_ended() {
-    let mut fixture = fixture();
-    fixture.view.leases_end = ms(2_000);
-    fixture.step(ms(1_020));
-    fixture
+    let mut setup = setup();
+    setup.view.leases_end = ms(2_000);
+    setup.step(ms(1_020));
+    setup
         .succession
-        .record_report(fixture.servers[1], replica(40));
-    fixture
+        .record_report(setup.servers[1], replica(40));
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(40));
-    fixture.record_opinions(3, 0);
+        .record_report(setup.servers[2], replica(40));
+    setup.record_opinions(3, 0);
     let over = ms(1_020) + INQUIRY_TIMEOUT;
-    assert_eq!(fixture.step(over), [NextStep::Claim]);
-    fixture.succession.claim_won(FencingToken(7), over);
+    assert_eq!(setup.step(over), [NextStep::Claim]);
+    setup.succession.claim_won(FencingToken(7), over);
     assert_eq!(
-        fixture.step(ms(1_990)),
+        setup.step(ms(1_990)),
         [NextStep::AskHosts, NextStep::AskServers],
         "asked once more, and no order"
     );
-    fixture
+    setup
         .succession
-        .record_report(fixture.servers[1], replica(40));
-    fixture
+        .record_report(setup.servers[1], replica(40));
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(40));
-    assert_eq!(fixture.step(ms(1_999)), []);
-    let order = fixture.expected_order();
-    assert_eq!(fixture.step(ms(2_000)), [order]);
+        .record_report(setup.servers[2], replica(40));
+    assert_eq!(setup.step(ms(1_999)), []);
+    let order = setup.expected_order();
+    assert_eq!(setup.step(ms(2_000)), [order]);
 }
 
 /// The hosts of one zone are cut off with each other. Two like opinions of six are no majority.
 #[test]
 fn a_minority_does_not_replace_the_primary() {
-    let mut fixture = fixture();
-    fixture.step(ms(1_020));
-    fixture.record_opinions(1, 0);
-    assert_eq!(fixture.step(ms(1_020) + INQUIRY_TIMEOUT), []);
-    assert!(!fixture.succession.is_under_way());
+    let mut setup = setup();
+    setup.step(ms(1_020));
+    setup.record_opinions(1, 0);
+    assert_eq!(setup.step(ms(1_020) + INQUIRY_TIMEOUT), []);
+    assert!(!setup.succession.is_under_way());
 }
 
 /// A zone is cut off. Its clerks reach its hosts, which reach no primary: they were refused for six
@@ -359,19 +343,19 @@
 /// other zones.
 #[test]
 fn a_host_records_since_when_it_is_outvoted() {
-    let mut fixture = fixture();
-    assert_eq!(fixture.succession.outvoted(), None);
-    fixture.step(ms(1_020));
-    fixture.record_opinions(1, 0);
+    let mut setup = setup();
+    assert_eq!(setup.succession.outvoted(), None);
+    setup.step(ms(1_020));
+    setup.record_opinions(1, 0);
     let over = ms(1_020) + INQUIRY_TIMEOUT;
-    fixture.step(over);
-    assert_eq!(fixture.succession.outvoted(), Some(over));
-    fixture.step(ms(3_000));
-    assert_eq!(fixture.succession.outvoted(), Some(over), "since then");
-    fixture.view.trouble = None;
-    fixture.step(ms(3_100));
+    setup.step(over);
+    assert_eq!(setup.succession.outvoted(), Some(over));
+    setup.step(ms(3_000));
+    assert_eq!(setup.succession.outvoted(), Some(over), "since then");
+    setup.view.trouble = None;
+    setup.step(ms(3_100));
     assert_eq!(
-        fixture.succession.outvoted(),
+        setup.succession.outvoted(),
         None,
         "it reaches the primary again"
     );
@@ -380,23 +364,23 @@
 /// Most hosts agree that a primary is gone. None of them is worse than the others.
 #[test]
 fn a_host_in_the_majority_is_not_outvoted() {
-    let mut fixture = fixture();
-    fixture.step(ms(1_020));
-    fixture.record_opinions(5, 0);
-    assert_eq!(fixture.step(ms(1_030)), [NextStep::Claim]);
-    assert_eq!(fixture.succession.outvoted(), None);
+    let mut setup = setup();
+    setup.step(ms(1_020));
+    setup.record_opinions(5, 0);
+    assert_eq!(setup.step(ms(1_030)), [NextStep::Claim]);
+    assert_eq!(setup.succession.outvoted(), None);
 }
 
 /// All other hosts were lost for good, and then the primary: the platform's list loses it too
 /// after some seconds. Whoever is left has to act in the end, or nobody books any more.
 #[test]
 fn the_last_host_acts_once_the_platform_has_lost_the_primary_too() {
-    let mut fixture = fixture();
-    fixture.view.leader = None;
-    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+    let mut setup = setup();
+    setup.view.leader = None;
+    setup.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut now = ms(1_020);
     let claimed = loop {
-        if fixture.step(now).contains(&NextStep::Claim) {
+        if setup.step(now).contains(&NextStep::Claim) {
             break now;
         }
         now += ms(20);
@@ -409,14 +393,14 @@
 /// not wait for ever, because most requests come through the hosts that miss it.
 #[test]
 fn a_majority_waits_while_some_hosts_reach_the_primary() {
-    let mut fixture = fixture();
-    fixture.step(ms(1_020));
-    fixture.record_opinions(3, 2);
-    assert_eq!(fixture.step(ms(1_020) + INQUIRY_TIMEOUT), []);
-    fixture.step(ms(1_000) + DIVIDED_DELAY);
-    fixture.record_opinions(3, 2);
+    let mut setup = setup();
+    setup.step(ms(1_020));
+    setup.record_opinions(3, 2);
+    assert_eq!(setup.step(ms(1_020) + INQUIRY_TIMEOUT), []);
+    setup.step(ms(1_000) + DIVIDED_DELAY);
+    setup.record_opinions(3, 2);
     assert_eq!(
-        fixture.step(ms(1_000) + DIVIDED_DELAY + INQUIRY_TIMEOUT),
+        setup.step(ms(1_000) + DIVIDED_DELAY + INQUIRY_TIMEOUT),
         [NextStep::Claim]
     );
 }
@@ -425,95 +409,92 @@
 /// nobody waits for it: a fifth of a second more without bids for each host that is gone.
 #[test]
 fn a_closed_port_seen_by_a_majority_is_enough() {
-    let mut fixture = fixture();
-    fixture.step(ms(1_020));
-    fixture.record_opinions(4, 0);
-    assert_eq!(fixture.step(ms(1_030)), [], "somebody may object");
-    assert_eq!(
-        fixture.step(ms(1_020) + OBJECTION_TIMEOUT),
-        [NextStep::Claim]
-    );
+    let mut setup = setup();
+    setup.step(ms(1_020));
+    setup.record_opinions(4, 0);
+    assert_eq!(setup.step(ms(1_030)), [], "somebody may object");
+    assert_eq!(setup.step(ms(1_020) + OBJECTION_TIMEOUT), [NextStep::Claim]);
 }
 
 /// Another host has acted already: a server leads a newer term that this host has not heard of.
 #[test]
 fn a_completed_change_of_primary_is_not_repeated() {
-    let mut fixture = fixture();
-    fixture.step(ms(1_020));
-    fixture.record_opinions(5, 0);
+    let mut setup = setup();
+    setup.step(ms(1_020));
+    setup.record_opinions(5, 0);
     let leads = Report {
         role: Role::Primary,
         term: Term::from_number(2),
         received: position(2, 44),
     };
-    fixture.succession.record_report(fixture.servers[1], leads);
-    assert_eq!(fixture.step(ms(1_025)), []);
+    setup.succession.record_report(setup.servers[1], leads);
+    assert_eq!(setup.step(ms(1_025)), []);
 }
 
 /// The platform's store is away when a primary dies. Hosts act one after the other with tokens
 /// that they reserved before, so that most times only one order goes out.
 #[test]
 fn without_the_store_hosts_act_in_turn() {
-    let mut fixture = fixture();
-    fixture.succession.reserve_token(FencingToken(3));
-    fixture.step(ms(1_020));
-    fixture
+    let mut setup = setup();
+    setup.succession.reserve_token(FencingToken(3));
+    setup.step(ms(1_020));
+    setup
         .succession
-        .record_report(fixture.servers[1], replica(40));
-    fixture
+        .record_report(setup.servers[1], replica(40));
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(40));
-    fixture.record_opinions(5, 0);
-    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
-    fixture.succession.claim_undecided(2, ms(1_275));
-    assert_eq!(fixture.step(ms(1_300)), [], "two hosts come first");
-    fixture.succession.defer_to_peer(ms(1_310));
-    assert_eq!(fixture.step(ms(2_000)), [], "one of them has acted");
+        .record_report(setup.servers[2], replica(40));
+    setup.record_opinions(5, 0);
+    assert_eq!(setup.step(ms(1_025)), [NextStep::Claim]);
+    setup.succession.claim_undecided(2, ms(1_275));
+    assert_eq!(setup.step(ms(1_300)), [], "two hosts come first");
+    setup.succession.defer_to_peer(ms(1_310));
+    assert_eq!(setup.step(ms(2_000)), [], "one of them has acted");
 }
 
 /// The host that won the claim was killed before it gave the order. The others stand back for a
 /// while and then look again.
 #[test]
 fn another_host_acts_after_the_holder_of_the_claim_has_died() {
-    let mut fixture = fixture();
-    fixture.step(ms(1_020));
-    fixture.record_opinions(5, 0);
-    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
-    fixture.succession.claim_lost(ms(1_030));
-    assert_eq!(fixture.step(ms(1_500)), []);
-    let again = fixture.step(ms(1_030) + ms(1_800));
+    let mut setup = setup();
+    setup.step(ms(1_020));
+    setup.record_opinions(5, 0);
+    assert_eq!(setup.step(ms(1_025)), [NextStep::Claim]);
+    setup.succession.claim_lost(ms(1_030));
+    assert_eq!(setup.step(ms(1_500)), []);
+    let again = setup.step(ms(1_030) + ms(1_800));
     assert_eq!(again, [NextStep::AskHosts, NextStep::AskServers]);
 }
 
 /// An order is refused: the token is outdated. It is never used again, with or without the store.
 #[test]
 fn a_refused_token_is_not_used_again() {
-    let mut fixture = fixture();
-    fixture.succession.reserve_token(FencingToken(3));
-    fixture.step(ms(1_020));
-    fixture
+    let mut setup = setup();
+    setup.succession.reserve_token(FencingToken(3));
+    setup.step(ms(1_020));
+    setup
         .succession
-        .record_report(fixture.servers[1], replica(40));
-    fixture
+        .record_report(setup.servers[1], replica(40));
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(40));
-    fixture.record_opinions(5, 0);
-    fixture.step(ms(1_025));
-    fixture.succession.claim_undecided(0, ms(1_275));
+        .record_report(setup.servers[2], replica(40));
+    setup.record_opinions(5, 0);
+    setup.step(ms(1_025));
+    setup.succession.claim_undecided(0, ms(1_275));
     assert_eq!(
-        fixture.step(ms(1_280)),
+        setup.step(ms(1_280)),
         [],
         "its turn has come; what servers said is looked at"
     );
     let order = NextStep::Promote {
-        server: fixture.servers[2],
+        server: setup.servers[2],
         token: FencingToken(3),
     };
-    assert_eq!(fixture.step(ms(1_281)), [order]);
-    fixture.succession.order_finished(Order::Refused, ms(1_300));
+    assert_eq!(setup.step(ms(1_281)), [order]);
+    setup.succession.order_finished(Order::Refused, ms(1_300));
     let mut now = ms(1_320);
     while now < ms(4_000) {
-        for next in fixture.step(now) {
+        for next in setup.step(now) {
             assert!(!matches!(
                 next,
                 NextStep::Promote {
@@ -522,13 +503,13 @@
                 }
             ));
             if next == NextStep::Claim {
-                fixture.succession.claim_undecided(0, now);
+                setup.succession.claim_undecided(0, now);
             }
         }
-        fixture
+        setup
             .succession
-            .record_report(fixture.servers[1], replica(40));
-        fixture.record_opinions(5, 0);
+            .record_report(setup.servers[1], replica(40));
+        setup.record_opinions(5, 0);
         now += ms(20);
     }
 }
@@ -538,31 +519,27 @@
 /// servers' connections: each waits its turn, here the third.
 #[test]
 fn a_leaving_primary_is_replaced_while_it_serves() {
-    let mut fixture = fixture();
-    fixture.view.trouble = Some(Trouble::Leaving);
-    fixture.view.candidates = BTreeSet::from([fixture.servers[1], fixture.servers[2]]);
-    assert_eq!(fixture.step(ms(1_000)), [], "two hosts come first");
-    assert_eq!(fixture.step(ms(1_040)), [NextStep::Claim]);
+    let mut setup = setup();
+    setup.view.trouble = Some(Trouble::Leaving);
+    setup.view.candidates = BTreeSet::from([setup.servers[1], setup.servers[2]]);
+    assert_eq!(setup.step(ms(1_000)), [], "two hosts come first");
+    assert_eq!(setup.step(ms(1_040)), [NextStep::Claim]);
     assert_eq!(
-        fixture.succession.claim_won(FencingToken(9), ms(1_045)),
+        setup.succession.claim_won(FencingToken(9), ms(1_045)),
         [NextStep::AskServers]
     );
-    fixture
+    setup
         .succession
-        .record_report(fixture.servers[1], replica(50));
-    assert_eq!(
-        fixture.step(ms(1_048)),
-        [],
-        "the other replica may have more"
-    );
-    fixture
+        .record_report(setup.servers[1], replica(50));
+    assert_eq!(setup.step(ms(1_048)), [], "the other replica may have more");
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(51));
+        .record_report(setup.servers[2], replica(51));
     let order = NextStep::Promote {
-        server: fixture.servers[2],
+        server: setup.servers[2],
         token: FencingToken(9),
     };
-    assert_eq!(fixture.step(ms(1_050)), [order]);
+    assert_eq!(setup.step(ms(1_050)), [order]);
 }
 
 /// A zone is cut off together with the primary while the store is away. The others have a replica
@@ -572,25 +549,25 @@
 /// clerks had meanwhile read lots as open that were sold.
 #[test]
 fn an_isolated_replaced_primary_is_not_promoted_again() {
-    let mut fixture = fixture();
-    fixture.view.trouble = None;
-    fixture.step(ms(500));
-    fixture.view.leader = None;
-    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+    let mut setup = setup();
+    setup.view.trouble = None;
+    setup.step(ms(500));
+    setup.view.leader = None;
+    setup.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut now = ms(1_020);
     while now < ms(9_000) {
-        for next in fixture.step(now) {
+        for next in setup.step(now) {
             assert!(
                 !matches!(next, NextStep::Promote { .. }),
                 "{next:?} at {now:?}"
             );
             if next == NextStep::Claim {
-                fixture.succession.claim_won(FencingToken(7), now);
+                setup.succession.claim_won(FencingToken(7), now);
             }
         }
-        fixture
+        setup
             .succession
-            .record_report(fixture.servers[0], replica(56));
+            .record_report(setup.servers[0], replica(56));
         now += ms(20);
     }
 }
@@ -600,36 +577,34 @@
 /// no other server has. It was promoted again, within a second of its replacement.
 #[test]
 fn the_longest_log_is_passed_over_if_its_server_was_replaced() {
-    let mut fixture = fixture();
-    fixture.view.trouble = None;
-    fixture.step(ms(500));
-    fixture.view.leader = None;
-    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+    let mut setup = setup();
+    setup.view.trouble = None;
+    setup.step(ms(500));
+    setup.view.leader = None;
+    setup.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut orders = Vec::new();
     let mut now = ms(1_020);
     while now < ms(2_500) {
-        for next in fixture.step(now) {
+        for next in setup.step(now) {
             match next {
-                NextStep::Claim => {
-                    orders.extend(fixture.succession.claim_won(FencingToken(7), now))
-                }
+                NextStep::Claim => orders.extend(setup.succession.claim_won(FencingToken(7), now)),
                 NextStep::Promote { .. } => orders.push(next),
                 NextStep::AskHosts | NextStep::AskServers => {}
             }
         }
-        fixture.record_opinions(5, 0);
-        fixture
+        setup.record_opinions(5, 0);
+        setup
             .succession
-            .record_report(fixture.servers[0], replica(56));
-        fixture
+            .record_report(setup.servers[0], replica(56));
+        setup
             .succession
-            .record_report(fixture.servers[1], replica(40));
-        fixture
+            .record_report(setup.servers[1], replica(40));
+        setup
             .succession
-            .record_report(fixture.servers[2], replica(43));
+            .record_report(setup.servers[2], replica(43));
         now += ms(20);
     }
-    assert_eq!(orders, [fixture.expected_order()]);
+    assert_eq!(orders, [setup.expected_order()]);
 }
 
 /// A replaced primary starts again with its log, before it has followed its successor. Its log ends
@@ -637,42 +612,37 @@
 /// and what its successor had acknowledged was gone.
 #[test]
 fn a_restarted_replaced_primary_is_not_promoted_again() {
-    let mut fixture = fixture();
-    fixture.view.trouble = None;
-    fixture.step(ms(500));
+    let mut setup = setup();
+    setup.view.trouble = None;
+    setup.step(ms(500));
     let mut names: Names<ServerKey> = Names::default();
     let starts = ["ledger-1", "ledger-2", "ledger-3", "ledger-1 again"];
     let again = starts.map(|name| names.intern(name))[3];
-    fixture
-        .view
-        .previous_starts
-        .insert(again, fixture.servers[0]);
-    fixture.view.candidates = BTreeSet::from([again, fixture.servers[1], fixture.servers[2]]);
-    fixture.view.leader = None;
-    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+    setup.view.previous_starts.insert(again, setup.servers[0]);
+    setup.view.candidates = BTreeSet::from([again, setup.servers[1], setup.servers[2]]);
+    setup.view.leader = None;
+    setup.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     let mut orders = Vec::new();
     let mut now = ms(1_020);
     while now < ms(2_500) {
-        for next in fixture.step(now) {
+        for next in setup.step(now) {
             match next {
-                NextStep::Claim => {
-                    orders.extend(fixture.succession.claim_won(FencingToken(7), now))
-                }
+                NextStep::Claim => orders.extend(setup.succession.claim_won(FencingToken(7), now)),
                 NextStep::Promote { .. } => orders.push(next),
                 NextStep::AskHosts | NextStep::AskServers => {}
             }
         }
-        fixture.record_opinions(5, 0);
-        fixture.succession.record_report(again, replica(56));
-        fixture
+        setup.record_opinions(5, 0);
+        setup.succession.record_report(again, replica(56));
+        setup
             .succession
-            .record_report(fixture.servers[1], replica(40));
-        fixture
+            .record_report(setup.servers[1], replica(40));
+        setup
             .succession
-            .record_report(fixture.servers[2], replica(43));
+            .record_report(setup.servers[2], replica(43));
         now += ms(20);
     }
-    assert_eq!(orders, [fixture.expected_order()]);
+    assert_eq!(orders, [setup.expected_order()]);
 }
 
 /// A primary is about to leave, and its only replica has just started again without its log, which
@@ -680,24 +650,22 @@
 /// it; the empty replica was ordered to lead at once.
 #[test]
 fn a_leaving_primary_is_not_replaced_by_an_empty_replica() {
-    let mut fixture = fixture();
-    fixture.view.trouble = Some(Trouble::Leaving);
-    fixture.view.candidates = BTreeSet::from([fixture.servers[1]]);
-    fixture.step(ms(1_000));
-    assert_eq!(fixture.step(ms(1_040)), [NextStep::Claim]);
-    fixture.succession.claim_won(FencingToken(7), ms(1_045));
-    fixture
-        .succession
-        .record_report(fixture.servers[1], replica(0));
+    let mut setup = setup();
+    setup.view.trouble = Some(Trouble::Leaving);
+    setup.view.candidates = BTreeSet::from([setup.servers[1]]);
+    setup.step(ms(1_000));
+    assert_eq!(setup.step(ms(1_040)), [NextStep::Claim]);
+    setup.succession.claim_won(FencingToken(7), ms(1_045));
+    setup.succession.record_report(setup.servers[1], replica(0));
     for now in (1_060..3_000).step_by(20) {
-        let next = fixture.step(ms(now));
+        let next = setup.step(ms(now));
         let promotes = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!promotes, "at {now}");
     }
-    fixture
+    setup
         .succession
-        .record_report(fixture.servers[1], replica(40));
-    let next = fixture.step(ms(3_000));
+        .record_report(setup.servers[1], replica(40));
+    let next = setup.step(ms(3_000));
     assert!(matches!(next[..], [NextStep::Promote { .. }]), "{next:?}");
 }
 
@@ -706,18 +674,18 @@
 /// reserved at its start undid the change of whoever came next.
 #[test]
 fn no_order_is_given_under_a_lower_token_than_one_used_before() {
-    let mut fixture = fixture();
-    fixture.succession.reserve_token(FencingToken(4));
-    fixture.view.newest_token = Some(FencingToken(18));
-    fixture.step(ms(1_020));
-    fixture
+    let mut setup = setup();
+    setup.succession.reserve_token(FencingToken(4));
+    setup.view.newest_token = Some(FencingToken(18));
+    setup.step(ms(1_020));
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(43));
-    fixture.record_opinions(5, 0);
-    assert_eq!(fixture.step(ms(1_025)), [NextStep::Claim]);
-    fixture.succession.claim_undecided(2, ms(1_275));
+        .record_report(setup.servers[2], replica(43));
+    setup.record_opinions(5, 0);
+    assert_eq!(setup.step(ms(1_025)), [NextStep::Claim]);
+    setup.succession.claim_undecided(2, ms(1_275));
     for now in (1_280..3_000).step_by(20) {
-        let next = fixture.step(ms(now));
+        let next = setup.step(ms(now));
         let orders = next.iter().any(|it| matches!(it, NextStep::Promote { .. }));
         assert!(!orders, "at {now}: {next:?}");
     }
@@ -727,27 +695,27 @@
 /// the claim over and acted.
 #[test]
 fn a_claim_that_was_taken_over_is_not_acted_on() {
-    let mut fixture = fixture();
-    fixture.win_claim();
-    fixture
+    let mut setup = setup();
+    setup.win_claim();
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(43));
-    fixture.view.newest_token = Some(FencingToken(9));
-    let next = fixture.step(ms(1_300));
-    assert!(!next.contains(&fixture.expected_order()), "{next:?}");
+        .record_report(setup.servers[2], replica(43));
+    setup.view.newest_token = Some(FencingToken(9));
+    let next = setup.step(ms(1_300));
+    assert!(!next.contains(&setup.expected_order()), "{next:?}");
 }
 
 /// A host is suspended between its claim and its order. When it wakes up, another host has taken
 /// the claim over and somebody else leads, which it has not heard of yet.
 #[test]
 fn a_host_that_was_paused_drops_its_claim() {
-    let mut fixture = fixture();
-    fixture.win_claim();
-    fixture
+    let mut setup = setup();
+    setup.win_claim();
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(43));
-    fixture.succession.resume_after_pause(ms(6_000));
-    let next = fixture.step(ms(6_000));
+        .record_report(setup.servers[2], replica(43));
+    setup.succession.resume_after_pause(ms(6_000));
+    let next = setup.step(ms(6_000));
     assert_eq!(next, [], "it looks around first");
 }
 
@@ -755,14 +723,14 @@
 /// term: another server leads, whom nobody was asked about.
 #[test]
 fn an_inquiry_about_one_primary_does_not_replace_the_next() {
-    let mut fixture = fixture();
-    fixture.win_claim();
-    fixture
+    let mut setup = setup();
+    setup.win_claim();
+    setup
         .succession
-        .record_report(fixture.servers[2], replica(43));
-    fixture.view.term = Term::from_number(2);
-    assert_eq!(fixture.step(ms(1_300)), []);
-    assert!(!fixture.succession.is_under_way());
+        .record_report(setup.servers[2], replica(43));
+    setup.view.term = Term::from_number(2);
+    assert_eq!(setup.step(ms(1_300)), []);
+    assert!(!setup.succession.is_under_way());
 }
 
 /// A successor was too busy to say for half a second whether it leads. Its promotion counted as one
@@ -787,11 +755,11 @@
 /// while the others acknowledged 19 more writes.
 #[test]
 fn a_minority_with_the_store_waits_until_a_partition_has_usually_ended() {
-    let mut fixture = fixture();
-    fixture.view.leader = None;
-    fixture.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
+    let mut setup = setup();
+    setup.view.leader = None;
+    setup.view.trouble = Some(Trouble::Absent { since: ms(1_000) });
     for now in (1_020..8_700).step_by(20) {
-        let next = fixture.step(ms(now));
+        let next = setup.step(ms(now));
         assert!(!next.contains(&NextStep::Claim), "at {now}");
     }
 }
--- a/crates/core/tests/succession_terms.rs
+++ b/crates/core/tests/succession_terms.rs
@@ -33,14 +33,14 @@
 }
 
 /// Six hosts of which one is played, and servers of which the first has led the first term.
-struct Fixture {
+struct Setup {
     succession: Succession,
     view: View,
     servers: Vec<ServerKey>,
     hosts: Vec<HostKey>,
 }
 
-fn fixture(servers: &[&str]) -> Fixture {
+fn setup(servers: &[&str]) -> Setup {
     let mut names: Names<ServerKey> = Names::default();
     let servers: Vec<ServerKey> = servers.iter().map(|name| names.intern(name)).collect();
     let mut names: Names<HostKey> = Names::default();
@@ -64,7 +64,7 @@
         previous_starts: BTreeMap::new(),
         distrusted: BTreeSet::new(),
     };
-    Fixture {
+    Setup {
         succession: Succession::default(),
         view,
         servers,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Fixture {
+impl Setup {
     /// The second server is seen to lead the second term.
     fn observe_successor(&mut self, now: Duration) {
         self.view.leader = Some(self.servers[1]);
@@ -120,19 +120,19 @@
 /// takes it for one that led the second term, passes it over, and the bids are lost.
 #[test]
 fn a_term_seen_at_a_replica_is_not_attributed_to_the_old_primary() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
-    fixture.succession.step(&fixture.view, ms(500));
-    fixture.view.term = Term::from_number(2);
-    fixture.succession.step(&fixture.view, ms(600));
-    fixture.observe_successor(ms(700));
-    fixture.view.newest_position = position(2, 60);
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.view.term = Term::from_number(2);
+    setup.succession.step(&setup.view, ms(600));
+    setup.observe_successor(ms(700));
+    setup.view.newest_position = position(2, 60);
     let reports = [
-        (fixture.servers[0], replica(2, position(2, 60))),
-        (fixture.servers[2], replica(2, position(2, 50))),
+        (setup.servers[0], replica(2, position(2, 60))),
+        (setup.servers[2], replica(2, position(2, 50))),
     ];
-    let ordered = fixture.fail_primary(&reports, ms(30_000), ms(45_000));
+    let ordered = setup.fail_primary(&reports, ms(30_000), ms(45_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
 /// A service of two servers. The primary was replaced, came back and follows, and nothing was
@@ -140,29 +140,29 @@
 /// successor dies and its entry stays listed. Nobody else is there to lead, and nobody is ordered.
 #[test]
 fn a_replaced_primary_that_follows_is_promoted_if_it_is_the_last_server() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
-    fixture.succession.step(&fixture.view, ms(500));
-    fixture.observe_successor(ms(700));
-    let reports = [(fixture.servers[0], replica(2, position(1, 40)))];
-    let ordered = fixture.fail_primary(&reports, ms(30_000), ms(60_000));
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    let reports = [(setup.servers[0], replica(2, position(1, 40)))];
+    let ordered = setup.fail_primary(&reports, ms(30_000), ms(60_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(fixture.servers[0]), "none within 30 s");
+    assert_eq!(server, Some(setup.servers[0]), "none within 30 s");
 }
 
 /// The same change, with the host told of the successor at once: the old primary counts.
 #[test]
 fn a_replaced_primary_that_follows_is_a_candidate() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
-    fixture.succession.step(&fixture.view, ms(500));
-    fixture.observe_successor(ms(700));
-    fixture.view.newest_position = position(2, 60);
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    setup.view.newest_position = position(2, 60);
     let reports = [
-        (fixture.servers[0], replica(2, position(2, 60))),
-        (fixture.servers[2], replica(2, position(2, 50))),
+        (setup.servers[0], replica(2, position(2, 60))),
+        (setup.servers[2], replica(2, position(2, 50))),
     ];
-    let ordered = fixture.fail_primary(&reports, ms(30_000), ms(45_000));
+    let ordered = setup.fail_primary(&reports, ms(30_000), ms(45_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
 /// The store is away, and a host orders a replica under the token that it has. The answer is lost,
@@ -171,28 +171,28 @@
 /// that the new primary has acknowledged are rolled back.
 #[test]
 fn an_unanswered_order_is_not_followed_by_another_under_its_token() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
-    fixture.view.synchronous = false;
-    fixture.succession.reserve_token(FencingToken(7));
-    fixture.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.synchronous = false;
+    setup.succession.reserve_token(FencingToken(7));
+    setup.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
     let mut orders: Vec<(ServerKey, FencingToken)> = Vec::new();
     for now in (1_000..12_000).step_by(20).map(ms) {
-        let steps = fixture.succession.step(&fixture.view, now);
-        for host in &fixture.hosts {
-            fixture.succession.record_opinion(*host, Opinion::Fails);
+        let steps = setup.succession.step(&setup.view, now);
+        for host in &setup.hosts {
+            setup.succession.record_opinion(*host, Opinion::Fails);
         }
         let report = replica(1, position(1, 40));
-        fixture.succession.record_report(fixture.servers[1], report);
+        setup.succession.record_report(setup.servers[1], report);
         if orders.is_empty() {
             let report = replica(1, position(1, 43));
-            fixture.succession.record_report(fixture.servers[2], report);
+            setup.succession.record_report(setup.servers[2], report);
         }
         for next in steps {
             match next {
-                NextStep::Claim => fixture.succession.claim_undecided(0, now),
+                NextStep::Claim => setup.succession.claim_undecided(0, now),
                 NextStep::Promote { server, token } => {
                     orders.push((server, token));
-                    fixture
+                    setup
                         .succession
                         .order_finished(Order::Unknown, now + ms(500));
                 }
@@ -212,17 +212,17 @@
 /// acknowledged bids are gone.
 #[test]
 fn a_replaced_primary_that_follows_is_preferred_to_a_lagging_replica() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
-    fixture.view.synchronous = false;
-    fixture.succession.step(&fixture.view, ms(500));
-    fixture.observe_successor(ms(700));
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.synchronous = false;
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
     let reports = [
-        (fixture.servers[0], replica(2, position(1, 40))),
-        (fixture.servers[2], replica(2, position(1, 10))),
+        (setup.servers[0], replica(2, position(1, 40))),
+        (setup.servers[2], replica(2, position(1, 10))),
     ];
-    let ordered = fixture.fail_primary(&reports, ms(3_000), ms(20_000));
+    let ordered = setup.fail_primary(&reports, ms(3_000), ms(20_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
 /// A replaced primary is back and follows, and nothing was written under its successor, which is about
@@ -230,25 +230,25 @@
 /// at its end was refused until somebody missed it.
 #[test]
 fn a_replaced_primary_that_follows_replaces_a_leaving_primary() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
-    fixture.view.synchronous = false;
-    fixture.succession.step(&fixture.view, ms(500));
-    fixture.observe_successor(ms(700));
-    fixture.view.trouble = Some(Trouble::Leaving);
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    setup.view.trouble = Some(Trouble::Leaving);
     let mut orders = Vec::new();
     for now in (3_000..5_000).step_by(20).map(ms) {
-        let mut steps = fixture.succession.step(&fixture.view, now);
+        let mut steps = setup.succession.step(&setup.view, now);
         if steps.contains(&NextStep::Claim) {
-            steps.extend(fixture.succession.claim_won(FencingToken(7), now));
+            steps.extend(setup.succession.claim_won(FencingToken(7), now));
         }
         let report = replica(2, position(1, 40));
-        fixture.succession.record_report(fixture.servers[0], report);
+        setup.succession.record_report(setup.servers[0], report);
         orders.extend(steps.into_iter().filter_map(|it| match it {
             NextStep::Promote { server, .. } => Some(server),
             NextStep::Claim | NextStep::AskHosts | NextStep::AskServers => None,
         }));
     }
-    assert_eq!(orders, [fixture.servers[0]]);
+    assert_eq!(orders, [setup.servers[0]]);
 }
 
 /// The store is away, so hosts act in turn, and the third one waits 0.75 s. Meanwhile the replica that
@@ -256,27 +256,27 @@
 /// with nothing, and all that the other one held was rolled back.
 #[test]
 fn an_order_does_not_rest_on_an_outdated_report() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
-    fixture.view.synchronous = false;
-    fixture.succession.reserve_token(FencingToken(7));
-    fixture.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.synchronous = false;
+    setup.succession.reserve_token(FencingToken(7));
+    setup.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
     let mut orders = Vec::new();
     for now in (1_000..4_000).step_by(20).map(ms) {
-        let steps = fixture.succession.step(&fixture.view, now);
-        for host in &fixture.hosts {
-            fixture.succession.record_opinion(*host, Opinion::Fails);
+        let steps = setup.succession.step(&setup.view, now);
+        for host in &setup.hosts {
+            setup.succession.record_opinion(*host, Opinion::Fails);
         }
         for next in steps {
             match next {
-                NextStep::Claim => fixture.succession.claim_undecided(3, now),
+                NextStep::Claim => setup.succession.claim_undecided(3, now),
                 NextStep::AskServers => {
                     let longest = if now < ms(1_300) { 43 } else { 0 };
                     let said = [(1, position(1, 40)), (2, position(1, longest))];
                     for (server, received) in said {
                         let report = replica(1, received);
-                        fixture
+                        setup
                             .succession
-                            .record_report(fixture.servers[server], report);
+                            .record_report(setup.servers[server], report);
                     }
                 }
                 NextStep::Promote { server, .. } => orders.push((server, now)),
@@ -285,7 +285,7 @@
         }
     }
     let servers: Vec<ServerKey> = orders.iter().map(|(server, _)| *server).collect();
-    assert_eq!(servers, [fixture.servers[1]], "{orders:?}");
+    assert_eq!(servers, [setup.servers[1]], "{orders:?}");
 }
 
 /// A primary is told to step down for a successor that dies before it leads. No other server but one
@@ -293,28 +293,28 @@
 /// has all that was acknowledged, yet it was passed over as one that was replaced, and all was gone.
 #[test]
 fn a_former_primary_with_its_log_is_preferred_to_an_empty_server() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
-    fixture.view.synchronous = false;
-    fixture.succession.step(&fixture.view, ms(500));
-    fixture.view.leader = None;
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.succession.step(&setup.view, ms(500));
+    setup.view.leader = None;
     let since = ms(1_000);
     let empty = replica(1, position(1, 0));
     let reports = [
-        (fixture.servers[0], replica(1, position(1, 40))),
-        (fixture.servers[1], empty),
+        (setup.servers[0], replica(1, position(1, 40))),
+        (setup.servers[1], empty),
     ];
     let mut ordered = None;
     for now in (1_000..20_000).step_by(20).map(ms) {
-        fixture.view.trouble = Some(Trouble::Absent { since });
-        let mut steps = fixture.succession.step(&fixture.view, now);
-        for host in &fixture.hosts {
-            fixture.succession.record_opinion(*host, Opinion::Fails);
+        setup.view.trouble = Some(Trouble::Absent { since });
+        let mut steps = setup.succession.step(&setup.view, now);
+        for host in &setup.hosts {
+            setup.succession.record_opinion(*host, Opinion::Fails);
         }
         for (server, report) in reports {
-            fixture.succession.record_report(server, report);
+            setup.succession.record_report(server, report);
         }
         if steps.contains(&NextStep::Claim) {
-            steps.extend(fixture.succession.claim_won(FencingToken(7), now));
+            steps.extend(setup.succession.claim_won(FencingToken(7), now));
         }
         let server = steps.into_iter().find_map(|it| match it {
             NextStep::Promote { server, .. } => Some(server),
@@ -322,7 +322,7 @@
         });
         ordered = ordered.or(server);
     }
-    assert_eq!(ordered, Some(fixture.servers[0]));
+    assert_eq!(ordered, Some(setup.servers[0]));
 }
 
 /// Two primaries leave one after the other, as in a rolling restart, with nothing else wrong between.
@@ -330,15 +330,15 @@
 /// servers' connections.
 #[test]
 fn hosts_take_turns_at_a_second_leaving_primary() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2", "ledger-3"]);
-    fixture.view.rank = 2;
-    fixture.view.trouble = Some(Trouble::Leaving);
-    assert_eq!(fixture.succession.step(&fixture.view, ms(1_000)), []);
-    fixture.succession.defer_to_peer(ms(1_010));
-    fixture.observe_successor(ms(2_000));
-    assert_eq!(fixture.succession.step(&fixture.view, ms(50_000)), []);
-    fixture.view.trouble = Some(Trouble::Leaving);
-    assert_eq!(fixture.succession.step(&fixture.view, ms(60_000)), []);
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.rank = 2;
+    setup.view.trouble = Some(Trouble::Leaving);
+    assert_eq!(setup.succession.step(&setup.view, ms(1_000)), []);
+    setup.succession.defer_to_peer(ms(1_010));
+    setup.observe_successor(ms(2_000));
+    assert_eq!(setup.succession.step(&setup.view, ms(50_000)), []);
+    setup.view.trouble = Some(Trouble::Leaving);
+    assert_eq!(setup.succession.step(&setup.view, ms(60_000)), []);
 }
 
 /// The same service of two servers on a host that hears no other, with the successor gone from the
@@ -347,19 +347,19 @@
 /// that primary never received would be rolled back for all.
 #[test]
 fn an_isolated_host_does_not_promote_a_replaced_primary() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
-    fixture.succession.step(&fixture.view, ms(500));
-    fixture.observe_successor(ms(700));
-    fixture.view.leader = None;
-    fixture.view.candidates.remove(&fixture.servers[1]);
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    setup.view.leader = None;
+    setup.view.candidates.remove(&setup.servers[1]);
     let since = ms(30_000);
-    fixture.view.trouble = Some(Trouble::Absent { since });
+    setup.view.trouble = Some(Trouble::Absent { since });
     for now in (30_000..90_000).step_by(20).map(ms) {
-        let mut steps = fixture.succession.step(&fixture.view, now);
+        let mut steps = setup.succession.step(&setup.view, now);
         let report = replica(2, position(1, 40));
-        fixture.succession.record_report(fixture.servers[0], report);
+        setup.succession.record_report(setup.servers[0], report);
         if steps.contains(&NextStep::Claim) {
-            steps.extend(fixture.succession.claim_won(FencingToken(7), now));
+            steps.extend(setup.succession.claim_won(FencingToken(7), now));
         }
         let promotes = |it: &NextStep| matches!(it, NextStep::Promote { .. });
         assert!(!steps.iter().any(promotes), "{steps:?} at {now:?}");
@@ -368,61 +368,61 @@
 
 /// A host that has started after the first primary was replaced, and takes the second one to lead. The first
 /// one, whose log is the longest, is all that answers.
-fn fixture_with_a_replaced_primary() -> (Fixture, [(ServerKey, Report); 1]) {
-    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
-    fixture.view.synchronous = false;
-    fixture.view.leader = Some(fixture.servers[1]);
-    fixture.view.term = Term::from_number(2);
-    fixture.view.leader_term = Term::default();
+fn setup_with_a_replaced_primary() -> (Setup, [(ServerKey, Report); 1]) {
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.view.leader = Some(setup.servers[1]);
+    setup.view.term = Term::from_number(2);
+    setup.view.leader_term = Term::default();
     let report = replica(1, position(1, 45));
-    let reports = [(fixture.servers[0], report)];
-    (fixture, reports)
+    let reports = [(setup.servers[0], report)];
+    (setup, reports)
 }
 
 /// Guards against the promotion of a replaced primary that this host has never believed: its log ends with
 /// what the change dropped.
 #[test]
 fn a_replaced_primary_that_was_never_trusted_is_passed_over() {
-    let (mut fixture, reports) = fixture_with_a_replaced_primary();
-    fixture.view.terms_led = BTreeMap::from([(fixture.servers[0], Term::from_number(1))]);
-    assert_eq!(fixture.fail_primary(&reports, ms(1_000), ms(9_000)), None);
+    let (mut setup, reports) = setup_with_a_replaced_primary();
+    setup.view.terms_led = BTreeMap::from([(setup.servers[0], Term::from_number(1))]);
+    assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
 /// The same where only another host has seen it lead.
 #[test]
 fn a_replaced_primary_that_another_host_saw_lead_is_passed_over() {
-    let (mut fixture, reports) = fixture_with_a_replaced_primary();
-    fixture
+    let (mut setup, reports) = setup_with_a_replaced_primary();
+    setup
         .succession
-        .record_leader(fixture.servers[0], Term::from_number(1));
-    assert_eq!(fixture.fail_primary(&reports, ms(1_000), ms(9_000)), None);
+        .record_leader(setup.servers[0], Term::from_number(1));
+    assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
 /// Guards against a service without a primary for good, where the replaced one is the only server left.
 #[test]
 fn a_replaced_primary_is_promoted_in_the_end_if_no_other_server_is_left() {
-    let (mut fixture, reports) = fixture_with_a_replaced_primary();
-    fixture
+    let (mut setup, reports) = setup_with_a_replaced_primary();
+    setup
         .succession
-        .record_leader(fixture.servers[0], Term::from_number(1));
-    let ordered = fixture.fail_primary(&reports, ms(1_000), ms(14_000));
+        .record_leader(setup.servers[0], Term::from_number(1));
+    let ordered = setup.fail_primary(&reports, ms(1_000), ms(14_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(fixture.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
 /// Guards against the loss of the whole log: an empty server, which names the newest term, is ordered while the
 /// primary that has the log is down for a moment.
 #[test]
 fn an_empty_server_of_the_newest_term_is_not_promoted_at_once() {
-    let mut fixture = fixture(&["ledger-1", "ledger-2"]);
-    fixture.view.synchronous = false;
-    fixture.view.term = Term::from_number(4);
-    fixture.view.leader_term = Term::from_number(4);
-    fixture.view.newest_position = position(4, 0);
-    fixture.view.required_positions = BTreeMap::from([(fixture.servers[1], position(3, 391))]);
-    let reports = [(fixture.servers[1], replica(4, position(4, 0)))];
-    assert_eq!(fixture.fail_primary(&reports, ms(1_000), ms(9_000)), None);
-    let ordered = fixture.fail_primary(&reports, ms(9_000), ms(14_000));
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.view.term = Term::from_number(4);
+    setup.view.leader_term = Term::from_number(4);
+    setup.view.newest_position = position(4, 0);
+    setup.view.required_positions = BTreeMap::from([(setup.servers[1], position(3, 391))]);
+    let reports = [(setup.servers[1], replica(4, position(4, 0)))];
+    assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
+    let ordered = setup.fail_primary(&reports, ms(9_000), ms(14_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(fixture.servers[1]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[1]), "{ordered:?}");
 }
