--- a/crates/core/tests/succession.rs
+++ b/crates/core/tests/succession.rs
@@ -1,4 +1,4 @@
-//! When the primary of a service is replaced, by whom and by which server.
+//! Tests of failover decisions: when a primary is replaced, by which host, and by which server.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -39,7 +39,7 @@
     hosts: Vec<HostKey>,
 }
 
-/// Six hosts, a primary and two replicas; the primary refuses connections since 1 s.
+/// Six hosts, a primary and two replicas. The primary has refused connections since 1 s.
 fn setup() -> Setup {
     let mut servers: Names<ServerKey> = Names::default();
     let servers = ["ledger-1", "ledger-2", "ledger-3"].map(|name| servers.intern(name));
@@ -73,7 +73,7 @@
 }
 
 impl Setup {
-    /// All hosts miss the primary, the claim is won, and only the first replica has answered.
+    /// All hosts miss the primary, the claim is won, and only the first replica has reported.
     fn win_claim(&mut self) {
         self.step(ms(1_020));
         self.succession.record_report(self.servers[1], replica(40));
@@ -82,7 +82,7 @@
         self.succession.claim_won(FencingToken(7), ms(1_032));
     }
 
-    /// The order that makes the second replica the primary.
+    /// The order that promotes the second replica.
     fn expected_order(&self) -> NextStep {
         NextStep::Promote {
             server: self.servers[2],
@@ -105,8 +105,8 @@
     }
 }
 
-/// A primary's process dies. All hosts see it within milliseconds, so the claim is made at once,
-/// and the replica that has received most is ordered to lead as soon as the claim is won.
+/// The primary's process dies. All hosts see it within milliseconds, so the claim is made at once,
+/// and the replica with the longest log is promoted as soon as the claim is won.
 #[test]
 fn a_dead_primary_is_replaced_by_the_replica_with_the_longest_log() {
     let mut setup = setup();
@@ -128,12 +128,16 @@
     assert_eq!(setup.step(ms(1_032)), [order]);
     setup.succession.order_finished(Order::Accepted, ms(1_050));
     assert!(setup.succession.is_under_way());
-    assert_eq!(setup.step(ms(1_500)), [], "it takes about a second to show");
+    assert_eq!(
+        setup.step(ms(1_500)),
+        [],
+        "a promotion takes about a second"
+    );
 }
 
-/// A service acknowledges a bid when one replica has it. The primary died, one replica was too
-/// busy to answer in time, and the other one, to which nothing had come through for a while, was
-/// made the primary: sixty acknowledged bids were gone.
+/// Guards against lost acknowledged commits of a service that acknowledges a commit once one
+/// replica has it: the primary died, one replica was too busy to answer in time, and the other one,
+/// which had received nothing for a while, was promoted. 60 acknowledged writes were lost.
 #[test]
 fn a_synchronous_service_waits_for_the_report_of_every_replica() {
     let mut setup = setup();
@@ -149,7 +153,7 @@
         );
         asked += usize::from(next.contains(&NextStep::AskServers));
     }
-    assert!(asked >= 3, "it is asked again");
+    assert!(asked >= 3, "the replica is asked again");
     setup
         .succession
         .record_report(setup.servers[2], replica(43));
@@ -157,8 +161,8 @@
     assert_eq!(setup.step(ms(2_000)), [order]);
 }
 
-/// The replica that alone had received the last bids restarts just when the primary dies. It is
-/// waited for while it may come back, not for ever: callers who write get nothing meanwhile.
+/// The only replica with the last commits restarts just when the primary dies. The host waits for
+/// it for as long as a restart may take, not longer, since no caller can write meanwhile.
 #[test]
 fn the_wait_for_a_replica_with_acknowledged_commits_is_bounded() {
     let mut setup = setup();
@@ -172,15 +176,15 @@
         if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
-        assert!(now < 20_000, "it never ends");
+        assert!(now < 20_000, "the wait never ends");
         now += 20;
     };
     assert!((11_000..12_000).contains(&ordered), "at {ordered}");
 }
 
-/// A replica has started again without its log when the primary dies, and the other one is too busy
-/// to answer in time. The empty one was the only one heard, and all that had been sold was open
-/// again. It is passed over while the other one may answer.
+/// Guards against the promotion of an empty replica: one replica had restarted without its log when
+/// the primary died, the other was too busy to answer in time, and the empty one was the only
+/// candidate, so all data was lost. It is passed over while the other may answer.
 #[test]
 fn a_replica_that_lost_its_log_is_passed_over_while_others_may_answer() {
     let mut setup = setup();
@@ -205,8 +209,8 @@
     assert_eq!(setup.step(ms(4_000)), [order]);
 }
 
-/// The same on a host that has started since and knows of no restart: an empty log is reason enough
-/// to wait for a server that has not answered.
+/// As above, on a host that has started since and knows of no restart: an empty log alone is reason
+/// enough to wait for a server that has not answered.
 #[test]
 fn a_host_that_has_just_started_does_not_choose_an_empty_log() {
     let mut setup = setup();
@@ -227,8 +231,9 @@
     assert_eq!(setup.step(ms(1_510)), [order]);
 }
 
-/// Right after a change of primary nothing is written yet. A replica that has lost its log shows the
-/// start of the new term, which is past what the others have; it was taken for the one with most.
+/// Right after a change of primary nothing is written yet. A replica that has lost its log reports
+/// the start of the new term, which compares greater than the positions of the others, and was
+/// taken for the one with the longest log.
 #[test]
 fn an_empty_log_of_the_newest_term_ranks_below_a_log_of_the_previous_term() {
     let mut setup = setup();
@@ -248,8 +253,8 @@
     assert_eq!(setup.step(ms(1_032)), [order]);
 }
 
-/// All servers that are left have lost their logs. Callers wait for one that has more as long as a
-/// restart takes, not for ever.
+/// All remaining servers have lost their logs. Callers wait for a server with more for as long as a
+/// restart takes, not longer.
 #[test]
 fn an_empty_replica_is_promoted_when_no_other_server_comes_back() {
     let mut setup = setup();
@@ -269,16 +274,15 @@
         if next.iter().any(|it| matches!(it, NextStep::Promote { .. })) {
             break now;
         }
-        assert!(now < 20_000, "it never ends");
+        assert!(now < 20_000, "the wait never ends");
         now += 20;
     };
     assert!((11_000..12_000).contains(&ordered), "at {ordered}");
 }
 
-/// One host is cut off from the primary and from all other hosts, but not from the platform's
-/// store. It had a replica promoted while the others went on writing to the primary: what they
-/// had acknowledged within the second of the change was missing afterwards, and buyers saw lots
-/// as open that were sold.
+/// Guards against failover by an isolated host: one host was cut off from the primary and from all
+/// other hosts, but not from the platform's store. It had a replica promoted while the others kept
+/// writing to the primary, and what they had acknowledged within the second of the change was lost.
 #[test]
 fn an_isolated_host_does_not_replace_the_primary() {
     let mut setup = setup();
@@ -294,9 +298,10 @@
     }
 }
 
-/// A zone is cut off together with the primary, and its hosts go on writing there. The others
-/// order a successor only when those can no longer acknowledge anything: what they acknowledged
-/// within the second that a promotion takes was missing afterwards.
+/// Guards against writes acknowledged during a promotion: a zone is cut off together with the
+/// primary, and its hosts keep writing there. The other hosts order a successor only when those can
+/// no longer acknowledge anything. Without that wait, the writes acknowledged in the second that a
+/// promotion takes were lost.
 #[test]
 fn an_order_waits_until_the_leases_of_unreachable_hosts_have_ended() {
     let mut setup = setup();
@@ -315,7 +320,7 @@
     assert_eq!(
         setup.step(ms(1_990)),
         [NextStep::AskHosts, NextStep::AskServers],
-        "asked once more, and no order"
+        "another round of requests, and no order"
     );
     setup
         .succession
@@ -328,7 +333,7 @@
     assert_eq!(setup.step(ms(2_000)), [order]);
 }
 
-/// The hosts of one zone are cut off with each other. Two like opinions of six are no majority.
+/// The hosts of one zone are cut off together. Two matching opinions of six are no majority.
 #[test]
 fn a_minority_does_not_replace_the_primary() {
     let mut setup = setup();
@@ -338,9 +343,9 @@
     assert!(!setup.succession.is_under_way());
 }
 
-/// A zone is cut off. Its clerks reach its hosts, which reach no primary: they were refused for six
-/// seconds. Hosts that know themselves outvoted say that they are not ready, and callers go on in
-/// other zones.
+/// A zone is cut off. Callers reach its hosts, which reach no primary, and were refused for six
+/// seconds. Hosts that know that they are outvoted report that they are not ready, and callers go
+/// to other zones.
 #[test]
 fn a_host_records_since_when_it_is_outvoted() {
     let mut setup = setup();
@@ -351,17 +356,21 @@
     setup.step(over);
     assert_eq!(setup.succession.outvoted(), Some(over));
     setup.step(ms(3_000));
-    assert_eq!(setup.succession.outvoted(), Some(over), "since then");
+    assert_eq!(
+        setup.succession.outvoted(),
+        Some(over),
+        "unchanged since the first inquiry"
+    );
     setup.view.trouble = None;
     setup.step(ms(3_100));
     assert_eq!(
         setup.succession.outvoted(),
         None,
-        "it reaches the primary again"
+        "this host reaches the primary again"
     );
 }
 
-/// Most hosts agree that a primary is gone. None of them is worse than the others.
+/// Most hosts agree that the primary is gone, so none of them is outvoted.
 #[test]
 fn a_host_in_the_majority_is_not_outvoted() {
     let mut setup = setup();
@@ -371,8 +380,8 @@
     assert_eq!(setup.succession.outvoted(), None);
 }
 
-/// All other hosts were lost for good, and then the primary: the platform's list loses it too
-/// after some seconds. Whoever is left has to act in the end, or nobody books any more.
+/// All other hosts were lost for good, and then the primary, which the platform's list loses after
+/// some seconds. The last host has to act in the end, or the service never accepts writes again.
 #[test]
 fn the_last_host_acts_once_the_platform_has_lost_the_primary_too() {
     let mut setup = setup();
@@ -389,8 +398,8 @@
     assert!(claimed >= ms(1_000) + MINORITY_DELAY);
 }
 
-/// Most hosts miss the primary and some reach it. The path may heal, so the change waits; it does
-/// not wait for ever, because most requests come through the hosts that miss it.
+/// Most hosts miss the primary and some reach it. The change waits, because the network path may
+/// heal, but not for ever: most requests come through the hosts that miss the primary.
 #[test]
 fn a_majority_waits_while_some_hosts_reach_the_primary() {
     let mut setup = setup();
@@ -405,18 +414,22 @@
     );
 }
 
-/// A host that was replaced never answers. With most others refused by the primary's own machine,
-/// nobody waits for it: a fifth of a second more without bids for each host that is gone.
+/// A host that was replaced never answers. When the primary's machine refuses connections of most
+/// other hosts, none waits for it: each such host would add a fifth of a second without writes.
 #[test]
 fn a_closed_port_seen_by_a_majority_is_enough() {
     let mut setup = setup();
     setup.step(ms(1_020));
     setup.record_opinions(4, 0);
-    assert_eq!(setup.step(ms(1_030)), [], "somebody may object");
+    assert_eq!(
+        setup.step(ms(1_030)),
+        [],
+        "a host that reaches the primary may object"
+    );
     assert_eq!(setup.step(ms(1_020) + OBJECTION_TIMEOUT), [NextStep::Claim]);
 }
 
-/// Another host has acted already: a server leads a newer term that this host has not heard of.
+/// Another host has already acted: a server leads a newer term that this host does not know.
 #[test]
 fn a_completed_change_of_primary_is_not_repeated() {
     let mut setup = setup();
@@ -431,8 +444,8 @@
     assert_eq!(setup.step(ms(1_025)), []);
 }
 
-/// The platform's store is away when a primary dies. Hosts act one after the other with tokens
-/// that they reserved before, so that most times only one order goes out.
+/// The platform's store is unavailable when the primary dies. Hosts act one after the other, with
+/// tokens that they reserved before, so that usually only one order is given.
 #[test]
 fn without_the_store_hosts_act_in_turn() {
     let mut setup = setup();
@@ -447,13 +460,13 @@
     setup.record_opinions(5, 0);
     assert_eq!(setup.step(ms(1_025)), [NextStep::Claim]);
     setup.succession.claim_undecided(2, ms(1_275));
-    assert_eq!(setup.step(ms(1_300)), [], "two hosts come first");
+    assert_eq!(setup.step(ms(1_300)), [], "two hosts act first");
     setup.succession.defer_to_peer(ms(1_310));
     assert_eq!(setup.step(ms(2_000)), [], "one of them has acted");
 }
 
-/// The host that won the claim was killed before it gave the order. The others stand back for a
-/// while and then look again.
+/// The host that won the claim was killed before it gave the order. The others wait for a while and
+/// then start another inquiry.
 #[test]
 fn another_host_acts_after_the_holder_of_the_claim_has_died() {
     let mut setup = setup();
@@ -466,7 +479,8 @@
     assert_eq!(again, [NextStep::AskHosts, NextStep::AskServers]);
 }
 
-/// An order is refused: the token is outdated. It is never used again, with or without the store.
+/// An order is refused because its token is outdated. The token is never used again, with or
+/// without the store.
 #[test]
 fn a_refused_token_is_not_used_again() {
     let mut setup = setup();
@@ -484,7 +498,7 @@
     assert_eq!(
         setup.step(ms(1_280)),
         [],
-        "its turn has come; what servers said is looked at"
+        "its turn has come, and the reports are evaluated"
     );
     let order = NextStep::Promote {
         server: setup.servers[2],
@@ -514,15 +528,15 @@
     }
 }
 
-/// A primary is about to leave. It is replaced without asking anybody, by a replica that has
-/// received most, once all have been heard. Sixty hosts that all claim and ask at once fill the
-/// servers' connections: each waits its turn, here the third.
+/// A leaving primary is replaced without an inquiry, by the replica with the longest log, once all
+/// replicas have reported. Sixty hosts that claim and ask at the same time use up the servers'
+/// connections, so each waits for its turn, here the third.
 #[test]
 fn a_leaving_primary_is_replaced_while_it_serves() {
     let mut setup = setup();
     setup.view.trouble = Some(Trouble::Leaving);
     setup.view.candidates = BTreeSet::from([setup.servers[1], setup.servers[2]]);
-    assert_eq!(setup.step(ms(1_000)), [], "two hosts come first");
+    assert_eq!(setup.step(ms(1_000)), [], "two hosts act first");
     assert_eq!(setup.step(ms(1_040)), [NextStep::Claim]);
     assert_eq!(
         setup.succession.claim_won(FencingToken(9), ms(1_045)),
@@ -531,7 +545,11 @@
     setup
         .succession
         .record_report(setup.servers[1], replica(50));
-    assert_eq!(setup.step(ms(1_048)), [], "the other replica may have more");
+    assert_eq!(
+        setup.step(ms(1_048)),
+        [],
+        "the other replica may have a longer log"
+    );
     setup
         .succession
         .record_report(setup.servers[2], replica(51));
@@ -542,11 +560,12 @@
     assert_eq!(setup.step(ms(1_050)), [order]);
 }
 
-/// A zone is cut off together with the primary while the store is away. The others have a replica
-/// promoted, so the primary refuses to lead, and its zone knows nobody who does. Hosts there had
-/// the only server that they reached promoted: the replaced primary. Their order came through when
-/// the cut healed. Sales recorded since were gone, those told before the change were back, and
-/// clerks had meanwhile read lots as open that were sold.
+/// Guards against the promotion of a replaced primary: a zone was cut off together with the primary
+/// while the store was unavailable. The other hosts had a replica promoted, so the primary refused
+/// writes, and its zone knew no primary. Hosts there ordered the only server that they reached, the
+/// replaced primary, and the order was carried out when the partition healed. Writes acknowledged
+/// since were lost, writes dropped by the change were back, and callers had read stale data
+/// meanwhile.
 #[test]
 fn an_isolated_replaced_primary_is_not_promoted_again() {
     let mut setup = setup();
@@ -572,9 +591,9 @@
     }
 }
 
-/// The same with the path healed: most hosts miss a primary just after a change, since none has
-/// heard of the successor yet. The replaced primary has the longest log of all, by writes that
-/// no other server has. It was promoted again, within a second of its replacement.
+/// As above, with the path healed: most hosts miss a primary just after a change, since none knows
+/// the successor yet. The replaced primary has the longest log, with writes that no other server
+/// has. It was promoted again within a second of its replacement.
 #[test]
 fn the_longest_log_is_passed_over_if_its_server_was_replaced() {
     let mut setup = setup();
@@ -607,9 +626,9 @@
     assert_eq!(orders, [setup.expected_order()]);
 }
 
-/// A replaced primary starts again with its log, before it has followed its successor. Its log ends
-/// with writes that no other server has; as a server that nobody had seen lead, it was ordered back,
-/// and what its successor had acknowledged was gone.
+/// A replaced primary restarts with its log before it has followed its successor. Its log ends with
+/// writes that no other server has. It counted as a server that had never led and was promoted, and
+/// what its successor had acknowledged was lost.
 #[test]
 fn a_restarted_replaced_primary_is_not_promoted_again() {
     let mut setup = setup();
@@ -645,9 +664,9 @@
     assert_eq!(orders, [setup.expected_order()]);
 }
 
-/// A primary is about to leave, and its only replica has just started again without its log, which
-/// the hosts do not know: they have just started as well. The primary has all, and seconds to send
-/// it; the empty replica was ordered to lead at once.
+/// A primary is about to leave, and its only replica has just restarted without its log. The hosts
+/// have just started as well and do not know this. The primary has the whole log and seconds to
+/// send it, but the empty replica was promoted at once.
 #[test]
 fn a_leaving_primary_is_not_replaced_by_an_empty_replica() {
     let mut setup = setup();
@@ -669,9 +688,9 @@
     assert!(matches!(next[..], [NextStep::Promote { .. }]), "{next:?}");
 }
 
-/// The store is away, and another host has replaced the primary before under a token of its own.
-/// The platform carries out whatever it is told: an order under the lower token that this host had
-/// reserved at its start undid the change of whoever came next.
+/// The store is unavailable, and another host has replaced the primary before, under a token of its
+/// own. The platform carries out every order: one under the lower token that this host had reserved
+/// at its start undid the later change.
 #[test]
 fn no_order_is_given_under_a_lower_token_than_one_used_before() {
     let mut setup = setup();
@@ -691,8 +710,8 @@
     }
 }
 
-/// The same with the claim won: while this host waited for a better candidate, another one took
-/// the claim over and acted.
+/// As above, with the claim won: while this host waited for a better candidate, another one took
+/// over the claim and acted.
 #[test]
 fn a_claim_that_was_taken_over_is_not_acted_on() {
     let mut setup = setup();
@@ -705,8 +724,8 @@
     assert!(!next.contains(&setup.expected_order()), "{next:?}");
 }
 
-/// A host is suspended between its claim and its order. When it wakes up, another host has taken
-/// the claim over and somebody else leads, which it has not heard of yet.
+/// A host is suspended between its claim and its order. When it resumes, another host has taken
+/// over the claim, and a server that this host does not know leads.
 #[test]
 fn a_host_that_was_paused_drops_its_claim() {
     let mut setup = setup();
@@ -716,11 +735,11 @@
         .record_report(setup.servers[2], replica(43));
     setup.succession.resume_after_pause(ms(6_000));
     let next = setup.step(ms(6_000));
-    assert_eq!(next, [], "it looks around first");
+    assert_eq!(next, [], "a paused host starts over");
 }
 
-/// Hosts were asked about one primary. Before the order goes out, a replica's log shows a newer
-/// term: another server leads, whom nobody was asked about.
+/// Hosts were asked about one primary. Before the order is given, a replica's log shows a newer
+/// term: another server leads, about which no host was asked.
 #[test]
 fn an_inquiry_about_one_primary_does_not_replace_the_next() {
     let mut setup = setup();
@@ -733,25 +752,21 @@
     assert!(!setup.succession.is_under_way());
 }
 
-/// A successor was too busy to say for half a second whether it leads. Its promotion counted as one
-/// that took no time, the shortest of all, and each primary that left afterwards was given up a whole
-/// promotion too early.
+/// A successor was too busy for half a second to report whether it leads. Its promotion counted as
+/// one that took no time, the shortest of all, and each primary that left afterwards was given up
+/// one promotion time too early.
 #[test]
 fn a_promotion_without_recent_answers_gives_no_measurement() {
     let mut timer = PromotionTimer::start(ms(1_000));
-    assert_eq!(
-        timer.min_duration(ms(1_600)),
-        None,
-        "nothing was heard before"
-    );
+    assert_eq!(timer.min_duration(ms(1_600)), None, "no earlier answer");
     timer.record_replica(ms(1_250));
     assert_eq!(timer.min_duration(ms(1_600)), None);
     assert_eq!(timer.min_duration(ms(1_290)), Some(ms(250)));
 }
 
 /// Two hosts of six are cut off from the others, with the store and the replicas on their side. The
-/// primary is on the other side, with most hosts, which keep each other's leases and go on writing to
-/// it. The list loses it, since it does not reach the store, and 1.5 s later the two had it replaced,
+/// primary and most hosts are on the other side, keep each other's leases and keep writing. The
+/// list loses the primary, which does not reach the store, and 1.5 s later the two had it replaced,
 /// while the others acknowledged 19 more writes.
 #[test]
 fn a_minority_with_the_store_waits_until_a_partition_has_usually_ended() {
