--- a/crates/core/tests/leader.rs
+++ b/crates/core/tests/leader.rs
@@ -1,4 +1,5 @@
-//! Which server leads, where the platform's list, refusals and servers' own words disagree.
+//! Tests of the current primary where the platform's list, refusals and the servers' answers
+//! disagree.
 
 use flamingopost_core::key::ServerKey;
 use flamingopost_core::leader::{LeaderTracker, Role};
@@ -15,8 +16,8 @@
     Term::from_number(number)
 }
 
-/// Bids go to a primary that was replaced a moment ago, because its entry in the list still says
-/// that it leads. It refuses the first; from then on nothing more is sent there.
+/// Writes go to a primary that was replaced a moment ago, because its list entry still says that it
+/// leads. It refuses the first one, and from then on nothing more is sent there.
 #[test]
 fn a_refusal_overrides_an_older_list_entry() {
     let (old, new) = servers();
@@ -25,13 +26,14 @@
     leader.record_not_primary(old);
     assert_eq!(leader.primary(), None);
     leader.record_listing(old, Role::Primary, 4);
-    assert_eq!(leader.primary(), None, "the same entry is no news");
+    assert_eq!(leader.primary(), None, "an unchanged entry carries no news");
     leader.record_listing(new, Role::Primary, 9);
     assert_eq!(leader.primary(), Some(new));
 }
 
-/// A primary crashes and its entry stays for seconds, while a successor reports itself. Both say
-/// that they lead; the one whose entry changed last, and later the one of the higher term, does.
+/// A primary crashes and its entry stays listed for seconds, while a successor reports itself. Both
+/// entries say that they lead. The one that changed last counts, and later the one of the higher
+/// term.
 #[test]
 fn a_successor_is_preferred_to_the_entry_of_a_dead_primary() {
     let (dead, successor) = servers();
@@ -44,8 +46,8 @@
     assert_eq!(leader.primary(), Some(successor));
 }
 
-/// A primary that was cut off while it was replaced answers a question with its old term. That
-/// must not make it the leader again on a host that has seen the new term.
+/// A primary that was cut off while it was replaced answers with its old term. That must not make
+/// it the primary again on a host that has seen the new term.
 #[test]
 fn a_primary_of_an_ended_term_does_not_lead() {
     let (old, new) = servers();
@@ -71,9 +73,9 @@
     assert_eq!(change.lasted, Duration::from_secs(3));
 }
 
-/// A primary starts again without its log, and its new entry in the list says that it leads. Bids
-/// went there, and were gone with the next change of primary. It has to show the log first,
-/// whatever it says of itself.
+/// A primary restarts without its log, and its new list entry says that it leads. Writes went
+/// there, and were lost with the next change of primary. The server has to show the log first,
+/// whatever it reports.
 #[test]
 fn a_distrusted_claim_to_lead_does_not_count() {
     let (empty, other) = servers();
@@ -84,15 +86,15 @@
     assert_eq!(leader.primary(), None);
     leader.record_listing(empty, Role::Primary, 9);
     leader.record_role(empty, Role::Primary, term(1));
-    assert_eq!(leader.primary(), None, "saying so again proves nothing");
+    assert_eq!(leader.primary(), None, "a repeated claim proves nothing");
     leader.record_role(other, Role::Primary, term(2));
     assert_eq!(leader.primary(), Some(other));
     leader.trust(empty);
     assert_eq!(leader.primary(), Some(other), "its term has ended");
 }
 
-/// An empty primary was replaced and follows its successor. Later it is promoted, and
-/// nothing is written at first; it was still doubted for what it had lost, and nobody led.
+/// An empty primary was replaced and follows its successor. Later it is promoted, and nothing is
+/// written at first. It was still distrusted for what it had lost, and the service had no primary.
 #[test]
 fn a_server_that_has_followed_is_trusted_again() {
     let (empty, other) = servers();
@@ -110,9 +112,9 @@
     assert_eq!(leader.primary(), Some(empty));
 }
 
-/// A server starts again under its id. The count by which its entries are told apart is that of
-/// the list, but the former start was refused and gone for a while: nothing of that holds for the
-/// newer one, which is known under a key of its own.
+/// A server restarts under its id. Its entries are ordered by the version of the list, but the
+/// previous start was refused and unlisted for a while. None of that applies to the newer start,
+/// which has a key of its own.
 #[test]
 fn a_restarted_server_inherits_no_state_of_its_previous_start() {
     let (former, newer) = servers();
@@ -121,14 +123,18 @@
     leader.record_not_primary(former);
     leader.remove_server(former);
     leader.record_role(former, Role::Primary, term(5));
-    assert_eq!(leader.primary(), None, "a late word of the former start");
+    assert_eq!(
+        leader.primary(),
+        None,
+        "a late answer of the previous start"
+    );
     leader.record_listing(newer, Role::Primary, 4);
     assert_eq!(leader.primary(), Some(newer));
 }
 
-/// A primary is replaced on a platform where it goes on leading its own term. It lists itself as
-/// before and answers as before, and hosts went back and forth between it and its successor, whose
-/// term they had not seen yet.
+/// A primary is replaced on a platform where it keeps leading its own term. It lists itself and
+/// answers as before, and hosts alternated between it and its successor, whose term they had not
+/// seen yet.
 #[test]
 fn any_other_claim_is_preferred_to_a_replaced_primary_that_keeps_leading() {
     let (old, new) = servers();
@@ -137,7 +143,7 @@
     leader.record_role(old, Role::Primary, term(1));
     leader.record_listing(new, Role::Replica, 4);
     leader.record_order(term(1), Some(new));
-    assert_eq!(leader.primary(), Some(old), "nobody else leads yet");
+    assert_eq!(leader.primary(), Some(old), "no other server leads yet");
     leader.record_listing(new, Role::Primary, 9);
     assert_eq!(leader.primary(), Some(new));
     leader.record_role(old, Role::Primary, term(1));
@@ -147,8 +153,8 @@
     assert!(!leader.is_term_ended(new));
 }
 
-/// A host hears of an order, but no successor shows. The order may still be carried out after
-/// seconds, so the old primary is not gone back to, not even when it says that it leads.
+/// A host learns of an order, but no successor appears. The order may still be carried out after
+/// seconds, so the old primary is not accepted again, not even when it reports that it leads.
 #[test]
 fn a_primary_of_an_ended_term_is_not_accepted_again() {
     let (old, new) = servers();
@@ -177,9 +183,9 @@
     assert_eq!(leader.primary(), Some(new));
 }
 
-/// A primary that was cut off starts again under another id, with its log, just after its successor
-/// was seen to lead. It lists itself as the primary, later than the successor did, and its term is not
-/// known yet: hosts wrote to it until they had asked.
+/// A primary that was cut off restarts under another id, with its log, just after its successor was
+/// seen to lead. It lists itself as the primary, later than the successor did, and its term is not
+/// known yet. Hosts wrote to it until they had asked for its term.
 #[test]
 fn a_replaced_primary_under_another_id_is_not_trusted_before_it_shows_its_term() {
     let mut names: Names<ServerKey> = Names::default();
@@ -195,13 +201,13 @@
     leader.record_role(again, Role::Primary, term(1));
     assert_eq!(leader.primary(), Some(new));
     leader.record_role(again, Role::Primary, term(3));
-    assert_eq!(leader.primary(), Some(again), "it was promoted since");
+    assert_eq!(leader.primary(), Some(again), "it has been promoted since");
 }
 
-/// Hosts are cut off before the successor that they ordered leads, and order another one. They do not
-/// know that a term has begun meanwhile, so their order names the one before. A host on the other side
-/// hears of it when the cut ends, and went on reading at the first successor: buses that had been given
-/// away since were shown as free, 4 to 8 reads in three of four plays of a day.
+/// Hosts are cut off before the successor that they ordered leads, and order another one. They do
+/// not know that a term has begun meanwhile, so their order names the previous one. A host on the
+/// other side learned of it when the partition ended and kept reading at the first successor: 4 to
+/// 8 stale reads in three of four runs of a simulated day.
 #[test]
 fn an_order_ends_the_term_that_the_previous_order_began() {
     let mut names: Names<ServerKey> = Names::default();
@@ -224,9 +230,9 @@
     assert!(!leader.is_term_ended(first), "it was promoted again");
 }
 
-/// A server is promoted and the list says so. The one that it replaced does not know yet, and writes its
-/// entry anew a moment later, as it does with each heartbeat: it leads. Hosts went back to it for 18 ms, and
-/// what it acknowledged was gone.
+/// A server is promoted and listed as the primary. The replaced primary does not know yet, and a
+/// moment later refreshes its entry, as with each heartbeat: it leads. Hosts returned to it for 18
+/// ms, and what it acknowledged was lost.
 #[test]
 fn a_repeated_claim_to_lead_does_not_hide_the_successor() {
     let (old, new) = servers();
@@ -242,8 +248,8 @@
     assert_eq!(leader.primary(), Some(old), "it was promoted again");
 }
 
-/// Guards against a service without a primary for good: its successor never came to lead, and hosts went back
-/// to a new start of the replaced one again and again, which they refuse to rely on.
+/// Guards against a service that never gets a primary again: its successor never came to lead, and
+/// hosts kept returning to a new start of the replaced primary, which they refuse to rely on.
 #[test]
 fn a_restarted_replaced_primary_is_not_accepted_again() {
     let (old, successor) = servers();
--- a/crates/core/tests/succession_fleet.rs
+++ b/crates/core/tests/succession_fleet.rs
@@ -1,4 +1,4 @@
-//! Changes of a primary by whole fleets of hosts, over links that lose, delay and cut.
+//! Randomised failovers in whole fleets of hosts, over links that lose, delay and cut messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,13 +15,14 @@
 use rand::{RngExt as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Availability zones; the first is cut off, with its server and its hosts.
+/// Number of availability zones. The first is cut off, with its server and its hosts.
 const ZONES: usize = 3;
 
-/// One server in each zone; the first leads at the start.
+/// Number of servers, one in each zone. The first leads at the start.
 const SERVERS: usize = 3;
 
-/// Hosts that are asked in a large fleet, and up to how many hosts all are.
+/// Number of hosts that are asked in a large fleet, and the number of hosts up to which all are
+/// asked.
 const ELECTORS: usize = 7;
 const SMALL_FLEET: usize = 9;
 
@@ -40,7 +41,7 @@
     }
 }
 
-/// A server's log: for each term the number after its last write.
+/// A server's log: for each term, the log number of its last write.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Log(Vec<(i64, u64)>);
 
@@ -62,7 +63,7 @@
 #[derive(Debug, Clone, Default)]
 struct Server {
     log: Log,
-    /// The term that it knows.
+    /// The newest term that the server knows.
     term: i64,
 }
 
@@ -70,13 +71,13 @@
     succession: Succession,
     leader: Option<usize>,
     term: i64,
-    /// Since when the primary is silent, or nobody leads.
+    /// When the primary became silent, or when the host lost it.
     since: Option<Duration>,
-    /// Claims of others, and since when each is known.
+    /// Claims of other hosts, each with the time when this host first saw it.
     claims_seen: BTreeMap<(i64, u64), Duration>,
 }
 
-/// What happens at some moment.
+/// An event of the simulation.
 enum Event {
     Step(usize),
     Ask(usize, usize, Option<usize>),
@@ -97,12 +98,12 @@
     count: u64,
     hosts: Vec<Host>,
     servers: Vec<Server>,
-    /// Who leads in truth, and the newest term.
+    /// The actual primary, and the newest term.
     leader: usize,
     term: i64,
     host_keys: Vec<HostKey>,
     server_keys: Vec<ServerKey>,
-    /// When the cut ends, and when the store is away.
+    /// When the partition ends, and when the store is unavailable.
     cut_ends: Duration,
     outage: (Duration, Duration),
     promotion: Duration,
@@ -160,7 +161,7 @@
         self.events.insert((when, self.count), event);
     }
 
-    /// After a way between zones, if it is not lost.
+    /// Delivers `event` after the delay of a path between zones, unless the message is lost.
     fn send(&mut self, event: Event) {
         if !self.rng.random_bool(0.05) {
             let delay = ms(self.rng.random_range(1..30));
@@ -173,7 +174,7 @@
         apart && CUT <= self.now && self.now < self.cut_ends
     }
 
-    /// Store and platform are with the zones that are not cut off.
+    /// The store and the platform are on the side of the zones that are not cut off.
     fn reaches_platform(&self, host: usize) -> bool {
         !self.is_cut(host, 1)
     }
@@ -238,7 +239,8 @@
         self.at(now + STEP, Event::Step(host));
     }
 
-    /// Hosts write to the primary that they believe in, if it leads; it passes the writes on.
+    /// A host writes to the server that it takes for the primary, if that server leads. The primary
+    /// replicates the writes.
     fn write(&mut self, host: usize) {
         let leads = self.hosts[host].leader == Some(self.leader);
         if !leads || self.is_cut(host, self.leader) || self.rng.random_bool(0.8) {
@@ -278,7 +280,7 @@
                 }
                 NextStep::Promote { server, token } => {
                     let server = self.server_keys.iter().position(|key| *key == server);
-                    let server = server.expect("it is one of the servers");
+                    let server = server.expect("a key of one of the servers");
                     for other in 0..self.hosts.len() {
                         if other != host {
                             self.send(Event::PeerActs(other));
@@ -384,7 +386,8 @@
         self.at(self.now + ms(10), Event::Ordered(host, order));
     }
 
-    /// Nothing may come back that an earlier change has dropped.
+    /// Checks that the promotion of `server` does not restore writes that an earlier change has
+    /// dropped.
     fn check(&self, server: usize) {
         let truth = &self.servers[self.leader].log.0;
         let dropped = self.servers[server].log.0.iter().find(|(term, end)| {
@@ -392,10 +395,14 @@
             let kept = truth.iter().find(|(other, _)| other == term);
             newer && kept.is_none_or(|(_, kept)| end > kept)
         });
-        assert_eq!(dropped, None, "{server} is to lead again, {:?}", self.now);
+        assert_eq!(
+            dropped, None,
+            "server {server} would restore dropped writes, {:?}",
+            self.now
+        );
     }
 
-    /// An order takes effect.
+    /// Carries out an order.
     fn lead(&mut self, server: usize) {
         if server == self.leader {
             return;
@@ -438,9 +445,9 @@
 }
 
 /// A zone is cut off with the primary, and its hosts write there until the successor leads. Around
-/// the end of the cut, orders of that zone come through. Whichever way it goes, no server is made
-/// the primary whose log still ends with writes that the change has dropped, and callers can write
-/// again in the end.
+/// the end of the partition, orders of that zone are carried out. In every case, no server is
+/// promoted whose log still ends with writes that the change has dropped, and in the end callers
+/// can write again.
 fn failover_never_restores_dropped_writes(hosts: usize, seeds: u64) {
     let mut changes = 0;
     for seed in 0..seeds {
--- a/crates/core/tests/succession_terms.rs
+++ b/crates/core/tests/succession_terms.rs
@@ -1,4 +1,4 @@
-//! Which servers are passed over after several changes of a service's primary.
+//! Tests of the choice of a successor after several changes of a service's primary.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     }
 }
 
-/// What a server says that follows the primary of `term`.
+/// The report of a server that follows the primary of `term`.
 fn replica(term: i64, received: Position) -> Report {
     Report {
         role: Role::Replica,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Six hosts of which one is played, and servers of which the first has led the first term.
+/// One host of a fleet of six, and servers of which the first has led the first term.
 struct Setup {
     succession: Succession,
     view: View,
@@ -73,7 +73,7 @@
 }
 
 impl Setup {
-    /// The second server is seen to lead the second term.
+    /// The second server is seen as the primary of the second term.
     fn observe_successor(&mut self, now: Duration) {
         self.view.leader = Some(self.servers[1]);
         self.view.term = Term::from_number(2);
@@ -82,8 +82,8 @@
         self.succession.step(&self.view, now);
     }
 
-    /// All hosts miss the primary from `from` on and servers say `reports`; the first order until
-    /// `until`, and when it was given.
+    /// All hosts miss the primary from `from` on, and servers send `reports`. Returns the server of
+    /// the first order before `until`, and when it was given.
     fn fail_primary(
         &mut self,
         reports: &[(ServerKey, Report)],
@@ -116,8 +116,8 @@
 
 /// A primary is replaced. A host reads at a replica that has the second term's log before it learns
 /// who leads that term, and still takes the first primary for the leader. The first primary comes
-/// back and follows; it alone has the last acknowledged bids when its successor dies. The host
-/// takes it for one that led the second term, passes it over, and the bids are lost.
+/// back and follows, and it alone has the last acknowledged commits when its successor dies. The
+/// host recorded it as the primary of the second term and passed it over, so the commits were lost.
 #[test]
 fn a_term_seen_at_a_replica_is_not_attributed_to_the_old_primary() {
     let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
@@ -135,9 +135,9 @@
     assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// A service of two servers. The primary was replaced, came back and follows, and nothing was
-/// written since, so its log still ends in the first term though it knows the second. Then the
-/// successor dies and its entry stays listed. Nobody else is there to lead, and nobody is ordered.
+/// A service of two servers. The primary was replaced, came back and follows. Nothing has been
+/// written since, so its log still ends in the first term although it knows the second. Then the
+/// successor dies and its entry stays listed. No other server is left, and none was promoted.
 #[test]
 fn a_replaced_primary_that_follows_is_promoted_if_it_is_the_last_server() {
     let mut setup = setup(&["ledger-1", "ledger-2"]);
@@ -146,10 +146,10 @@
     let reports = [(setup.servers[0], replica(2, position(1, 40)))];
     let ordered = setup.fail_primary(&reports, ms(30_000), ms(60_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(setup.servers[0]), "none within 30 s");
+    assert_eq!(server, Some(setup.servers[0]), "no promotion within 30 s");
 }
 
-/// The same change, with the host told of the successor at once: the old primary counts.
+/// The same change on a host that learned of the successor at once: the old primary is a candidate.
 #[test]
 fn a_replaced_primary_that_follows_is_a_candidate() {
     let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
@@ -165,10 +165,10 @@
     assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// The store is away, and a host orders a replica under the token that it has. The answer is lost,
-/// the replica dies, and the host orders the other one under the same token, which leads. Seconds
-/// later the platform carries out the first order: its token is not lower than the last one. Bids
-/// that the new primary has acknowledged are rolled back.
+/// The store is unavailable, and a host orders the promotion of a replica under its token. The
+/// answer is lost, the replica dies, and the host orders the other one under the same token, which
+/// leads. Seconds later the platform carries out the first order, whose token is not lower than the
+/// last one, and writes that the new primary has acknowledged are rolled back.
 #[test]
 fn an_unanswered_order_is_not_followed_by_another_under_its_token() {
     let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
@@ -207,9 +207,9 @@
 }
 
 /// A replaced primary is back and follows. Before anything is written under its successor, that one
-/// dies too. The old primary has all that was acknowledged and the third server lags by seconds, yet
-/// that one is ordered, as the old primary's log still ends in the term that it led: thirty
-/// acknowledged bids are gone.
+/// dies too. The old primary has everything that was acknowledged, and the third server lags by
+/// seconds. The lagging server was promoted, because the old primary's log still ends in the term
+/// that it led, and 30 acknowledged writes were lost.
 #[test]
 fn a_replaced_primary_that_follows_is_preferred_to_a_lagging_replica() {
     let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
@@ -225,9 +225,9 @@
     assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// A replaced primary is back and follows, and nothing was written under its successor, which is about
-/// to leave. No other server is there. The successor was never relieved, and what it had to acknowledge
-/// at its end was refused until somebody missed it.
+/// A replaced primary is back and follows, nothing was written under its successor, and no other
+/// server is there. The successor is about to leave. It was never replaced, and commits in its last
+/// moments were refused until a host missed it.
 #[test]
 fn a_replaced_primary_that_follows_replaces_a_leaving_primary() {
     let mut setup = setup(&["ledger-1", "ledger-2"]);
@@ -251,9 +251,9 @@
     assert_eq!(orders, [setup.servers[0]]);
 }
 
-/// The store is away, so hosts act in turn, and the third one waits 0.75 s. Meanwhile the replica that
-/// had answered with the longest log starts again without it. By its old word it was ordered to lead,
-/// with nothing, and all that the other one held was rolled back.
+/// The store is unavailable, so hosts act in turn, and the third one waits 0.75 s. Meanwhile the
+/// replica that had reported the longest log restarts without it. It was promoted on its old report
+/// with an empty log, and everything that the other replica had was rolled back.
 #[test]
 fn an_order_does_not_rest_on_an_outdated_report() {
     let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
@@ -288,9 +288,9 @@
     assert_eq!(servers, [setup.servers[1]], "{orders:?}");
 }
 
-/// A primary is told to step down for a successor that dies before it leads. No other server but one
-/// that has started again without its log is there, and its entry is new to the list. The old primary
-/// has all that was acknowledged, yet it was passed over as one that was replaced, and all was gone.
+/// A primary steps down for a successor that dies before it leads. The only other server has
+/// restarted without its log, and its entry is new to the list. The old primary has everything that
+/// was acknowledged, but was passed over as replaced, and all data was lost.
 #[test]
 fn a_former_primary_with_its_log_is_preferred_to_an_empty_server() {
     let mut setup = setup(&["ledger-1", "ledger-2"]);
@@ -325,9 +325,9 @@
     assert_eq!(ordered, Some(setup.servers[0]));
 }
 
-/// Two primaries leave one after the other, as in a rolling restart, with nothing else wrong between.
-/// At the second one no host waits its turn any more: all claim and ask at once, which fills the
-/// servers' connections.
+/// Two primaries leave one after the other, as in a rolling restart, and nothing else happens
+/// between. No host waited for its turn at the second one: all claimed and asked at the same time,
+/// which uses up the servers' connections.
 #[test]
 fn hosts_take_turns_at_a_second_leaving_primary() {
     let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
@@ -341,10 +341,10 @@
     assert_eq!(setup.succession.step(&setup.view, ms(60_000)), []);
 }
 
-/// The same service of two servers on a host that hears no other, with the successor gone from the
-/// list. It may be the last host that is up, or one that is cut off together with the replaced
-/// primary while others go on with the successor: it cannot tell, so it orders nobody back. What
-/// that primary never received would be rolled back for all.
+/// A service of two servers on a host that reaches no other host, with the successor gone from the
+/// list. The host may be the last one running, or be cut off together with the replaced primary
+/// while others use the successor. It cannot tell, so it does not promote the replaced primary,
+/// which would roll back what that server never received.
 #[test]
 fn an_isolated_host_does_not_promote_a_replaced_primary() {
     let mut setup = setup(&["ledger-1", "ledger-2"]);
@@ -366,8 +366,8 @@
     }
 }
 
-/// A host that has started after the first primary was replaced, and takes the second one to lead. The first
-/// one, whose log is the longest, is all that answers.
+/// A host that has started after the first primary was replaced, and takes the second one for the
+/// primary. Only the first server reports, and its log is the longest.
 fn setup_with_a_replaced_primary() -> (Setup, [(ServerKey, Report); 1]) {
     let mut setup = setup(&["ledger-1", "ledger-2"]);
     setup.view.synchronous = false;
@@ -379,8 +379,8 @@
     (setup, reports)
 }
 
-/// Guards against the promotion of a replaced primary that this host has never believed: its log ends with
-/// what the change dropped.
+/// Guards against the promotion of a replaced primary that this host has never trusted: its log
+/// ends with writes that the change has dropped.
 #[test]
 fn a_replaced_primary_that_was_never_trusted_is_passed_over() {
     let (mut setup, reports) = setup_with_a_replaced_primary();
@@ -388,7 +388,7 @@
     assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
-/// The same where only another host has seen it lead.
+/// As above, where only another host has seen it lead.
 #[test]
 fn a_replaced_primary_that_another_host_saw_lead_is_passed_over() {
     let (mut setup, reports) = setup_with_a_replaced_primary();
@@ -398,7 +398,8 @@
     assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
-/// Guards against a service without a primary for good, where the replaced one is the only server left.
+/// Guards against a service that never gets a primary again, where the replaced one is the only
+/// server left.
 #[test]
 fn a_replaced_primary_is_promoted_in_the_end_if_no_other_server_is_left() {
     let (mut setup, reports) = setup_with_a_replaced_primary();
@@ -410,8 +411,8 @@
     assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// Guards against the loss of the whole log: an empty server, which names the newest term, is ordered while the
-/// primary that has the log is down for a moment.
+/// Guards against the loss of the whole log: an empty server, which reports the newest term, was
+/// promoted while the primary that has the log was down for a moment.
 #[test]
 fn an_empty_server_of_the_newest_term_is_not_promoted_at_once() {
     let mut setup = setup(&["ledger-1", "ledger-2"]);
