--- a/crates/core/tests/succession_terms.rs
+++ b/crates/core/tests/succession_terms.rs
@@ -1,4 +1,4 @@
-//! Which servers are passed over after several changes of a service's primary.
+//! Tests of the choice of a successor after several changes of a service's primary.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     }
 }
 
-/// What a server says that follows the primary of `term`.
+/// The report of a server that follows the primary of `term`.
 fn replica(term: i64, received: Position) -> Report {
     Report {
         role: Role::Replica,
@@ -32,15 +32,15 @@
     }
 }
 
-/// Six hosts of which one is played, and servers of which the first has led the first term.
-struct Scene {
+/// One host of a fleet of six, and servers of which the first has led the first term.
+struct Setup {
     succession: Succession,
     view: View,
     servers: Vec<ServerKey>,
     hosts: Vec<HostKey>,
 }
 
-fn scene(servers: &[&str]) -> Scene {
+fn setup(servers: &[&str]) -> Setup {
     let mut names: Names<ServerKey> = Names::default();
     let servers: Vec<ServerKey> = servers.iter().map(|name| names.intern(name)).collect();
     let mut names: Names<HostKey> = Names::default();
@@ -64,7 +64,7 @@
         previous_starts: BTreeMap::new(),
         distrusted: BTreeSet::new(),
     };
-    Scene {
+    Setup {
         succession: Succession::default(),
         view,
         servers,
@@ -72,9 +72,9 @@
     }
 }
 
-impl Scene {
-    /// The second server is seen to lead the second term.
-    fn succeed(&mut self, now: Duration) {
+impl Setup {
+    /// The second server is seen as the primary of the second term.
+    fn observe_successor(&mut self, now: Duration) {
         self.view.leader = Some(self.servers[1]);
         self.view.term = Term::from_number(2);
         self.view.leader_term = Term::from_number(2);
@@ -82,9 +82,9 @@
         self.succession.step(&self.view, now);
     }
 
-    /// All hosts miss the primary from `from` on and servers say `reports`; the first order until
-    /// `until`, and when it was given.
-    fn lose(
+    /// All hosts miss the primary from `from` on, and servers send `reports`. Returns the server of
+    /// the first order before `until`, and when it was given.
+    fn fail_primary(
         &mut self,
         reports: &[(ServerKey, Report)],
         from: Duration,
@@ -116,83 +116,83 @@
 
 /// A primary is replaced. A host reads at a replica that has the second term's log before it learns
 /// who leads that term, and still takes the first primary for the leader. The first primary comes
-/// back and follows; it alone has the last acknowledged bids when its successor dies. The host
-/// takes it for one that led the second term, passes it over, and the bids are lost.
+/// back and follows, and it alone has the last acknowledged commits when its successor dies. The
+/// host recorded it as the primary of the second term and passed it over, so the commits were lost.
 #[test]
-fn a_term_known_from_a_replica_is_not_one_that_the_old_primary_led() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.view.term = Term::from_number(2);
-    scene.succession.step(&scene.view, ms(600));
-    scene.succeed(ms(700));
-    scene.view.newest_position = position(2, 60);
+fn a_term_seen_at_a_replica_is_not_attributed_to_the_old_primary() {
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.view.term = Term::from_number(2);
+    setup.succession.step(&setup.view, ms(600));
+    setup.observe_successor(ms(700));
+    setup.view.newest_position = position(2, 60);
     let reports = [
-        (scene.servers[0], replica(2, position(2, 60))),
-        (scene.servers[2], replica(2, position(2, 50))),
+        (setup.servers[0], replica(2, position(2, 60))),
+        (setup.servers[2], replica(2, position(2, 50))),
     ];
-    let ordered = scene.lose(&reports, ms(30_000), ms(45_000));
+    let ordered = setup.fail_primary(&reports, ms(30_000), ms(45_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// A service of two servers. The primary was replaced, came back and follows, and nothing was
-/// written since, so its log still ends in the first term though it knows the second. Then the
-/// successor dies and its entry stays listed. Nobody else is there to lead, and nobody is ordered.
+/// A service of two servers. The primary was replaced, came back and follows. Nothing has been
+/// written since, so its log still ends in the first term although it knows the second. Then the
+/// successor dies and its entry stays listed. No other server is left, and none was promoted.
 #[test]
-fn a_replaced_primary_that_follows_leads_again_where_it_is_the_last() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    let reports = [(scene.servers[0], replica(2, position(1, 40)))];
-    let ordered = scene.lose(&reports, ms(30_000), ms(60_000));
+fn a_replaced_primary_that_follows_is_promoted_if_it_is_the_last_server() {
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    let reports = [(setup.servers[0], replica(2, position(1, 40)))];
+    let ordered = setup.fail_primary(&reports, ms(30_000), ms(60_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "none within 30 s");
+    assert_eq!(server, Some(setup.servers[0]), "no promotion within 30 s");
 }
 
-/// The same change, with the host told of the successor at once: the old primary counts.
+/// The same change on a host that learned of the successor at once: the old primary is a candidate.
 #[test]
-fn an_old_primary_that_follows_is_a_candidate() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    scene.view.newest_position = position(2, 60);
+fn a_replaced_primary_that_follows_is_a_candidate() {
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    setup.view.newest_position = position(2, 60);
     let reports = [
-        (scene.servers[0], replica(2, position(2, 60))),
-        (scene.servers[2], replica(2, position(2, 50))),
+        (setup.servers[0], replica(2, position(2, 60))),
+        (setup.servers[2], replica(2, position(2, 50))),
     ];
-    let ordered = scene.lose(&reports, ms(30_000), ms(45_000));
+    let ordered = setup.fail_primary(&reports, ms(30_000), ms(45_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// The store is away, and a host orders a replica under the token that it has. The answer is lost,
-/// the replica dies, and the host orders the other one under the same token, which leads. Seconds
-/// later the platform carries out the first order: its token is not lower than the last one. Bids
-/// that the new primary has acknowledged are rolled back.
+/// The store is unavailable, and a host orders the promotion of a replica under its token. The
+/// answer is lost, the replica dies, and the host orders the other one under the same token, which
+/// leads. Seconds later the platform carries out the first order, whose token is not lower than the
+/// last one, and writes that the new primary has acknowledged are rolled back.
 #[test]
-fn an_order_without_an_answer_is_not_followed_by_another_under_its_token() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.synchronous = false;
-    scene.succession.reserve_token(FencingToken(7));
-    scene.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
+fn an_unanswered_order_is_not_followed_by_another_under_its_token() {
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.synchronous = false;
+    setup.succession.reserve_token(FencingToken(7));
+    setup.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
     let mut orders: Vec<(ServerKey, FencingToken)> = Vec::new();
     for now in (1_000..12_000).step_by(20).map(ms) {
-        let steps = scene.succession.step(&scene.view, now);
-        for host in &scene.hosts {
-            scene.succession.record_opinion(*host, Opinion::Fails);
+        let steps = setup.succession.step(&setup.view, now);
+        for host in &setup.hosts {
+            setup.succession.record_opinion(*host, Opinion::Fails);
         }
         let report = replica(1, position(1, 40));
-        scene.succession.record_report(scene.servers[1], report);
+        setup.succession.record_report(setup.servers[1], report);
         if orders.is_empty() {
             let report = replica(1, position(1, 43));
-            scene.succession.record_report(scene.servers[2], report);
+            setup.succession.record_report(setup.servers[2], report);
         }
         for next in steps {
             match next {
-                NextStep::Claim => scene.succession.claim_undecided(0, now),
+                NextStep::Claim => setup.succession.claim_undecided(0, now),
                 NextStep::Promote { server, token } => {
                     orders.push((server, token));
-                    scene
+                    setup
                         .succession
                         .order_finished(Order::Unknown, now + ms(500));
                 }
@@ -207,76 +207,76 @@
 }
 
 /// A replaced primary is back and follows. Before anything is written under its successor, that one
-/// dies too. The old primary has all that was acknowledged and the third server lags by seconds, yet
-/// that one is ordered, as the old primary's log still ends in the term that it led: thirty
-/// acknowledged bids are gone.
+/// dies too. The old primary has everything that was acknowledged, and the third server lags by
+/// seconds. The lagging server was promoted, because the old primary's log still ends in the term
+/// that it led, and 30 acknowledged writes were lost.
 #[test]
-fn a_replaced_primary_that_follows_is_better_than_a_server_that_lags() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.synchronous = false;
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
+fn a_replaced_primary_that_follows_is_preferred_to_a_lagging_replica() {
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.synchronous = false;
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
     let reports = [
-        (scene.servers[0], replica(2, position(1, 40))),
-        (scene.servers[2], replica(2, position(1, 10))),
+        (setup.servers[0], replica(2, position(1, 40))),
+        (setup.servers[2], replica(2, position(1, 10))),
     ];
-    let ordered = scene.lose(&reports, ms(3_000), ms(20_000));
+    let ordered = setup.fail_primary(&reports, ms(3_000), ms(20_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// A replaced primary is back and follows, and nothing was written under its successor, which is about
-/// to leave. No other server is there. The successor was never relieved, and what it had to acknowledge
-/// at its end was refused until somebody missed it.
+/// A replaced primary is back and follows, nothing was written under its successor, and no other
+/// server is there. The successor is about to leave. It was never replaced, and commits in its last
+/// moments were refused until a host missed it.
 #[test]
-fn a_replaced_primary_that_follows_relieves_one_that_leaves() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    scene.view.trouble = Some(Trouble::Leaving);
+fn a_replaced_primary_that_follows_replaces_a_leaving_primary() {
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    setup.view.trouble = Some(Trouble::Leaving);
     let mut orders = Vec::new();
     for now in (3_000..5_000).step_by(20).map(ms) {
-        let mut steps = scene.succession.step(&scene.view, now);
+        let mut steps = setup.succession.step(&setup.view, now);
         if steps.contains(&NextStep::Claim) {
-            steps.extend(scene.succession.claim_won(FencingToken(7), now));
+            steps.extend(setup.succession.claim_won(FencingToken(7), now));
         }
         let report = replica(2, position(1, 40));
-        scene.succession.record_report(scene.servers[0], report);
+        setup.succession.record_report(setup.servers[0], report);
         orders.extend(steps.into_iter().filter_map(|it| match it {
             NextStep::Promote { server, .. } => Some(server),
             NextStep::Claim | NextStep::AskHosts | NextStep::AskServers => None,
         }));
     }
-    assert_eq!(orders, [scene.servers[0]]);
+    assert_eq!(orders, [setup.servers[0]]);
 }
 
-/// The store is away, so hosts act in turn, and the third one waits 0.75 s. Meanwhile the replica that
-/// had answered with the longest log starts again without it. By its old word it was ordered to lead,
-/// with nothing, and all that the other one held was rolled back.
+/// The store is unavailable, so hosts act in turn, and the third one waits 0.75 s. Meanwhile the
+/// replica that had reported the longest log restarts without it. It was promoted on its old report
+/// with an empty log, and everything that the other replica had was rolled back.
 #[test]
-fn an_order_does_not_rest_on_what_a_server_said_long_before() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.synchronous = false;
-    scene.succession.reserve_token(FencingToken(7));
-    scene.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
+fn an_order_does_not_rest_on_an_outdated_report() {
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.synchronous = false;
+    setup.succession.reserve_token(FencingToken(7));
+    setup.view.trouble = Some(Trouble::Refuses { since: ms(1_000) });
     let mut orders = Vec::new();
     for now in (1_000..4_000).step_by(20).map(ms) {
-        let steps = scene.succession.step(&scene.view, now);
-        for host in &scene.hosts {
-            scene.succession.record_opinion(*host, Opinion::Fails);
+        let steps = setup.succession.step(&setup.view, now);
+        for host in &setup.hosts {
+            setup.succession.record_opinion(*host, Opinion::Fails);
         }
         for next in steps {
             match next {
-                NextStep::Claim => scene.succession.claim_undecided(3, now),
+                NextStep::Claim => setup.succession.claim_undecided(3, now),
                 NextStep::AskServers => {
                     let longest = if now < ms(1_300) { 43 } else { 0 };
                     let said = [(1, position(1, 40)), (2, position(1, longest))];
                     for (server, received) in said {
                         let report = replica(1, received);
-                        scene
+                        setup
                             .succession
-                            .record_report(scene.servers[server], report);
+                            .record_report(setup.servers[server], report);
                     }
                 }
                 NextStep::Promote { server, .. } => orders.push((server, now)),
@@ -285,36 +285,36 @@
         }
     }
     let servers: Vec<ServerKey> = orders.iter().map(|(server, _)| *server).collect();
-    assert_eq!(servers, [scene.servers[1]], "{orders:?}");
+    assert_eq!(servers, [setup.servers[1]], "{orders:?}");
 }
 
-/// A primary is told to step down for a successor that dies before it leads. No other server but one
-/// that has started again without its log is there, and its entry is new to the list. The old primary
-/// has all that was acknowledged, yet it was passed over as one that was replaced, and all was gone.
+/// A primary steps down for a successor that dies before it leads. The only other server has
+/// restarted without its log, and its entry is new to the list. The old primary has everything that
+/// was acknowledged, but was passed over as replaced, and all data was lost.
 #[test]
-fn an_empty_server_does_not_lead_where_a_former_primary_has_its_log() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.succession.step(&scene.view, ms(500));
-    scene.view.leader = None;
+fn a_former_primary_with_its_log_is_preferred_to_an_empty_server() {
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.succession.step(&setup.view, ms(500));
+    setup.view.leader = None;
     let since = ms(1_000);
     let empty = replica(1, position(1, 0));
     let reports = [
-        (scene.servers[0], replica(1, position(1, 40))),
-        (scene.servers[1], empty),
+        (setup.servers[0], replica(1, position(1, 40))),
+        (setup.servers[1], empty),
     ];
     let mut ordered = None;
     for now in (1_000..20_000).step_by(20).map(ms) {
-        scene.view.trouble = Some(Trouble::Absent { since });
-        let mut steps = scene.succession.step(&scene.view, now);
-        for host in &scene.hosts {
-            scene.succession.record_opinion(*host, Opinion::Fails);
+        setup.view.trouble = Some(Trouble::Absent { since });
+        let mut steps = setup.succession.step(&setup.view, now);
+        for host in &setup.hosts {
+            setup.succession.record_opinion(*host, Opinion::Fails);
         }
         for (server, report) in reports {
-            scene.succession.record_report(server, report);
+            setup.succession.record_report(server, report);
         }
         if steps.contains(&NextStep::Claim) {
-            steps.extend(scene.succession.claim_won(FencingToken(7), now));
+            steps.extend(setup.succession.claim_won(FencingToken(7), now));
         }
         let server = steps.into_iter().find_map(|it| match it {
             NextStep::Promote { server, .. } => Some(server),
@@ -322,107 +322,108 @@
         });
         ordered = ordered.or(server);
     }
-    assert_eq!(ordered, Some(scene.servers[0]));
+    assert_eq!(ordered, Some(setup.servers[0]));
 }
 
-/// Two primaries leave one after the other, as in a rolling restart, with nothing else wrong between.
-/// At the second one no host waits its turn any more: all claim and ask at once, which fills the
-/// servers' connections.
+/// Two primaries leave one after the other, as in a rolling restart, and nothing else happens
+/// between. No host waited for its turn at the second one: all claimed and asked at the same time,
+/// which uses up the servers' connections.
 #[test]
-fn hosts_take_turns_at_a_second_primary_that_leaves() {
-    let mut scene = scene(&["ledger-1", "ledger-2", "ledger-3"]);
-    scene.view.rank = 2;
-    scene.view.trouble = Some(Trouble::Leaving);
-    assert_eq!(scene.succession.step(&scene.view, ms(1_000)), []);
-    scene.succession.defer_to_peer(ms(1_010));
-    scene.succeed(ms(2_000));
-    assert_eq!(scene.succession.step(&scene.view, ms(50_000)), []);
-    scene.view.trouble = Some(Trouble::Leaving);
-    assert_eq!(scene.succession.step(&scene.view, ms(60_000)), []);
+fn hosts_take_turns_at_a_second_leaving_primary() {
+    let mut setup = setup(&["ledger-1", "ledger-2", "ledger-3"]);
+    setup.view.rank = 2;
+    setup.view.trouble = Some(Trouble::Leaving);
+    assert_eq!(setup.succession.step(&setup.view, ms(1_000)), []);
+    setup.succession.defer_to_peer(ms(1_010));
+    setup.observe_successor(ms(2_000));
+    assert_eq!(setup.succession.step(&setup.view, ms(50_000)), []);
+    setup.view.trouble = Some(Trouble::Leaving);
+    assert_eq!(setup.succession.step(&setup.view, ms(60_000)), []);
 }
 
-/// The same service of two servers on a host that hears no other, with the successor gone from the
-/// list. It may be the last host that is up, or one that is cut off together with the replaced
-/// primary while others go on with the successor: it cannot tell, so it orders nobody back. What
-/// that primary never received would be rolled back for all.
+/// A service of two servers on a host that reaches no other host, with the successor gone from the
+/// list. The host may be the last one running, or be cut off together with the replaced primary
+/// while others use the successor. It cannot tell, so it does not promote the replaced primary,
+/// which would roll back what that server never received.
 #[test]
-fn a_host_that_hears_no_other_orders_no_replaced_primary_back() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.succession.step(&scene.view, ms(500));
-    scene.succeed(ms(700));
-    scene.view.leader = None;
-    scene.view.candidates.remove(&scene.servers[1]);
+fn an_isolated_host_does_not_promote_a_replaced_primary() {
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.succession.step(&setup.view, ms(500));
+    setup.observe_successor(ms(700));
+    setup.view.leader = None;
+    setup.view.candidates.remove(&setup.servers[1]);
     let since = ms(30_000);
-    scene.view.trouble = Some(Trouble::Absent { since });
+    setup.view.trouble = Some(Trouble::Absent { since });
     for now in (30_000..90_000).step_by(20).map(ms) {
-        let mut steps = scene.succession.step(&scene.view, now);
+        let mut steps = setup.succession.step(&setup.view, now);
         let report = replica(2, position(1, 40));
-        scene.succession.record_report(scene.servers[0], report);
+        setup.succession.record_report(setup.servers[0], report);
         if steps.contains(&NextStep::Claim) {
-            steps.extend(scene.succession.claim_won(FencingToken(7), now));
+            steps.extend(setup.succession.claim_won(FencingToken(7), now));
         }
         let promotes = |it: &NextStep| matches!(it, NextStep::Promote { .. });
         assert!(!steps.iter().any(promotes), "{steps:?} at {now:?}");
     }
 }
 
-/// A host that has started after the first primary was replaced, and takes the second one to lead. The first
-/// one, whose log is the longest, is all that answers.
-fn fresh_beside_a_replaced_primary() -> (Scene, [(ServerKey, Report); 1]) {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.view.leader = Some(scene.servers[1]);
-    scene.view.term = Term::from_number(2);
-    scene.view.leader_term = Term::default();
+/// A host that has started after the first primary was replaced, and takes the second one for the
+/// primary. Only the first server reports, and its log is the longest.
+fn setup_with_a_replaced_primary() -> (Setup, [(ServerKey, Report); 1]) {
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.view.leader = Some(setup.servers[1]);
+    setup.view.term = Term::from_number(2);
+    setup.view.leader_term = Term::default();
     let report = replica(1, position(1, 45));
-    let reports = [(scene.servers[0], report)];
-    (scene, reports)
+    let reports = [(setup.servers[0], report)];
+    (setup, reports)
 }
 
-/// Guards against the promotion of a replaced primary that this host has never believed: its log ends with
-/// what the change dropped.
+/// Guards against the promotion of a replaced primary that this host has never trusted: its log
+/// ends with writes that the change has dropped.
 #[test]
-fn a_replaced_primary_that_was_never_believed_is_passed_over() {
-    let (mut scene, reports) = fresh_beside_a_replaced_primary();
-    scene.view.terms_led = BTreeMap::from([(scene.servers[0], Term::from_number(1))]);
-    assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
+fn a_replaced_primary_that_was_never_trusted_is_passed_over() {
+    let (mut setup, reports) = setup_with_a_replaced_primary();
+    setup.view.terms_led = BTreeMap::from([(setup.servers[0], Term::from_number(1))]);
+    assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
-/// The same where only another host has seen it lead.
+/// As above, where only another host has seen it lead.
 #[test]
 fn a_replaced_primary_that_another_host_saw_lead_is_passed_over() {
-    let (mut scene, reports) = fresh_beside_a_replaced_primary();
-    scene
+    let (mut setup, reports) = setup_with_a_replaced_primary();
+    setup
         .succession
-        .record_leader(scene.servers[0], Term::from_number(1));
-    assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
+        .record_leader(setup.servers[0], Term::from_number(1));
+    assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
 }
 
-/// Guards against a service without a primary for good, where the replaced one is the only server left.
+/// Guards against a service that never gets a primary again, where the replaced one is the only
+/// server left.
 #[test]
-fn a_replaced_primary_that_is_the_only_server_left_is_ordered_in_the_end() {
-    let (mut scene, reports) = fresh_beside_a_replaced_primary();
-    scene
+fn a_replaced_primary_is_promoted_in_the_end_if_no_other_server_is_left() {
+    let (mut setup, reports) = setup_with_a_replaced_primary();
+    setup
         .succession
-        .record_leader(scene.servers[0], Term::from_number(1));
-    let ordered = scene.lose(&reports, ms(1_000), ms(14_000));
+        .record_leader(setup.servers[0], Term::from_number(1));
+    let ordered = setup.fail_primary(&reports, ms(1_000), ms(14_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[0]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[0]), "{ordered:?}");
 }
 
-/// Guards against the loss of the whole log: an empty server, which names the newest term, is ordered while the
-/// primary that has the log is down for a moment.
+/// Guards against the loss of the whole log: an empty server, which reports the newest term, was
+/// promoted while the primary that has the log was down for a moment.
 #[test]
-fn an_empty_server_that_names_the_newest_term_is_not_ordered_at_once() {
-    let mut scene = scene(&["ledger-1", "ledger-2"]);
-    scene.view.synchronous = false;
-    scene.view.term = Term::from_number(4);
-    scene.view.leader_term = Term::from_number(4);
-    scene.view.newest_position = position(4, 0);
-    scene.view.required_positions = BTreeMap::from([(scene.servers[1], position(3, 391))]);
-    let reports = [(scene.servers[1], replica(4, position(4, 0)))];
-    assert_eq!(scene.lose(&reports, ms(1_000), ms(9_000)), None);
-    let ordered = scene.lose(&reports, ms(9_000), ms(14_000));
+fn an_empty_server_of_the_newest_term_is_not_promoted_at_once() {
+    let mut setup = setup(&["ledger-1", "ledger-2"]);
+    setup.view.synchronous = false;
+    setup.view.term = Term::from_number(4);
+    setup.view.leader_term = Term::from_number(4);
+    setup.view.newest_position = position(4, 0);
+    setup.view.required_positions = BTreeMap::from([(setup.servers[1], position(3, 391))]);
+    let reports = [(setup.servers[1], replica(4, position(4, 0)))];
+    assert_eq!(setup.fail_primary(&reports, ms(1_000), ms(9_000)), None);
+    let ordered = setup.fail_primary(&reports, ms(9_000), ms(14_000));
     let server = ordered.map(|(server, _)| server);
-    assert_eq!(server, Some(scene.servers[1]), "{ordered:?}");
+    assert_eq!(server, Some(setup.servers[1]), "{ordered:?}");
 }
