--- a/crates/core/src/config/fault.rs
+++ b/crates/core/src/config/fault.rs
@@ -227,13 +227,13 @@
             Fault::OutsideSection { .. } => "put it below a section heading".to_owned(),
             Fault::HashComment => "start it with `;`".to_owned(),
             Fault::TrailingComment { .. } => "put the comment on a line of its own".to_owned(),
-            Fault::UnknownKind { nearest, .. } => suggest_one_of(nearest, "kind", &kinds()),
+            Fault::UnknownKind { nearest, .. } => suggest_from(nearest, "kind", &kinds()),
             Fault::Unnamed { kind } => format!("write `[{kind} NAME]`"),
             Fault::Named { kind, .. } => format!("write `[{kind}]`"),
             Fault::BadName { .. } => format!("write {}", Expected::Name),
             Fault::DuplicateSection { .. } => "rename one of them, or remove one".to_owned(),
             Fault::DuplicateKey { .. } => "keep one of them".to_owned(),
-            Fault::UnknownKey { kind, nearest, .. } => suggest_one_of(nearest, "key", kind.keys()),
+            Fault::UnknownKey { kind, nearest, .. } => suggest_from(nearest, "key", kind.keys()),
             Fault::MissingKey { key, .. } => format!("add `{key} = ...`"),
             Fault::MissingKind { kind } => format!("add `[{kind} NAME]`"),
             Fault::NoDefaultClass => {
@@ -242,10 +242,8 @@
             Fault::BadValue { expected, .. } | Fault::Zero { expected, .. } => {
                 format!("write {expected}")
             }
-            Fault::UnknownName { kind, nearest, .. } => {
-                suggest_declared(nearest, &kind.to_string())
-            }
-            Fault::UnknownRole { nearest, .. } => suggest_declared(nearest, "role"),
+            Fault::UnknownName { kind, nearest, .. } => suggest_name(nearest, &kind.to_string()),
+            Fault::UnknownRole { nearest, .. } => suggest_name(nearest, "role"),
             Fault::NoServers { service } => {
                 format!("add a `[server NAME]` with `service = {service}`, or remove the service")
             }
@@ -273,7 +271,7 @@
     Kind::ALL.iter().map(Kind::to_string).collect()
 }
 
-fn suggest_one_of<S: AsRef<str>>(nearest: &Option<String>, what: &str, all: &[S]) -> String {
+fn suggest_from<S: AsRef<str>>(nearest: &Option<String>, what: &str, all: &[S]) -> String {
     match nearest {
         Some(nearest) => format!("write `{nearest}`, the nearest {what} there is"),
         None => {
@@ -283,7 +281,7 @@
     }
 }
 
-fn suggest_declared(nearest: &Option<String>, what: &str) -> String {
+fn suggest_name(nearest: &Option<String>, what: &str) -> String {
     match nearest {
         Some(nearest) => format!("write `{nearest}`, the nearest {what} there is"),
         None => format!("describe that {what}, or name one that is described"),
--- a/crates/core/src/once/keyed.rs
+++ b/crates/core/src/once/keyed.rs
@@ -77,16 +77,16 @@
     CreatingTable,
     Running,
     Committing { tag: String },
-    RollingBack(RollbackReason),
+    RollingBack(Rollback),
     LookingUp,
     Ended,
 }
 
 /// Why a transaction is rolled back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RollbackReason {
+enum Rollback {
     KeyRecorded,
-    MissingTable,
+    NoTable,
     StatementFailed,
     InternalFailed,
 }
@@ -183,40 +183,36 @@
         // The server has answered, so nothing of this transaction is committed.
         self.commit_sent = false;
         let why = match (&state, sqlstate) {
-            (State::Recording, sql::UNIQUE_VIOLATION) => RollbackReason::KeyRecorded,
-            (State::Recording, sql::UNDEFINED_TABLE) if !self.table_created => {
-                RollbackReason::MissingTable
-            }
-            (State::Running | State::Committing { .. }, _) => RollbackReason::StatementFailed,
+            (State::Recording, sql::UNIQUE_VIOLATION) => Rollback::KeyRecorded,
+            (State::Recording, sql::UNDEFINED_TABLE) if !self.table_created => Rollback::NoTable,
+            (State::Running | State::Committing { .. }, _) => Rollback::StatementFailed,
             (State::RollingBack(why), _) => return self.rolled_back(*why),
-            _ => RollbackReason::InternalFailed,
+            _ => Rollback::InternalFailed,
         };
         let rollback = Step::Internal(sql::ROLLBACK.to_owned());
         self.send(State::RollingBack(why), rollback)
     }
 
-    fn rolled_back(&mut self, why: RollbackReason) -> Directive {
+    fn rolled_back(&mut self, why: Rollback) -> Directive {
         match why {
-            RollbackReason::KeyRecorded => {
+            Rollback::KeyRecorded => {
                 let look_up = sql::look_up(&self.key);
                 self.send(State::LookingUp, Step::Internal(look_up))
             }
-            RollbackReason::MissingTable => {
+            Rollback::NoTable => {
                 self.table_created = true;
                 let create_table = sql::CREATE_TABLE.to_owned();
                 self.send(State::CreatingTable, Step::Internal(create_table))
             }
-            RollbackReason::StatementFailed => Directive::Failed,
-            RollbackReason::InternalFailed => Directive::Retry(Refusal::TransactionLost),
+            Rollback::StatementFailed => Directive::Failed,
+            Rollback::InternalFailed => Directive::Retry(Refusal::TransactionLost),
         }
     }
 
     /// The key of another request is never taken as proof that this one ran.
     fn found(&self, stored: Option<Stored>) -> Directive {
         match stored {
-            Some(stored) if stored.request == self.request => {
-                Directive::AlreadyDone { tag: stored.tag }
-            }
+            Some(run) if run.request == self.request => Directive::AlreadyDone { tag: run.tag },
             Some(_) => Directive::Refuse(Refusal::KeyMismatch {
                 key: self.key.clone(),
             }),
