--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -1,7 +1,7 @@
 //! Requests that must run at most once.
 //!
-//! A request with a key runs in one transaction with the record of its key ([`keyed::Keyed`]); one
-//! without is sent a single time ([`single::Single`]).
+//! A request with an idempotency key runs in the transaction that records the key
+//! ([`keyed::Keyed`]). A request without a key is sent only once ([`single::Single`]).
 
 pub mod keyed;
 pub mod single;
--- a/crates/core/src/once/keyed.rs
+++ b/crates/core/src/once/keyed.rs
@@ -1,4 +1,4 @@
-//! A request with a key: recorded in the transaction of its effect.
+//! A request with an idempotency key, recorded in the transaction of its effect.
 
 use std::time::Duration;
 
@@ -6,71 +6,73 @@
 use crate::invariant::{self, Invariant};
 use crate::refusal::{Doubt, Ran, Refusal};
 
-/// When to come back for a key whose other run has not ended.
+/// Time after which a caller should retry a key that another attempt is still using.
 const KEY_BUSY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// What to send to the primary next; the statement is the caller's own.
+/// What to send to the primary next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// A statement of ours, as a simple query.
+    /// A statement of the host itself, sent as a simple query.
     Internal(String),
-    /// The caller's statement.
+    /// The statement of the caller.
     Statement,
 }
 
-/// What came of the last step.
+/// The outcome of the last step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// It succeeded with this command tag; of several statements, the last one's.
+    /// The step succeeded.
     Done {
-        /// The command tag.
+        /// The command tag; for several statements, that of the last one.
         tag: String,
     },
-    /// It failed with this SQLSTATE.
+    /// The step failed.
     Failed {
         /// The SQLSTATE.
         sqlstate: String,
     },
-    /// The look-up returned this row, or none.
+    /// The look-up of the key returned this record, or none.
     Found(Option<Stored>),
-    /// The connection broke, or the deadline passed and it was given up.
+    /// The connection was lost, or it was closed because the deadline had passed.
     Broken(Doubt),
 }
 
-/// What is recorded for a key.
+/// The record of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stored {
     /// Digest of the request that used the key.
     pub request: String,
-    /// Its command tag.
+    /// Command tag of that request.
     pub tag: String,
 }
 
-/// What to do next.
+/// What the host does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Directive {
-    /// Send this.
+    /// Send this step.
     Send(Step),
-    /// It ran and is committed. It may be acknowledged once the write lease of its term is found
+    /// The request ran and is committed. It may be acknowledged if the write lease of its term is
     /// valid *now*; otherwise the caller gets [`Keyed::unconfirmed`].
     Done {
         /// The command tag.
         tag: String,
     },
-    /// It ran before and is committed.
+    /// The request ran in an earlier attempt and is committed.
     AlreadyDone {
-        /// The command tag of that run.
+        /// The command tag of that attempt.
         tag: String,
     },
-    /// It failed by its own error, which the caller gets; nothing of it is kept.
+    /// The request failed and was rolled back. The caller gets the error of the server.
     Failed,
-    /// Nothing of it is kept, or the key will tell; it may be run again from the start, by this
-    /// host within its retry budget or by the caller. Otherwise the caller gets the refusal.
+    /// The request was rolled back, or a new attempt will find its outcome by the key. It may be
+    /// retried from the start, by this host within its retry budget or by the caller. If the host
+    /// does not retry, the caller gets the refusal.
     Retry(Refusal),
-    /// The caller gets this.
+    /// The caller gets this refusal.
     Refuse(Refusal),
 }
 
+/// The step whose outcome is awaited.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
     Recording,
@@ -82,16 +84,20 @@
     Ended,
 }
 
-/// Why a transaction is rolled back.
+/// Reason for rolling back a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Rollback {
+    /// The key is recorded already.
     KeyRecorded,
+    /// The table of keys does not exist.
     NoTable,
+    /// The caller's statement or the commit failed.
     StatementFailed,
+    /// Another statement of the host failed.
     InternalFailed,
 }
 
-/// Follows one attempt at a request with a key.
+/// State machine of one attempt at a request with a key.
 ///
 /// ```
 /// use flamingopost_core::once::keyed::{Event, Keyed, Directive, Step};
@@ -109,13 +115,15 @@
     request: String,
     state: State,
     table_created: bool,
-    /// Whether a commit left for the server without an answer that it failed.
+    /// Whether a commit was sent to the server and is not known to have failed.
     commit_sent: bool,
 }
 
 impl Keyed {
-    /// An attempt, and the first thing to send. `request` is a digest of the statement and its
-    /// parameters: the same key with another request is refused.
+    /// Starts an attempt and returns its first step.
+    ///
+    /// `request` is a digest of the statement and its parameters. A key that was used for another
+    /// request is refused.
     pub fn start(key: &str, request: &str) -> (Keyed, Step) {
         let keyed = Keyed {
             key: key.to_owned(),
@@ -128,7 +136,7 @@
         (keyed, step)
     }
 
-    /// Takes what came of the last step.
+    /// Handles the outcome of the last step and returns what to do next.
     pub fn handle(&mut self, event: Event) -> Directive {
         let state = std::mem::replace(&mut self.state, State::Ended);
         let directive = match event {
@@ -141,7 +149,7 @@
         directive
     }
 
-    /// Whether the request ran, as far as this attempt can prove.
+    /// Returns whether the request ran, as far as this attempt can prove.
     pub fn ran(&self) -> Ran {
         if self.commit_sent {
             Ran::Unknown
@@ -150,7 +158,7 @@
         }
     }
 
-    /// What the caller gets where the commit cannot be confirmed.
+    /// Returns the refusal for a commit that cannot be confirmed.
     pub fn unconfirmed(&self, doubt: Doubt) -> Refusal {
         Refusal::OutcomeUnknown { doubt }
     }
@@ -170,7 +178,8 @@
         }
     }
 
-    /// A server answers COMMIT of a transaction that had failed with the tag ROLLBACK.
+    /// Handles the answer to COMMIT. The server answers the COMMIT of a failed transaction with the
+    /// tag ROLLBACK.
     fn commit_answered(&mut self, request_tag: String, tag: &str) -> Directive {
         if tag == "COMMIT" {
             return Directive::Done { tag: request_tag };
@@ -209,7 +218,7 @@
         }
     }
 
-    /// The key of another request is never taken as proof that this one ran.
+    /// Handles the looked-up record. The record of another request never proves that this one ran.
     fn found(&self, stored: Option<Stored>) -> Directive {
         match stored {
             Some(run) if run.request == self.request => Directive::AlreadyDone { tag: run.tag },
@@ -220,9 +229,11 @@
         }
     }
 
-    /// Before the commit was sent, a broken connection undoes the transaction: not run. After,
-    /// nothing is known; but a new attempt with the key waits at the record for the old
-    /// transaction and finds out, so it is safe.
+    /// Handles a lost connection.
+    ///
+    /// Before the commit is sent, the server rolls the transaction back: the request did not run.
+    /// After that its outcome is unknown. A retry is still safe: it waits at the record of the key
+    /// until the old transaction has ended, and finds its outcome there.
     fn broken(&self, doubt: Doubt) -> Directive {
         match self.ran() {
             Ran::No => Directive::Retry(Refusal::TransactionLost),
@@ -230,6 +241,7 @@
         }
     }
 
+    /// Begins the transaction again, after the table of keys was created.
     fn restart(&mut self) -> Directive {
         let begin = sql::begin(&self.key, &self.request);
         self.send(State::Recording, Step::Internal(begin))
@@ -247,12 +259,13 @@
         }
     }
 
+    /// Checks the invariant that a request is reported as not run only if no commit was sent.
     fn check_refusal(&self, directive: &Directive) {
         if let Directive::Retry(refusal) | Directive::Refuse(refusal) = directive {
             let is_true = refusal.ran() != Ran::No || !self.commit_sent;
             invariant::check(Invariant::TrueRefusal, is_true, || {
                 format!(
-                    "{refusal} is told after a commit was sent for key {}",
+                    "{refusal} is reported after a commit was sent for key {}",
                     self.key
                 )
             });
--- a/crates/core/src/once/single.rs
+++ b/crates/core/src/once/single.rs
@@ -1,9 +1,9 @@
-//! A request without a key that must not repeat: sent once.
+//! A request without a key that must not be repeated and is sent only once.
 
 use crate::invariant::{self, Invariant};
 use crate::refusal::{Doubt, Ran, Refusal};
 
-/// Follows one request through its only attempt.
+/// State of the only attempt at a request.
 ///
 /// ```
 /// use flamingopost_core::once::single::Single;
@@ -29,25 +29,25 @@
 }
 
 impl Single {
-    /// The request is about to be handed to the socket. From here on it counts as sent, however
-    /// little of it the kernel takes: what left cannot be told.
+    /// Records that the request is about to be written to the socket. From now on it counts as sent,
+    /// even if the kernel accepts only a part: how much of it reached the server is unknown.
     pub fn mark_sent(&mut self) {
         invariant::check(Invariant::AtMostOnce, self.state == State::Unsent, || {
             format!(
-                "a request that must not repeat is sent again after {:?}",
+                "a request that must not be repeated is sent again after {:?}",
                 self.state
             )
         });
         self.state = State::Sent;
     }
 
-    /// The server answered: with `failed`, by an ErrorResponse, which says that the statement
-    /// and with it its own transaction was rolled back.
+    /// Records the answer of the server. `failed` stands for an ErrorResponse: the statement, and
+    /// its implicit transaction with it, was rolled back.
     pub fn record_outcome(&mut self, failed: bool) {
         self.state = State::Answered(if failed { Ran::No } else { Ran::Yes });
     }
 
-    /// Whether it ran, as far as this host can prove.
+    /// Returns whether the request ran, as far as this host can prove.
     pub fn ran(&self) -> Ran {
         match self.state {
             State::Unsent => Ran::No,
@@ -56,17 +56,19 @@
         }
     }
 
-    /// What to tell the caller when no answer can be waited for: nothing where it was never
-    /// sent, so that the true reason "not run" is given by whoever knows it.
+    /// Returns the refusal for a request whose answer is no longer awaited.
+    ///
+    /// Returns `None` if the request was never sent or is known to have failed: the code that knows
+    /// why it did not run then reports that reason.
     pub fn unknown_outcome(&self, doubt: Doubt) -> Option<Refusal> {
         (self.ran() != Ran::No).then_some(Refusal::OutcomeUnknown { doubt })
     }
 
-    /// `refusal` as it may be told: asserts that one which says "not run" is true.
+    /// Returns `refusal`, after checking the invariant that a refusal that says "not run" is true.
     pub fn check_refusal(&self, refusal: Refusal) -> Refusal {
         let is_true = refusal.ran() != Ran::No || self.ran() == Ran::No;
         invariant::check(Invariant::TrueRefusal, is_true, || {
-            format!("{refusal} is told of a request in {:?}", self.state)
+            format!("{refusal} is reported for a request in {:?}", self.state)
         });
         refusal
     }
--- a/crates/core/src/once/sql.rs
+++ b/crates/core/src/once/sql.rs
@@ -1,19 +1,20 @@
-//! Statements that keep the record of keys on a backend server.
+//! Statements for the table of idempotency keys on a backend server.
 
-/// Creates the record where a service has none yet.
+/// Creates the table of keys if the service has none yet.
 pub const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS flamingopost_once (\
      key text PRIMARY KEY, request text NOT NULL, tag text NOT NULL, \
      at timestamp NOT NULL DEFAULT CURRENT_TIMESTAMP)";
 
-/// Ends a transaction that is to leave nothing.
+/// Rolls the transaction back.
 pub const ROLLBACK: &str = "ROLLBACK";
 
-/// SQLSTATE of a key that is recorded already.
+/// SQLSTATE for a key that is recorded already.
 pub const UNIQUE_VIOLATION: &str = "23505";
-/// SQLSTATE of a record that was never created.
+/// SQLSTATE for a table of keys that was never created.
 pub const UNDEFINED_TABLE: &str = "42P01";
 
-/// Begins the transaction and records the key, with a digest of the request.
+/// Returns the statements that begin the transaction and record the key with a digest of the
+/// request.
 ///
 /// ```
 /// use flamingopost_core::once::sql;
@@ -29,7 +30,7 @@
     )
 }
 
-/// Stores the command tag of the request and commits it with its effect.
+/// Returns the statements that record the command tag of the request and commit the transaction.
 pub fn commit(key: &str, tag: &str) -> String {
     format!(
         "UPDATE flamingopost_once SET tag = {} WHERE key = {}; COMMIT",
@@ -38,7 +39,7 @@
     )
 }
 
-/// Looks up what was recorded for the key.
+/// Returns the query for the record of the key.
 pub fn look_up(key: &str) -> String {
     format!(
         "SELECT request, tag FROM flamingopost_once WHERE key = {}",
@@ -46,8 +47,8 @@
     )
 }
 
-/// A string literal that reads the same whatever `standard_conforming_strings` says: a backslash
-/// is only special in the E form, and is doubled there.
+/// Quotes `text` as a string literal that does not depend on `standard_conforming_strings`: a text
+/// with backslashes is written in the E form, where they are escaped by doubling.
 fn literal(text: &str) -> String {
     let quoted = text.replace('\'', "''");
     if quoted.contains('\\') {
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -1,4 +1,5 @@
-//! What a session has written, and what that asks of the server that answers it.
+//! Read-your-writes consistency of one session: the position of its writes and what a server
+//! needs to answer its reads.
 
 pub mod need;
 pub mod state;
@@ -11,16 +12,16 @@
 use crate::rule::Target;
 use need::Need;
 
-/// Session parameter that carries the position.
+/// Session parameter with the position of the session's last write.
 pub const POSITION: &str = "flamingopost.position";
-/// Session parameter that states the greatest age of data the caller accepts.
+/// Session parameter with the greatest data age that the caller accepts.
 pub const MAX_AGE: &str = "flamingopost.max_age";
-/// Session parameter that gives its tag to statements whose marker has none.
+/// Session parameter with the tag of statements whose marker has none.
 pub const TAG: &str = "flamingopost.tag";
-/// Value of [`POSITION`] by which a caller says that it has no earlier writes.
+/// Value of [`POSITION`] of a caller without earlier writes.
 pub const NO_WRITES: &str = "none";
 
-/// One session's knowledge of its own writes to one service.
+/// The writes of one session to one service, and the settings for its reads.
 ///
 /// ```
 /// use std::time::Duration;
@@ -43,18 +44,18 @@
     lost_write: Option<LostWrite>,
 }
 
-/// What is known of a session's earlier writes.
+/// What is known about the earlier writes of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Writes {
-    /// Nothing: it may have written anything before this moment through another entry host.
+    /// Nothing: the session may have written through another entry host before this time.
     UnknownBefore(Duration),
-    /// The caller says that there are none.
+    /// The caller stated that there are none.
     None,
-    /// None past this position.
+    /// All of them are at or before this position.
     UpTo(Position),
 }
 
-/// A write of the session that a promotion dropped.
+/// A write of the session that was lost in a promotion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LostWrite {
     position: Position,
@@ -73,7 +74,7 @@
 }
 
 impl Session {
-    /// A session that connected at `now` and brought nothing.
+    /// Creates a session that connected at `now` without a position.
     pub fn new(now: Duration) -> Session {
         Session {
             writes: Writes::UnknownBefore(now),
@@ -83,12 +84,13 @@
         }
     }
 
-    /// Takes the position that the caller brought, at connect or by `SET`. A position only
-    /// rises; [`NO_WRITES`] states that there are no earlier writes, and an empty value forgets, as
-    /// `RESET` and `DISCARD ALL` do.
+    /// Sets the position from the value that the caller sent at connect or with `SET`.
+    ///
+    /// A position only advances. [`NO_WRITES`] states that there are no earlier writes. An empty
+    /// value resets the session, as `RESET` and `DISCARD ALL` do.
     ///
     /// # Errors
-    /// A value that is no position.
+    /// Returns [`Refusal::BadParameter`] if the value is not a position.
     pub fn set_position(
         &mut self,
         value: &str,
@@ -110,11 +112,11 @@
         Ok(())
     }
 
-    /// Takes the greatest age of data that the caller accepts: a number of milliseconds, or one
-    /// with a unit as in `500ms`, `2s` or `1min`; an empty value takes it back.
+    /// Sets the greatest data age that the caller accepts: a number of milliseconds, or a number
+    /// with a unit such as `500ms`, `2s` or `1min`. An empty value removes the limit.
     ///
     /// # Errors
-    /// A value that is no length of time.
+    /// Returns [`Refusal::BadParameter`] if the value is not a duration.
     pub fn set_max_age(&mut self, value: &str) -> Result<(), Refusal> {
         self.max_age = match value.trim() {
             "" => None,
@@ -123,28 +125,28 @@
         Ok(())
     }
 
-    /// The greatest age of data that the caller accepts.
+    /// Returns the greatest data age that the caller accepts.
     pub fn max_age(&self) -> Option<Duration> {
         self.max_age
     }
 
-    /// Takes the tag of statements whose marker has none; an empty value takes it back.
+    /// Sets the tag of statements whose marker has none. An empty value removes it.
     pub fn set_tag(&mut self, value: &str) {
         let value = value.trim();
         self.tag = (!value.is_empty()).then(|| value.into());
     }
 
-    /// The tag of statements whose marker has none.
+    /// Returns the tag of statements whose marker has none.
     pub fn tag(&self) -> Option<&str> {
         self.tag.as_deref()
     }
 
-    /// Forgets everything: from `now` on this is the session of somebody unknown.
+    /// Resets the session to one that connected at `now` without a position or settings.
     pub fn reset(&mut self, now: Duration) {
         *self = Session::new(now);
     }
 
-    /// The value of [`POSITION`] to report, once there is one.
+    /// Returns the value of [`POSITION`] to report to the caller, if there is one.
     pub fn position(&self) -> Option<Position> {
         match self.writes {
             Writes::UpTo(position) => Some(position),
@@ -152,16 +154,19 @@
         }
     }
 
-    /// A write was acknowledged at `position`. Returns whether [`POSITION`] has to be reported.
+    /// Records a write that was acknowledged at `position`. Returns whether [`POSITION`] has to be
+    /// reported to the caller.
     pub fn record_write(&mut self, position: Position, history: &History) -> bool {
         self.record_lost_write(history);
         self.advance(position)
     }
 
-    /// The primary's position as seen in an answer to something *sent* at `sent`, under a write
-    /// lease that was valid when the answer came. Once sent after the session began, it bounds
-    /// all its earlier writes: they were acknowledged before, so the primary had them. Returns
-    /// whether [`POSITION`] has to be reported.
+    /// Records the primary's position from the answer to a request *sent* at `sent`, under a write
+    /// lease that was valid when the answer arrived. Returns whether [`POSITION`] has to be
+    /// reported to the caller.
+    ///
+    /// If the request was sent after the session began, the position bounds all earlier writes of
+    /// the session: they were acknowledged before, so the primary had them.
     pub fn observe_primary(&mut self, position: Position, sent: Duration) -> bool {
         match self.writes {
             Writes::UnknownBefore(began) if sent >= began => self.advance(position),
@@ -169,11 +174,12 @@
         }
     }
 
-    /// What a server must be to answer a read of this session under a rule's `target` and
-    /// `max_age`, and the age that the caller `stated` with the statement.
+    /// Returns what a server needs to answer a read of this session under a rule's `target` and
+    /// `max_age` and the age that the caller `stated` with the statement.
     ///
     /// # Errors
-    /// [`Refusal::PositionLost`], once for each loss; the session then goes on without the write.
+    /// Returns [`Refusal::PositionLost`] once for each lost write. The session then continues
+    /// without the write.
     pub fn need(
         &mut self,
         target: Target,
@@ -190,17 +196,17 @@
         Ok(match self.writes {
             Writes::UpTo(position) => Need::Position { position, max_age },
             Writes::None => Need::Any { max_age },
-            // A caller that states an age itself accepts data of that age.
+            // A caller that states an age accepts data of that age, even without its own writes.
             Writes::UnknownBefore(_) if stated.is_some() => Need::Any { max_age },
             Writes::UnknownBefore(began) => Need::Since { began, max_age },
         })
     }
 
-    /// Refuses, once, when a promotion dropped a write of the session; to be called before any
-    /// statement, writes included.
+    /// Reports, once, a write of the session that was lost in a promotion. Must be called before
+    /// every statement, writes included.
     ///
     /// # Errors
-    /// [`Refusal::PositionLost`].
+    /// Returns [`Refusal::PositionLost`] if a write was lost.
     pub fn check_lost_write(&mut self, history: &History) -> Result<(), Refusal> {
         self.record_lost_write(history);
         match self.lost_write.take() {
@@ -209,9 +215,12 @@
         }
     }
 
-    /// A promotion between the send of a write and its answer would let the new position cover
-    /// a lost one: the session would silently read without its write. So a loss is noted before
-    /// the position rises, and told with the next statement.
+    /// Records a write of the session that was lost in a promotion, to report it with the next
+    /// statement.
+    ///
+    /// This happens before the position advances: after a promotion between the sending of a write
+    /// and its answer, the position of the new write would hide the lost one, and the session would
+    /// silently read without its write.
     fn record_lost_write(&mut self, history: &History) {
         let Writes::UpTo(position) = self.writes else {
             return;
@@ -231,6 +240,7 @@
         self.record_lost_write(history);
     }
 
+    /// Advances the position to `position`. Returns whether it changed.
     fn advance(&mut self, position: Position) -> bool {
         let higher = self.position().is_none_or(|known| known < position);
         if higher {
@@ -240,6 +250,7 @@
     }
 }
 
+/// Returns the smaller of two optional limits.
 fn stricter_age(one: Option<Duration>, other: Option<Duration>) -> Option<Duration> {
     match (one, other) {
         (Some(one), Some(other)) => Some(one.min(other)),
@@ -254,6 +265,7 @@
     }
 }
 
+/// Parses an age such as `500`, `500ms`, `2s`, `1min` or `1h`; without a unit, milliseconds.
 fn parse_age(text: &str) -> Option<Duration> {
     let digits = text
         .find(|c: char| !c.is_ascii_digit())
--- a/crates/core/src/session/need.rs
+++ b/crates/core/src/session/need.rs
@@ -1,23 +1,23 @@
-//! What a read asks of the server that answers it.
+//! Requirements of a read on the server that answers it.
 
 use std::time::Duration;
 
 use crate::position::Position;
 
-/// What a server must be to answer a read.
+/// Which servers may answer a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Need {
-    /// The primary, under a valid write lease.
+    /// Only the primary, under a valid write lease.
     Primary,
-    /// Any server whose data reach `position`.
+    /// Any server whose data includes `position`.
     Position {
         /// The session's position.
         position: Position,
         /// Greatest age of the data.
         max_age: Option<Duration>,
     },
-    /// Any server whose data are proven current at or after the moment the session began: the
-    /// session may have written before, and nobody said how far.
+    /// Any server whose data is proven current at or after the start of the session. The session
+    /// may have written before, up to an unknown position.
     Since {
         /// When the session began.
         began: Duration,
@@ -32,7 +32,7 @@
 }
 
 impl Need {
-    /// The position that the data must reach.
+    /// Returns the position that the data must include, if any.
     pub fn position(&self) -> Option<Position> {
         match self {
             Need::Position { position, .. } => Some(*position),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The greatest age of the data.
+    /// Returns the greatest age of the data, if it is limited.
     pub fn max_age(&self) -> Option<Duration> {
         match self {
             Need::Primary => None,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The moment at or after which the data must be proven current, at `now`.
+    /// Returns the time at or after which the data must be proven current, for a read at `now`.
     pub fn proven_since(&self, now: Duration) -> Option<Duration> {
         let by_age = self.max_age().map(|age| now.saturating_sub(age));
         match self {
--- a/crates/core/src/session/state.rs
+++ b/crates/core/src/session/state.rs
@@ -1,51 +1,51 @@
-//! What a session has left on its connection, so that it can go on over another one.
+//! Connection state of a session, tracked so that the session can move to another connection.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why a session has to stay on one connection to a backend server.
+/// Why a session is pinned to one connection to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Pin {
-    /// It created a temporary table.
+    /// The session created a temporary table.
     TemporaryTable,
-    /// It listens for notifications.
+    /// The session listens for notifications.
     Listen,
-    /// It holds advisory locks.
+    /// The session holds advisory locks.
     AdvisoryLock,
-    /// It has a cursor WITH HOLD open.
+    /// The session has an open cursor WITH HOLD.
     HeldCursor,
-    /// It did something whose traces cannot be tracked, such as `set_config` or `LOAD`.
+    /// The session changed state that is not tracked, such as with `set_config` or `LOAD`.
     Untracked,
 }
 
-/// Transaction status, as ReadyForQuery tells it.
+/// Transaction status, as ReadyForQuery reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Transaction {
-    /// None is open.
+    /// No transaction is open.
     #[default]
     Idle,
-    /// One is open.
+    /// A transaction is open.
     Open,
-    /// One is open and has failed.
+    /// A transaction is open and has failed.
     Failed,
 }
 
 /// A statement prepared by the caller.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Prepared {
-    /// Its text.
+    /// Text of the statement.
     pub sql: String,
-    /// Object ids of the parameter types that the caller named.
+    /// Object ids of the parameter types that the caller specified.
     pub types: Vec<u32>,
 }
 
-/// What a statement that succeeded leaves behind.
+/// Change of the connection state by a statement that succeeded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// `SET`; `SET LOCAL` leaves nothing.
+    /// `SET`. `SET LOCAL` has no effect beyond its transaction.
     Set {
         /// The parameter, in lower case.
         name: String,
-        /// The statement, fit for another connection.
+        /// The statement, to be replayed on another connection.
         text: String,
     },
     /// `RESET name`, or `SET name TO DEFAULT`.
@@ -57,33 +57,33 @@
     ResetAll,
     /// `DISCARD ALL`.
     DiscardAll,
-    /// `DEALLOCATE name`, or Close of a statement.
+    /// `DEALLOCATE name`, or a Close message for a statement.
     Deallocate {
-        /// The statement.
+        /// Name of the statement.
         name: String,
     },
     /// `DEALLOCATE ALL`.
     DeallocateAll,
-    /// `PREPARE`, or Parse of a named statement.
+    /// `PREPARE`, or a Parse message for a named statement.
     Prepare {
-        /// The statement's name.
+        /// Name of the statement.
         name: String,
-        /// What it is.
+        /// The prepared statement.
         prepared: Prepared,
     },
     /// `SAVEPOINT`, `RELEASE` or `ROLLBACK TO`.
     Savepoint,
-    /// `COMMIT`; whether it committed is told by its command tag.
+    /// `COMMIT` that committed, according to its command tag.
     Commit,
     /// `ROLLBACK`, or a `COMMIT` that rolled back.
     Rollback,
-    /// Something that ties the session to its connection.
+    /// A change that pins the session to its connection.
     Pin(Pin),
-    /// Something that takes such a tie away, as `UNLISTEN *` does.
+    /// A change that removes a pin, such as `UNLISTEN *`.
     Unpin(Pin),
 }
 
-/// What has to be sent on a connection before the session's next statement.
+/// A statement to send on a connection before the session's next statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Replay {
     /// The `SET` statement of a parameter.
@@ -93,20 +93,20 @@
         /// The statement.
         text: String,
     },
-    /// `RESET name`: another session left it.
+    /// `RESET name`, for a parameter that another session set.
     Reset {
         /// The parameter.
         name: String,
     },
 }
 
-/// What a pooled connection carries: the parameters last set on it.
+/// Parameters that the last session set on a pooled connection.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ConnectionParameters {
     parameters: BTreeMap<String, String>,
 }
 
-/// Parameters set by a session, and the statements that set them.
+/// Statements that set the parameters of a session, by name of the parameter.
 type Parameters = BTreeMap<String, String>;
 
 /// The tracked connection state of one session.
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
     parameters: Parameters,
-    /// Parameters as they were when the open transaction began; a rollback brings them back.
+    /// Parameters at the start of the open transaction, restored by a rollback.
     parameters_at_begin: Option<Parameters>,
     has_savepoint: bool,
     prepared: BTreeMap<String, Prepared>,
@@ -131,7 +131,7 @@
 }
 
 impl State {
-    /// Takes note of what a statement that succeeded left behind.
+    /// Applies the effect of a statement that succeeded.
     pub fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Set { name, text } => {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes note of the transaction status that ReadyForQuery tells.
+    /// Sets the transaction status that ReadyForQuery reported.
     pub fn set_transaction(&mut self, transaction: Transaction) {
         match (self.transaction, transaction) {
             (Transaction::Idle, Transaction::Open | Transaction::Failed) => {
@@ -181,33 +181,33 @@
         self.transaction = transaction;
     }
 
-    /// The transaction status.
+    /// Returns the transaction status.
     pub fn transaction(&self) -> Transaction {
         self.transaction
     }
 
-    /// Whether the session must keep the connection it is on: inside a transaction, or pinned.
+    /// Reports whether the session must keep its connection: inside a transaction, or pinned.
     pub fn is_bound(&self) -> bool {
         self.transaction != Transaction::Idle || !self.pins.is_empty()
     }
 
-    /// What pins the session.
+    /// Returns the reasons why the session is pinned.
     pub fn pins(&self) -> impl Iterator<Item = Pin> + '_ {
         self.pins.iter().copied()
     }
 
-    /// The statement that the caller prepared under `name`.
+    /// Returns the statement that the caller prepared under `name`.
     pub fn prepared(&self, name: &str) -> Option<&Prepared> {
         self.prepared.get(name)
     }
 
-    /// The statement by which the session set `name`.
+    /// Returns the statement with which the session set the parameter `name`.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         self.parameters.get(name).map(String::as_str)
     }
 
-    /// What to send on a connection that carries `carried`, so that it is as the session left
-    /// its last one.
+    /// Returns the statements that bring a connection with the parameters `connection` to the
+    /// state of this session.
     pub fn replay(&self, connection: &ConnectionParameters) -> Vec<Replay> {
         let stale = connection
             .parameters
@@ -225,7 +225,7 @@
         stale.chain(missing).collect()
     }
 
-    /// What a connection carries once this session is on it.
+    /// Returns the parameters that are set on a connection used by this session.
     pub fn connection_parameters(&self) -> ConnectionParameters {
         ConnectionParameters {
             parameters: self.parameters.clone(),
@@ -238,9 +238,11 @@
         }
     }
 
-    /// A rollback to a savepoint takes back the `SET`s since, and which those are is not
-    /// tracked: replayed elsewhere, a statement would run under a setting that the caller had
-    /// taken back. So a session that mixes the two stays on its connection.
+    /// Pins the session if it changes a parameter after a savepoint.
+    ///
+    /// A rollback to a savepoint reverts every later `SET`, and which ones those are is not tracked.
+    /// If they were replayed on another connection, a statement would run under a setting that the
+    /// caller had reverted.
     fn pin_after_savepoint(&mut self) {
         if self.has_savepoint {
             self.pins.insert(Pin::Untracked);
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -1,7 +1,7 @@
-//! At most once: keyed and unkeyed requests against a fake service.
+//! Requests with and without a key run at most once, against a fake service.
 //!
-//! The randomised run takes `FLAMINGOPOST_SCHEDULES=N` and `FLAMINGOPOST_SEED=N` for longer runs
-//! by hand; without them, fixed seeds.
+//! The randomised test uses fixed seeds. `FLAMINGOPOST_SCHEDULES=N` and `FLAMINGOPOST_SEED=N` make
+//! it run other seeds, or more of them.
 
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
     Directive::Send(Step::Internal(text.to_owned()))
 }
 
-/// A keyed request that has come as far as its commit.
+/// Returns a keyed request whose commit was sent.
 fn committing() -> Keyed {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
     keyed.handle(done("INSERT 0 1"));
@@ -43,8 +43,8 @@
     keyed
 }
 
-/// An importer's desk resubmits an airway bill through another host because the first answer was
-/// lost. The key is found, and the answer is that of the first run.
+/// A caller resubmits a request through another host because the first answer was lost. The key is
+/// found, and the caller gets the command tag of the first run.
 #[test]
 fn a_resubmission_returns_the_first_result() {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
@@ -64,8 +64,8 @@
     );
 }
 
-/// A program uses one key for two different bids by mistake. The second did not run, and must
-/// not be told that it did.
+/// Guards against reporting a request as done because its key was used, by mistake, for a different
+/// request before.
 #[test]
 fn a_key_of_another_request_is_refused() {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
@@ -100,8 +100,8 @@
     ));
 }
 
-/// The connection breaks before the commit was sent: the server undoes the transaction. "Not
-/// run" is true.
+/// A connection is lost before the commit is sent, so the server rolls the transaction back and
+/// "not run" is true.
 #[test]
 fn a_connection_lost_before_the_commit_reports_not_run() {
     let (mut keyed, _) = Keyed::start("k", REQUEST);
@@ -113,7 +113,7 @@
     assert_eq!(keyed.ran(), Ran::No);
 }
 
-/// The commit left and its answer is lost: "not run" would be a guess.
+/// The commit was sent and its answer is lost, so "not run" would be a guess.
 #[test]
 fn a_connection_lost_after_the_commit_reports_unknown() {
     let mut keyed = committing();
@@ -144,8 +144,8 @@
     assert_eq!(keyed.handle(done("ROLLBACK")), Directive::Failed);
 }
 
-/// Two hosts record one key at once. Only the record's primary key makes the second wait and fail;
-/// the fake service below takes that for granted.
+/// Two hosts record one key at the same time. Only the primary key of the table makes the second one
+/// wait and fail. The fake service below relies on it without checking the SQL.
 #[test]
 fn the_key_table_has_the_key_as_its_primary_key() {
     assert!(sql::CREATE_TABLE.contains("(key text PRIMARY KEY,"));
@@ -186,14 +186,14 @@
     single.check_refusal(Refusal::TransactionLost);
 }
 
-/// A server of the fake service: its committed keys and how often each request took effect.
+/// Data of a server of the fake service: committed keys, and how often each request took effect.
 #[derive(Debug, Clone, Default)]
 struct Data {
     keys: BTreeMap<String, Stored>,
     effects: BTreeMap<String, u32>,
 }
 
-/// An open transaction of one connection.
+/// The open transaction of a connection.
 #[derive(Debug, Clone, Default)]
 struct Transaction {
     key: Option<(String, Stored)>,
@@ -201,8 +201,8 @@
     failed: bool,
 }
 
-/// The service: a primary, a replica that lags, and commits that a broken connection left behind
-/// and that the primary finishes later.
+/// A fake service with a primary, a lagging replica, and commits whose connection was lost and that
+/// the primary finishes later.
 struct Service {
     random: ChaCha8Rng,
     primary: Data,
@@ -210,7 +210,7 @@
     pending_commits: Vec<Transaction>,
 }
 
-/// What a statement came to, and whether the answer arrives.
+/// The outcome of a statement, or `Lost` if the answer does not arrive.
 enum Answer {
     Event(Event),
     Lost,
@@ -226,7 +226,8 @@
         }
     }
 
-    /// Time passes: the replica catches up or not, pending_commits commits land or not, the primary dies.
+    /// Lets time pass: at random, the replica catches up, pending commits finish, or the primary fails
+    /// over to the replica.
     fn advance(&mut self) {
         if self.random.random_ratio(1, 4) {
             self.replica = self.primary.clone();
@@ -242,7 +243,7 @@
         }
     }
 
-    /// How often `key` has taken effect or may yet.
+    /// Returns how often the request of `key` took effect, counting pending commits.
     fn possible_effects(&self, key: &str) -> u32 {
         let ran = self.primary.effects.get(key).copied().unwrap_or(0);
         let waits = |transaction: &&Transaction| transaction.effect.as_deref() == Some(key);
@@ -256,7 +257,8 @@
         self.primary.keys.extend(transaction.key);
     }
 
-    /// An insert of a key waits for every transaction that has inserted it and not ended.
+    /// Ends, by commit or rollback, every pending transaction that has inserted `key`: an insert of
+    /// the same key waits for them.
     fn finish_transactions_with(&mut self, key: &str) {
         let holds = |transaction: &Transaction| {
             let own_key = transaction.key.as_ref();
@@ -320,7 +322,8 @@
         done("ROLLBACK")
     }
 
-    /// A commit whose answer is lost may still be at work when the caller asks again.
+    /// Ends the open transaction. A commit whose answer is lost may still be pending when the caller
+    /// retries.
     fn end(&mut self, open: &mut Transaction, lost: bool) -> Event {
         let mut transaction = std::mem::take(open);
         if transaction.failed {
@@ -338,7 +341,7 @@
     }
 }
 
-/// One attempt through one host, to its end.
+/// Runs one attempt through one host to its end.
 fn attempt(service: &mut Service, key: &str) -> Directive {
     let (mut keyed, mut step) = Keyed::start(key, REQUEST);
     let mut open = Transaction::default();
@@ -354,9 +357,9 @@
     }
 }
 
-/// Bids are resubmitted through whichever host is there until an answer says that they ran,
-/// while answers are lost, commits land late and primaries are replaced by lagging replicas.
-/// In the log that survives no bid ever counts twice, and one that is told "done before" is there.
+/// Requests are resubmitted until an answer says that they ran, while answers are lost, commits
+/// finish late and the primary fails over to a lagging replica. In the surviving data no request ever
+/// took effect twice, and each one that is reported as already done is there.
 #[test]
 fn randomised_resubmissions_never_run_twice() {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
@@ -377,7 +380,7 @@
                     Directive::AlreadyDone { .. } => {
                         assert_eq!(
                             effects, 1,
-                            "seed {seed}: {key} is told done and is not there"
+                            "seed {seed}: {key} is reported as done and is not there"
                         );
                         before += 1;
                         break;
@@ -387,7 +390,7 @@
                         let after = service.possible_effects(&key);
                         assert!(
                             after <= possible,
-                            "seed {seed}: {key} is told not run and may"
+                            "seed {seed}: {key} is reported as not run and may still run"
                         );
                         not_run += 1;
                     }
