--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -1,7 +1,8 @@
-//! What a statement does, as far as routing, rules and pooling have to know.
+//! Classification of statements for routing, rules and pooling.
 //!
-//! The text is parsed by `sqlparser`. What it cannot parse, and every function not known to only
-//! read, counts as a write: a mistake then costs a replica's help and never a lost write.
+//! The text is parsed by `sqlparser`. A text that it cannot parse, and a call of a function that is
+//! not known to only read, counts as a write: a wrong guess then sends a read to the primary, but
+//! never a write to a replica.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -24,37 +25,39 @@
 pub use part::{Part, SessionState};
 pub use shape::Shape;
 
-/// One query text, classified.
+/// A classified query text, which may consist of several statements.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Statement {
-    /// What its SQL does; shared between equal texts by a [`Cache`].
+    /// What the SQL does. A [`Cache`] shares it between equal texts.
     pub shape: Arc<Shape>,
-    /// What its marker comment asks.
+    /// What the caller asks in the marker comment.
     pub marker: Marker,
 }
 
 impl Statement {
-    /// Whether any part may write.
+    /// Returns [`Access::Write`] if any part may write.
     pub fn access(&self) -> Access {
         self.shape.access
     }
 
-    /// Tables that its parts touch, in lower case unless quoted, without the schema `public`.
+    /// Returns the tables that its parts touch, in lower case unless quoted, without the schema
+    /// `public`.
     pub fn tables(&self) -> &BTreeSet<String> {
         &self.shape.tables
     }
 
-    /// Its parts in order: several for a simple query of several statements, none for an empty one.
+    /// Returns its parts in order: several for a simple query of several statements, none for an
+    /// empty text.
     pub fn parts(&self) -> &[Part] {
         &self.shape.parts
     }
 
-    /// The tag of its marker.
+    /// Returns the tag of its marker.
     pub fn tag(&self) -> Option<&str> {
         self.marker.tag.as_deref()
     }
 
-    /// The statement with `tag`, where its marker has none.
+    /// Returns the statement with `tag` if its marker has no tag, else unchanged.
     ///
     /// ```
     /// use flamingopost_core::statement;
@@ -75,7 +78,7 @@
         }
     }
 
-    /// The one action of a text of one part.
+    /// Returns the action of its part, if it has exactly one.
     pub fn action(&self) -> Option<&Action> {
         match self.parts() {
             [part] => Some(&part.action),
@@ -83,7 +86,7 @@
         }
     }
 
-    /// What it leaves on its connection: the heaviest of its parts.
+    /// Returns the state that it leaves on its connection: the most binding state of its parts.
     pub fn session_state(&self) -> SessionState {
         let parts = self.parts().iter();
         parts
@@ -93,7 +96,7 @@
     }
 }
 
-/// Classifies a query text, marker comment included.
+/// Classifies a query text, including its marker comment.
 ///
 /// ```
 /// use flamingopost_core::rule::Access;
--- a/crates/core/src/statement/action.rs
+++ b/crates/core/src/statement/action.rs
@@ -1,36 +1,36 @@
-//! What one statement does to its transaction or session.
+//! Effects of a statement on its transaction or session.
 
-/// What one statement does besides reading and writing data.
+/// What a statement does to its transaction or session, besides reading and writing data.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing else: a query, a change of data or of the schema.
+    /// Nothing: a query, or a change of data or of the schema.
     Query,
     /// `BEGIN` or `START TRANSACTION`.
     Begin {
-        /// It says `READ ONLY`.
+        /// Whether it says `READ ONLY`.
         read_only: bool,
     },
     /// `COMMIT` or `END`.
     Commit {
-        /// It says `AND CHAIN`, so a new transaction begins at once.
+        /// Whether it says `AND CHAIN`, so that a new transaction begins at once.
         chain: bool,
     },
     /// `ROLLBACK` of the whole transaction.
     Rollback {
-        /// It says `AND CHAIN`, so a new transaction begins at once.
+        /// Whether it says `AND CHAIN`, so that a new transaction begins at once.
         chain: bool,
     },
-    /// `SAVEPOINT`, `RELEASE` or `ROLLBACK TO`: inside the transaction.
+    /// `SAVEPOINT`, `RELEASE` or `ROLLBACK TO`, which stay inside the transaction.
     Savepoint,
     /// `SET`.
     Set {
         /// The setting, in lower case.
         name: String,
-        /// Its value, where that is one literal or word.
+        /// Its value, if that is a single literal or identifier.
         value: Option<String>,
-        /// It says `LOCAL`, so it ends with the transaction.
+        /// Whether it says `LOCAL`, so that it ends with the transaction.
         local: bool,
-        /// The statement again, fit for another connection.
+        /// The statement, to be replayed on another connection.
         text: String,
     },
     /// `RESET`.
@@ -43,26 +43,26 @@
         /// The setting, in lower case.
         name: String,
     },
-    /// `PREPARE`; the part's access and tables are those of the statement inside.
+    /// `PREPARE`. The access and tables of the part are those of the prepared statement.
     Prepare {
-        /// The prepared statement.
+        /// Name of the prepared statement.
         name: String,
-        /// The statement again, fit for another connection.
+        /// The statement, to be replayed on another connection.
         text: String,
     },
-    /// `EXECUTE`; a write as long as nobody looks up what was prepared.
+    /// `EXECUTE`. Counts as a write until its prepared statement is looked up.
     Execute {
-        /// The prepared statement.
+        /// Name of the prepared statement.
         name: String,
     },
     /// `DEALLOCATE`.
     Deallocate {
-        /// The prepared statement; `None` for all of them.
+        /// Name of the prepared statement; `None` for all of them.
         name: Option<String>,
     },
     /// `DISCARD`.
     Discard {
-        /// It says `ALL`.
+        /// Whether it says `ALL`.
         all: bool,
     },
     /// `LISTEN`.
@@ -77,15 +77,15 @@
     },
     /// `DECLARE CURSOR`.
     DeclareCursor {
-        /// It says `WITH HOLD`, so the cursor outlives its transaction.
+        /// Whether it says `WITH HOLD`, so that the cursor outlives its transaction.
         hold: bool,
     },
     /// `COPY FROM STDIN`: the caller sends rows.
     CopyIn,
     /// `COPY TO STDOUT`: the caller receives rows.
     CopyOut,
-    /// A table, view or sequence that lives as long as the connection.
+    /// Creates a temporary table, view or sequence, which exists until the connection is closed.
     CreateTemporary,
-    /// Text that the parser does not know.
+    /// A text that the parser cannot parse, or a statement with session state that is not tracked.
     Unknown,
 }
--- a/crates/core/src/statement/cache.rs
+++ b/crates/core/src/statement/cache.rs
@@ -1,4 +1,4 @@
-//! A bounded memory of texts that were classified before.
+//! A bounded cache of classified texts.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -7,13 +7,14 @@
 
 use super::{Shape, Statement, marker, normalized, shape};
 
-/// Longest text that is kept: longer ones are mostly rows in a statement and seldom come again.
+/// Longest text that is cached. Longer ones are mostly rows inside a statement and rarely repeat.
 const MAX_CACHED_BYTES: usize = 4096;
 
-/// Shapes of the texts that came lately, by text without marker and without the values of literals.
+/// Shapes of recent texts, by text without its marker and without the values of its literals.
 ///
-/// Two generations stand for "lately": when the younger one is full the older one is dropped and
-/// the younger takes its place, so a text that keeps coming stays and the memory is bounded.
+/// The cache has two generations. When the young one is full, it replaces the old one, which is
+/// dropped. A text that is found in the old generation moves to the young one, so texts in use stay
+/// and the memory is bounded.
 #[derive(Debug)]
 pub struct Cache {
     young: BTreeMap<Box<str>, Arc<Shape>>,
@@ -22,7 +23,7 @@
 }
 
 impl Cache {
-    /// A cache of at most `entries` texts.
+    /// Creates a cache of at most `entries` texts.
     pub fn new(entries: usize) -> Cache {
         Cache {
             young: BTreeMap::new(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The same as [`super::classify`], from memory where the text is known.
+    /// Returns the same as [`super::classify`], from the cache if the text is there.
     ///
     /// ```
     /// use flamingopost_core::statement::{self, Cache};
@@ -49,12 +50,12 @@
         }
     }
 
-    /// How many texts are kept.
+    /// Returns the number of cached texts.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether no text is kept.
+    /// Reports whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -71,8 +72,8 @@
             Some(known) => known,
             None => Arc::new(shape::read(body)),
         };
-        // A literal can make a text unreadable (x'zz'). Kept under the key that it shares, such a
-        // text would pin every session that sends a readable one.
+        // A literal can make a text unparsable (x'zz'). Cached under a key that it shares with
+        // parsable texts, it would pin every session that sends one of those.
         if matches!(key, Cow::Borrowed(_)) || shape.is_known() {
             self.insert(&key, &shape);
         }
--- a/crates/core/src/statement/function.rs
+++ b/crates/core/src/statement/function.rs
@@ -1,18 +1,20 @@
-//! Functions that are known to only read, and those that leave state on a connection.
+//! Functions that are known to only read, and functions that leave state on a connection.
 
-/// What calling a function may do.
+/// The effect of calling a function.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Effect {
-    /// It only reads.
+    /// The function only reads.
     Reads,
-    /// It may write, or nothing is known about it.
+    /// The function may write, or is unknown.
     Writes,
-    /// It leaves state on its connection that outlives the transaction.
+    /// The function leaves state on its connection that outlives the transaction.
     KeepsState,
 }
 
-/// What calling `name`, in lower case, may do. An unknown function may write: one that only reads
-/// then goes to the primary, while the opposite mistake would send a write to a replica.
+/// Returns the effect of calling `name`, which is in lower case.
+///
+/// An unknown function counts as a write: if it only reads, it runs on the primary without need,
+/// while the opposite guess could send a write to a replica.
 pub(super) fn effect(name: &str) -> Effect {
     let name = name.strip_prefix("pg_catalog.").unwrap_or(name);
     if keeps_state(name) {
@@ -29,7 +31,8 @@
     name == "set_config" || (advisory && !name.contains("_xact_"))
 }
 
-/// Built-in functions that only read, sorted, and what the platform's groups add.
+/// Built-in functions that only read, and those that the platform's groups add; sorted for the
+/// binary search.
 const READ_ONLY: [&str; 333] = [
     "abs",
     "acos",
--- a/crates/core/src/statement/marker.rs
+++ b/crates/core/src/statement/marker.rs
@@ -1,27 +1,27 @@
-//! The marker comment by which a caller says what a statement is.
+//! The marker comment with which a caller gives a statement a tag, a key or limits.
 
 use std::time::Duration;
 
 const PREFIX: &str = "flamingopost:";
 
-/// What a caller asks in `/* flamingopost: tag=bid key=abc123 deadline_ms=200 max_age_ms=500 */`
-/// at the start or the end of a query text.
+/// Contents of a comment `/* flamingopost: tag=bid key=abc123 deadline_ms=200 max_age_ms=500 */` at
+/// the start or the end of a query text.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Marker {
-    /// What rules may match.
+    /// Tag of the request, which rules can match.
     pub tag: Option<String>,
     /// Idempotency key of the request.
     pub key: Option<String>,
-    /// Time within which the caller wants its answer.
+    /// Time within which the caller wants an answer.
     pub deadline: Option<Duration>,
     /// Greatest data age that the caller accepts.
     pub max_age: Option<Duration>,
-    /// The first thing in it that cannot be understood. Such a request must be refused: a key
-    /// passed over in silence would let a resubmission run twice.
+    /// The first error in the marker. Such a request must be refused: if a misspelt key were
+    /// ignored, a resubmission could run twice.
     pub error: Option<MarkerError>,
 }
 
-/// Why a marker cannot be understood.
+/// An error in a marker.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum MarkerError {
     /// `{0}` is not NAME=VALUE
@@ -34,7 +34,7 @@
     NotMilliseconds {
         /// The name.
         name: String,
-        /// What stands there.
+        /// The invalid value.
         value: String,
     },
     /// {0} is empty
@@ -43,7 +43,7 @@
 
 impl std::error::Error for MarkerError {}
 
-/// Splits `sql` into its marker and the rest.
+/// Splits `sql` into its marker and the remaining text.
 pub(super) fn split(sql: &str) -> (Marker, &str) {
     if let Some((text, body)) = leading(sql) {
         return (read(text), body);
@@ -60,7 +60,7 @@
     Some((marker_text(text)?, body))
 }
 
-// A text that ends in a comment ends outside of any literal, so the last "/*" opens that comment.
+// A text that ends with a comment ends outside of any literal, so the last "/*" opens that comment.
 fn trailing(sql: &str) -> Option<(&str, &str)> {
     let end = sql.trim_end_matches(|c: char| c.is_whitespace() || c == ';');
     let comment = end.strip_suffix("*/")?;
@@ -68,6 +68,7 @@
     Some((marker_text(text)?, body))
 }
 
+/// Returns the text after the prefix of a marker, or `None` for any other comment.
 fn marker_text(comment: &str) -> Option<&str> {
     comment.trim_start().strip_prefix(PREFIX)
 }
@@ -83,6 +84,7 @@
 }
 
 impl Marker {
+    /// Sets the field that `pair` names.
     fn set(&mut self, pair: &str) -> Result<(), MarkerError> {
         let (name, value) = pair
             .split_once('=')
@@ -100,6 +102,7 @@
     }
 }
 
+/// Sets `field`, unless it is set already.
 fn set_once<T>(field: &mut Option<T>, name: &str, value: T) -> Result<(), MarkerError> {
     if field.is_some() {
         return Err(MarkerError::Duplicate(name.to_owned()));
--- a/crates/core/src/statement/normalized.rs
+++ b/crates/core/src/statement/normalized.rs
@@ -1,15 +1,16 @@
-//! The key under which a cache keeps a text: the text without the values of its literals.
+//! Cache keys of query texts: the text without the values of its literals.
 //!
-//! Callers that write values into their texts send a new text with each request, and would have
-//! each parsed. What a query or a change of data does never depends on those values, so texts
-//! that differ in nothing else share one entry.
+//! Callers that write values into their texts send a new text with each request, which would have
+//! to be parsed each time. The classification of a query or a change of data never depends on these
+//! values, so texts that differ only in them share one cache entry.
 
 use std::borrow::Cow;
 
-/// Statements of which no literal says what they do; that of a `SET` does, for instance.
+/// Statements whose classification does not depend on their literals, unlike that of a `SET`.
 const VERBS: [&str; 5] = ["SELECT", "INSERT", "UPDATE", "DELETE", "WITH"];
 
-/// The key of `text`: itself where a literal may matter or its ends cannot be told by one look.
+/// Returns the cache key of `text`. This is the text itself if a literal may matter, or if the ends
+/// of its literals cannot be found without parsing.
 pub(super) fn cache_key(text: &str) -> Cow<'_, str> {
     if !starts_with_verb(text) {
         return Cow::Borrowed(text);
@@ -31,12 +32,12 @@
     Cow::Owned(key)
 }
 
-/// Where the first literal of `text` starts; `None` where there is none, or where the text has
-/// quoted names, escapes, comments or dollar quotes.
+/// Returns the offset of the first literal of `text`, or `None` if there is none, or if the text
+/// has quoted names, escapes, comments or dollar quotes.
 ///
-/// Without these every apostrophe opens or closes a literal. A text with any of them is its own
-/// key, since a wrong end of a literal would give two different statements one key, and the second
-/// would be treated as the first.
+/// Without these, every apostrophe opens or closes a literal. A text with any of them is its own
+/// key: if the end of a literal were found in the wrong place, two different statements could share
+/// a key, and the second would be treated like the first.
 fn first_literal(text: &str) -> Option<usize> {
     let mut first = None;
     let mut quotes = 0;
@@ -57,7 +58,7 @@
     first.filter(|_| quotes % 2 == 0 && previous != b'$')
 }
 
-/// Where the next literal of `text` starts, which stands behind the byte `previous`.
+/// Returns the offset of the next literal of `text`, which follows the byte `previous`.
 fn literal_start(text: &str, previous: Option<u8>) -> Option<usize> {
     let mut previous = previous.unwrap_or(b' ');
     text.bytes().position(|byte| {
@@ -67,7 +68,8 @@
     })
 }
 
-/// What follows the literal that `text` starts with; `key` is given one that stands for it.
+/// Skips the literal at the start of `text` and returns the rest. A placeholder for the literal is
+/// appended to `key`.
 fn skip_literal<'a>(text: &'a str, key: &mut String) -> &'a str {
     match text.strip_prefix('\'') {
         Some(tail) => {
@@ -81,6 +83,7 @@
     }
 }
 
+/// Reports whether `text` starts with one of [`VERBS`].
 fn starts_with_verb(text: &str) -> bool {
     let text = text.trim_start();
     let word = text.split(|c: char| !c.is_ascii_alphabetic()).next();
@@ -88,6 +91,7 @@
     VERBS.iter().any(|verb| verb.eq_ignore_ascii_case(word))
 }
 
+/// Reports whether `byte` can be part of an identifier.
 fn is_word_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'$') || !byte.is_ascii()
 }
--- a/crates/core/src/statement/part.rs
+++ b/crates/core/src/statement/part.rs
@@ -10,23 +10,24 @@
 pub struct Part {
     /// What it does to its transaction or session.
     pub action: Action,
-    /// Whether it may write.
+    /// Whether it reads, or may write.
     pub access: Access,
     /// Tables it touches.
     pub tables: BTreeSet<String>,
-    /// What it leaves on the connection it runs on.
+    /// What state it leaves on its connection.
     pub session_state: SessionState,
 }
 
-/// What a statement leaves on its connection after its transaction.
+/// State that a statement leaves on its connection after its transaction, ordered by how strongly
+/// it binds the session.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SessionState {
     /// Nothing.
     #[default]
     Unchanged,
-    /// Settings or prepared statements, which can be repeated on another connection.
+    /// Parameters or prepared statements, which can be replayed on another connection.
     Tracked,
-    /// What no other connection can be given: temporary tables, channels, advisory locks, held
-    /// cursors, or something unknown. The session has to keep this connection.
+    /// State that cannot be replayed on another connection: temporary tables, channels, advisory
+    /// locks, held cursors, or unknown state. The session has to keep its connection.
     Pinned,
 }
--- a/crates/core/src/statement/shape.rs
+++ b/crates/core/src/statement/shape.rs
@@ -13,7 +13,7 @@
 /// What a query text does, without its marker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shape {
-    /// Whether any part may write.
+    /// Whether all parts only read, or any part may write.
     pub access: Access,
     /// Tables that its parts touch.
     pub tables: BTreeSet<String>,
@@ -22,14 +22,14 @@
 }
 
 impl Shape {
-    /// Whether the parser knew every part.
+    /// Reports whether every part was parsed and recognized.
     pub fn is_known(&self) -> bool {
         let mut parts = self.parts.iter();
         parts.all(|part| part.action != Action::Unknown)
     }
 }
 
-/// Reads the shape of `body`, which has no marker any more.
+/// Parses `body`, a query text without its marker.
 pub(super) fn read(body: &str) -> Shape {
     let parts = match Parser::parse_sql(&PostgreSqlDialect {}, body) {
         Ok(statements) => statements.iter().map(visit::part).collect(),
@@ -59,10 +59,11 @@
     }
 }
 
-// What the parser does not know may leave anything on its connection: without the pin, the next
-// caller there would find a stranger's settings or locks. Only text that begins like a change of
-// rows or a look at them, and names none of the ways in which these keep state, goes without; a
-// grammar that lags behind the servers' would otherwise pin sessions until connections run out.
+// Returns the session state of a text that cannot be parsed. It may leave any state on its
+// connection: without the pin, the next caller on it would run under another session's settings or
+// locks. Only a text that begins like a query or a change of rows, and mentions nothing with which
+// these keep state, is not pinned. Otherwise a grammar that lags behind that of the servers would
+// pin sessions until no connections are left.
 fn unknown_state(body: &str) -> SessionState {
     let text = body.trim().trim_end_matches(';').to_ascii_lowercase();
     let word = text.split(|c: char| !c.is_ascii_alphabetic()).next();
@@ -78,13 +79,14 @@
 const PLAIN_VERBS: [&str; 6] = ["select", "insert", "update", "delete", "with", "table"];
 const STATE_KEYWORDS: [&str; 4] = ["advisory", "set_config", "temp", "into"];
 
-/// A name with its schema, as the server folds it.
+/// Returns a name with its schema, folded to lower case as the server does.
 pub(super) fn full_name(name: &ast::ObjectName) -> String {
     let words: Vec<String> = name.0.iter().map(name_part).collect();
     words.join(".")
 }
 
-/// Name of a setting or table as rules and callers write it.
+/// Returns the name of a setting or table without the schema `public`, as rules and callers write
+/// it.
 pub(super) fn object_name(name: &ast::ObjectName) -> String {
     let full = full_name(name);
     match full.strip_prefix("public.") {
@@ -99,10 +101,10 @@
         .unwrap_or_else(|| part.to_string())
 }
 
-/// Schema of what lives as long as its connection.
+/// Prefix of names in the schema of temporary objects.
 pub(super) const TEMPORARY_SCHEMA: &str = "pg_temp.";
 
-/// An identifier as the server folds it.
+/// Returns an identifier, folded to lower case unless it is quoted, as the server does.
 pub(super) fn folded(ident: &ast::Ident) -> String {
     match ident.quote_style {
         Some(_) => ident.value.clone(),
--- a/crates/core/src/statement/visit.rs
+++ b/crates/core/src/statement/visit.rs
@@ -1,4 +1,4 @@
-//! From the parser's tree to a part: the only place that knows the tree.
+//! Conversion of the parser's syntax tree to a [`Part`]; the only module that depends on the tree.
 
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
@@ -13,7 +13,7 @@
 use super::{Action, Part, SessionState};
 use crate::rule::Access;
 
-/// Reads one statement.
+/// Classifies one statement.
 pub(super) fn part(statement: &ast::Statement) -> Part {
     let mut walk = Walk::default();
     let _ = statement.visit(&mut walk);
@@ -28,7 +28,7 @@
     }
 }
 
-/// What a walk over the whole tree finds.
+/// What a walk over the whole syntax tree finds.
 #[derive(Debug, Default)]
 struct Walk {
     relations: BTreeSet<String>,
@@ -115,6 +115,7 @@
     }
 }
 
+/// Returns the table of a `TABLE` command, without the schema `public`.
 fn table_command(table: &ast::Table) -> Option<String> {
     let name = folded(table.table_name.as_ref()?);
     let schema = table.schema_name.as_ref().map(folded);
@@ -124,7 +125,7 @@
     }
 }
 
-/// The table of a COPY, which the parser's walk does not report as one.
+/// Returns the table of a COPY, which the parser's walk does not report as a relation.
 fn copied_table(statement: &ast::Statement) -> Option<String> {
     match statement {
         ast::Statement::Copy {
@@ -135,7 +136,7 @@
     }
 }
 
-/// Whether the statement itself changes no data, whatever the ones inside it do.
+/// Reports whether the statement itself changes no data; the statements inside it may.
 fn changes_no_data_itself(statement: &ast::Statement) -> bool {
     match statement {
         ast::Statement::Query(_)
@@ -338,7 +339,7 @@
     }
 }
 
-/// Statements that leave state on a connection in ways that nothing here describes.
+/// Reports whether the statement leaves state on its connection that is not tracked.
 fn leaves_untracked_state(statement: &ast::Statement) -> bool {
     matches!(
         statement,
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: what they need of a server, and what they leave on a connection.
+//! Sessions: the requirements of their reads, and the state they leave on a connection.
 
 use std::time::Duration;
 
@@ -31,8 +31,8 @@
     session.need(Target::Replica, None, None, history)
 }
 
-/// A clerk books a crate through one entry host, her next request reaches another. She brings the
-/// position that the first one reported, and must be answered from data that contain her booking.
+/// A caller writes through one entry host and sends its next request to another one, with the
+/// position that the first one reported. The answer must come from data that includes the write.
 #[test]
 fn a_position_travels_between_hosts() {
     let history = history();
@@ -51,8 +51,9 @@
     assert_eq!(need(&mut second_host, &history), Ok(wanted));
 }
 
-/// The same clerk's application forgets to bring the position. Whatever a replica shows could lack
-/// her booking, so only data proven current since she came will do.
+/// A caller that wrote through another host connects without the position. Any older data on a
+/// replica could lack the write, so only data proven current since the start of the session may
+/// answer.
 #[test]
 fn a_session_without_a_position_needs_data_proven_since_its_start() {
     let history = history();
@@ -70,12 +71,12 @@
     let before = BEGAN - Duration::from_millis(1);
     assert!(
         !session.observe_primary(at(FIRST, 50), before),
-        "asked too early"
+        "sent before the session began"
     );
     assert!(session.observe_primary(at(FIRST, 60), BEGAN));
     assert!(
         !session.observe_primary(at(FIRST, 70), BEGAN),
-        "nothing new is needed"
+        "the position is known already"
     );
     assert_eq!(session.position(), Some(at(FIRST, 60)));
 }
@@ -99,12 +100,12 @@
     assert_eq!(
         needed.position(),
         Some(at(FIRST, 3)),
-        "its own writes still count"
+        "the session must still read its own writes"
     );
 }
 
-/// An operator's age limit is not the caller's word that it has not written: a roaming caller
-/// without a position would read past its own write.
+/// The max_age of a rule is set by an operator and does not say that the caller has not written: a
+/// caller that changes hosts without its position would not read its own write.
 #[test]
 fn a_rules_age_alone_does_not_waive_earlier_writes() {
     let age = Some(Duration::from_secs(2));
@@ -158,8 +159,9 @@
     }
 }
 
-/// A member's bid is acknowledged at 150; the primary dies and the replica that is promoted had
-/// only 100. The member's next statement is told so, once, instead of a lot view without the bid.
+/// A write is acknowledged at position 150. The primary fails, and the promoted replica has the log
+/// up to 100 only. The next statement of the session is refused, once, instead of being answered
+/// without the write.
 #[test]
 fn a_lost_write_is_reported_once() {
     let mut history = history();
@@ -176,8 +178,8 @@
     assert_eq!(needed.position(), Some(at(SECOND, 100)));
 }
 
-/// The promotion comes between the session's next write and its answer: the new write's position
-/// is higher and would hide the lost one.
+/// A promotion happens between the next write of the session and its answer. The position of the
+/// new write is higher and would hide the lost one.
 #[test]
 fn a_later_write_does_not_hide_a_loss() {
     let mut history = history();
@@ -206,8 +208,8 @@
     }
 }
 
-/// One caller sets its search path; the connection goes back to the pool and on to another
-/// caller, whose statements must not run under it.
+/// One caller sets its search path and the connection returns to the pool. The statements of the
+/// next caller must not run under that search path.
 #[test]
 fn settings_of_one_session_do_not_reach_another() {
     let mut one = State::default();
@@ -243,8 +245,8 @@
     assert!(!state.is_bound());
 }
 
-/// A `SET` after a savepoint may be taken back by a rollback to it, which is not followed. The
-/// session must stay where the truth is.
+/// A rollback to a savepoint can revert a `SET` after it, which is not tracked. The session must
+/// stay on the connection that has the right value.
 #[test]
 fn a_setting_after_a_savepoint_pins_the_session() {
     let mut state = State::default();
--- a/crates/core/tests/statement.rs
+++ b/crates/core/tests/statement.rs
@@ -1,4 +1,4 @@
-//! What statements are taken for.
+//! Classification of statements.
 
 use std::time::Duration;
 
@@ -177,7 +177,7 @@
             *local,
             text.clone(),
         ),
-        other => panic!("{sql} is taken for {other:?}"),
+        other => panic!("{sql} is classified as {other:?}"),
     };
     let (name, value, local, text) = set("SET flamingopost.position = '3.7/18890'");
     assert_eq!(
@@ -284,8 +284,8 @@
     assert_eq!(inside.tag(), None);
 }
 
-// A caller misspells `key` in its marker and later sends the bid again after a lost answer. Were
-// the marker passed over in silence, the bid would run without its key and then a second time.
+// A caller misspells `key` in its marker and resubmits the request after a lost answer. If the
+// error were ignored, the request would run without its key, and so a second time.
 #[test]
 fn an_invalid_marker_carries_its_error() {
     let error = |text: &str| {
@@ -348,8 +348,8 @@
     assert_eq!(cache.len(), 5);
 }
 
-// One caller sends a text with a literal that the parser cannot read, and every other caller's
-// statement of that form would be sent to the primary from then on.
+// One caller sends a text with a literal that cannot be parsed. If the result were cached, every
+// other statement of that form would be sent to the primary from then on.
 #[test]
 fn an_unparsable_text_does_not_decide_for_parsable_ones() {
     let mut cache = Cache::new(8);
@@ -363,8 +363,8 @@
     assert_eq!(cache.classify(sql).access(), Access::Read);
 }
 
-// A co-op creates a function make_booking(), whose name starts like make_date(). Taken for a read, its
-// call would be sent to a replica, tried again and hedged: two bookings.
+// A user-defined function make_booking() has a name that starts like make_date(). If its call
+// counted as a read, it would be sent to a replica, retried and hedged: two bookings.
 #[test]
 fn a_function_named_like_a_built_in_one_may_write() {
     for name in [
