--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
-//! The fleet's configuration in INI: read, checked and written.
+//! Parsing, validation and rendering of the fleet's configuration, an INI file.
 //!
-//! Checking names everything that is wrong at once, each with its line and with what would be
-//! right. `docs/CONFIGURATION.md` is the reference of sections and keys.
+//! Validation reports all problems at once, each with its line and a suggested fix.
+//! `docs/CONFIGURATION.md` is the reference of sections and keys.
 
 use crate::directory::Directory;
 use crate::fleet::Fleet;
@@ -27,11 +27,15 @@
 pub use report::Report;
 pub use value::Expected;
 
-/// Longest configuration that is read.
+/// Greatest size of a configuration that is parsed.
 pub const MAX_BYTES: usize = 8 * 1024 * 1024;
 
-/// Reads and checks the configuration `text`; `file` is how problems name it. Names are numbered
-/// in `directory`, which stays as it was when there are problems.
+/// Parses and validates the configuration `text`. Problems refer to it as `file`.
+///
+/// The names in it are interned in `directory`, which is left unchanged if there are problems.
+///
+/// # Errors
+/// Returns a [`Report`] of all problems.
 ///
 /// ```
 /// use flamingopost_core::config;
--- a/crates/core/src/config/builder.rs
+++ b/crates/core/src/config/builder.rs
@@ -1,4 +1,4 @@
-//! From sections to a fleet.
+//! Conversion of a document's sections to a fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const DEFAULT_CUSTOMER_WEIGHT: u32 = 1;
 const DEFAULT_CLASS: &str = "default";
 
-/// Makes a fleet of `document`; it is whole only when nothing was added to `problems`.
+/// Builds the fleet of `document`. The fleet is complete only if nothing was added to `problems`.
 pub(super) fn build(
     document: &Document,
     directory: &mut Directory,
@@ -60,7 +60,7 @@
 
     fn for_each_section(&mut self, kind: Kind, read: fn(&mut Self, &'a Section) -> Option<()>) {
         for section in self.declared.of(kind) {
-            // What is wrong has been noted where it was found.
+            // The reader has reported what is wrong.
             let _ = read(self, section);
         }
     }
@@ -266,7 +266,7 @@
     }
 }
 
-/// Names of the servers that each service is said to have, in the order of the file.
+/// Returns the names of the servers of each service, in the order of the file.
 fn server_names<'a>(declared: &Declared<'a>) -> BTreeMap<&'a str, Vec<&'a str>> {
     let mut servers: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for section in declared.of(Kind::Server) {
@@ -278,6 +278,8 @@
     servers
 }
 
+/// Returns the configured primary `name` if it is one of the service's `own` servers, else reports
+/// a problem.
 fn check_primary<'a>(
     reader: &mut Reader<'a, '_>,
     entry: &Entry,
@@ -295,7 +297,7 @@
     None
 }
 
-/// Limits of a server, which it may leave to its service.
+/// Limits of a server. Those that it does not set are inherited from its service.
 struct Limits {
     slots: u16,
     connections: u16,
@@ -323,7 +325,7 @@
         Some(limits)
     }
 
-    // A bad default is noted where it stands, once, even if no server takes it.
+    // Reports an invalid default on its own line, once, even if no server inherits it.
     fn check_defaults(reader: &mut Reader<'_, '_>) {
         for key in ["slots", "connections"] {
             if let Some(entry) = reader.entry(key) {
@@ -334,7 +336,7 @@
     }
 }
 
-/// The deadline of a class that has been read.
+/// Returns the deadline of a class that was read without problems.
 pub(super) fn deadline_of(fleet: &Fleet, class: ClassKey) -> Option<Duration> {
     fleet.classes.get(&class).map(|class| class.deadline)
 }
--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -1,42 +1,42 @@
-//! Sections and keys of a configuration with their lines, before anything is made of them.
+//! Sections and keys of a configuration with their lines, before they are interpreted.
 
 use ini_core::{Item, Parser};
 
 use super::{Fault, Problem};
 
-/// A configuration as text in sections.
+/// A configuration as a list of sections.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Document {
     /// Its sections in order.
     pub sections: Vec<Section>,
 }
 
-/// `[kind name]` and what follows.
+/// A section: its heading `[kind name]` and the keys below it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Section {
-    /// First word of its heading.
+    /// First word of the heading.
     pub kind: String,
-    /// The rest of its heading, empty where there is none.
+    /// The rest of the heading, empty if there is none.
     pub name: String,
-    /// Line of its heading, from 1.
+    /// Line of the heading, counted from 1.
     pub line: usize,
-    /// Its keys in order.
+    /// Its entries in order.
     pub entries: Vec<Entry>,
 }
 
-/// `key = value`.
+/// A line `key = value`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: String,
     /// The value.
     pub value: String,
-    /// Its line, from 1.
+    /// The line number, counted from 1.
     pub line: usize,
 }
 
 impl Document {
-    /// Reads `text` and adds to `problems` what is no INI.
+    /// Parses `text` and adds lines that are not valid INI to `problems`.
     ///
     /// ```
     /// use flamingopost_core::config::Document;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The first entry called `key`.
+    /// Returns the first entry for `key`.
     pub fn find(&self, key: &str) -> Option<&Entry> {
         self.entries.iter().find(|entry| entry.key == key)
     }
--- a/crates/core/src/config/kind.rs
+++ b/crates/core/src/config/kind.rs
@@ -1,11 +1,11 @@
-//! The kinds of sections and the keys of each.
+//! The kinds of sections and their keys.
 
 use std::fmt;
 
 /// A kind of section.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// What holds for the whole fleet.
+    /// Settings of the whole fleet.
     Fleet,
     /// An availability zone.
     Zone,
@@ -42,7 +42,7 @@
         Kind::Rule,
     ];
 
-    /// The kind called `word`.
+    /// Returns the kind with the name `word`.
     pub fn find(word: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.word() == word)
     }
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Whether its sections have names.
+    /// Reports whether sections of this kind have names.
     pub fn is_named(self) -> bool {
         self != Kind::Fleet
     }
 
-    /// Keys that its sections may have.
+    /// Returns the keys that sections of this kind may have.
     pub fn keys(self) -> &'static [&'static str] {
         match self {
             Kind::Fleet => &["shards", "default_class"],
--- a/crates/core/src/config/problem.rs
+++ b/crates/core/src/config/problem.rs
@@ -1,23 +1,23 @@
-//! One thing that is wrong in a configuration.
+//! A problem in a configuration.
 
 use super::Fault;
 
-/// One thing that is wrong in a configuration.
+/// A problem in a configuration, with its line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The line it is on, from 1.
+    /// The line of the problem, counted from 1.
     pub line: usize,
     /// What is wrong.
     pub fault: Fault,
 }
 
 impl Problem {
-    /// What is wrong, as a sentence without its full stop.
+    /// Returns what is wrong, as a sentence without a full stop.
     pub fn what(&self) -> String {
         self.fault.to_string()
     }
 
-    /// What would be right.
+    /// Returns how to fix it.
     pub fn fix(&self) -> String {
         self.fault.fix()
     }
--- a/crates/core/src/config/reader.rs
+++ b/crates/core/src/config/reader.rs
@@ -1,4 +1,4 @@
-//! Typed access to the keys of one section, noting what is wrong on the way.
+//! Typed access to the keys of one section, which reports problems as it reads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,7 +7,8 @@
 use super::value::{self, Expected};
 use super::{Document, Entry, Fault, Kind, Problem, Section};
 
-/// Every section that can be referred to, by kind and name; the first where a name stands twice.
+/// Every section that can be referred to, by kind and name. Of duplicate sections, the first
+/// counts.
 #[derive(Debug, Default)]
 pub(super) struct Declared<'a> {
     sections: BTreeMap<(Kind, &'a str), &'a Section>,
@@ -15,7 +16,7 @@
 }
 
 impl<'a> Declared<'a> {
-    /// Collects the sections of `document` and notes headings that cannot be.
+    /// Collects the sections of `document` and reports invalid headings.
     pub(super) fn new(document: &'a Document, problems: &mut Vec<Problem>) -> Declared<'a> {
         let mut declared = Declared::default();
         for section in &document.sections {
@@ -46,12 +47,12 @@
         Ok(())
     }
 
-    /// The sections of `kind` in the order of the file.
+    /// Returns the sections of `kind` in the order of the file.
     pub(super) fn of(&self, kind: Kind) -> &[&'a Section] {
         self.in_order.get(&kind).map_or(&[], Vec::as_slice)
     }
 
-    /// The section of `kind` called `name`.
+    /// Returns the section of `kind` with the name `name`.
     pub(super) fn find(&self, kind: Kind, name: &str) -> Option<&'a Section> {
         self.sections.get(&(kind, name)).copied()
     }
@@ -69,12 +70,12 @@
     }
 }
 
-/// `entry`, unless a comment stands behind its value.
+/// Returns `entry`, unless a comment follows its value.
 fn without_trailing_comment(entry: &Entry) -> Option<&Entry> {
     (!entry.value.contains(" ;")).then_some(entry)
 }
 
-/// One section being read.
+/// Reader of one section.
 #[derive(Debug)]
 pub(super) struct Reader<'a, 'p> {
     pub(super) kind: Kind,
@@ -85,7 +86,7 @@
 }
 
 impl<'a, 'p> Reader<'a, 'p> {
-    /// Starts on `section`; keys that it cannot have, or has twice, are noted at once.
+    /// Creates a reader of `section` and reports unknown and duplicate keys.
     pub(super) fn new(
         kind: Kind,
         section: &'a Section,
@@ -97,7 +98,7 @@
         reader
     }
 
-    /// Goes on with a `section` whose keys have been checked.
+    /// Creates a reader of a `section` whose keys have been checked already.
     pub(super) fn resume(
         kind: Kind,
         section: &'a Section,
@@ -113,17 +114,17 @@
         }
     }
 
-    /// The name of the section.
+    /// Returns the name of the section.
     pub(super) fn name(&self) -> &'a str {
         &self.section.name
     }
 
-    /// Whether nothing has been noted about this section.
+    /// Reports whether this reader has found no problem in the section.
     pub(super) fn is_valid(&self) -> bool {
         self.problems.len() == self.problems_before
     }
 
-    /// Values of `key` in all sections of `kind`, sound or not.
+    /// Returns the values of `key` in all sections of `kind`, valid or not.
     pub(super) fn values_of(&self, kind: Kind, key: &str) -> BTreeSet<&'a str> {
         let sections = self.declared.of(kind).iter();
         sections
@@ -132,7 +133,7 @@
             .collect()
     }
 
-    /// Notes that something is wrong on `line`.
+    /// Reports a problem on `line`.
     pub(super) fn note(&mut self, line: usize, fault: Fault) {
         self.problems.push(Problem { line, fault });
     }
@@ -171,12 +172,12 @@
         Some(Fault::UnknownKey { kind, key, nearest })
     }
 
-    /// The entry called `key`, unless a comment behind its value has been noted already.
+    /// Returns the entry for `key`, unless a comment follows its value, which was reported already.
     pub(super) fn entry(&self, key: &str) -> Option<&'a Entry> {
         self.section.find(key).and_then(without_trailing_comment)
     }
 
-    /// The entry called `key`, whose absence is noted.
+    /// Returns the entry for `key` and reports it if it is missing.
     pub(super) fn required(&mut self, key: &'static str) -> Option<&'a Entry> {
         if self.section.find(key).is_none() {
             let fault = Fault::MissingKey {
@@ -189,9 +190,10 @@
         self.entry(key)
     }
 
-    /// The entry called `key`, else that of the service; its absence in both is noted.
+    /// Returns the entry for `key` or else that of the service, and reports it if both are missing.
     ///
-    /// A value inherited from the service is checked there, so here it counts only when it is good.
+    /// A comment that follows an inherited value is reported for the service, so it is not reported
+    /// again here.
     pub(super) fn inherited(
         &mut self,
         key: &'static str,
@@ -244,12 +246,12 @@
         Some(value)
     }
 
-    /// A time greater than zero.
+    /// Reads a time greater than zero.
     pub(super) fn time(&mut self, entry: &Entry) -> Option<Duration> {
         self.positive(entry, Expected::Time, value::time)
     }
 
-    /// A whole number from 1 to `max`.
+    /// Reads a whole number from 1 to `max`.
     pub(super) fn number<T>(&mut self, entry: &Entry, max: T) -> Option<T>
     where
         T: Copy + Default + PartialOrd + std::str::FromStr + Into<u64>,
@@ -259,7 +261,7 @@
         self.positive(entry, expected, read)
     }
 
-    /// An address.
+    /// Reads an IP address with a port other than zero.
     pub(super) fn address(&mut self, entry: &Entry) -> Option<SocketAddr> {
         let read = |text: &str| {
             let address: SocketAddr = text.parse().ok()?;
@@ -268,7 +270,7 @@
         self.decode(entry, Expected::Address, read)
     }
 
-    /// One of `words`, each standing for a value.
+    /// Reads one of `words` and returns the value that belongs to it.
     pub(super) fn choice<T: Copy>(&mut self, key: &str, words: &[(&'static str, T)]) -> Option<T> {
         let entry = self.entry(key)?;
         let expected = Expected::OneOf(words.iter().map(|(word, _)| *word).collect());
@@ -279,22 +281,23 @@
         self.decode(entry, expected, read)
     }
 
-    /// `yes` or `no`.
+    /// Reads `yes` or `no`.
     pub(super) fn flag(&mut self, key: &str) -> Option<bool> {
         self.choice(key, &[("yes", true), ("no", false)])
     }
 
-    /// A time greater than zero, where the key is there.
+    /// Reads a time greater than zero, if the key is set.
     pub(super) fn optional_time(&mut self, key: &str) -> Option<Duration> {
         let entry = self.entry(key)?;
         self.time(entry)
     }
 
-    /// The name of a described section of `kind`.
+    /// Reads the name of a declared section of `kind`.
     pub(super) fn reference(&mut self, entry: &'a Entry, kind: Kind) -> Option<&'a str> {
         self.declared_name(entry, &entry.value, kind)
     }
 
+    /// Returns `name` if a section of `kind` has it, else reports a problem.
     fn declared_name(&mut self, entry: &Entry, name: &'a str, kind: Kind) -> Option<&'a str> {
         if self.declared.find(kind, name).is_some() {
             return Some(name);
@@ -309,7 +312,7 @@
         None
     }
 
-    /// Names of described sections of `kind`; `*` stands for all of them.
+    /// Reads the names of declared sections of `kind`; `*` stands for all of them.
     pub(super) fn references(&mut self, entry: &'a Entry, kind: Kind) -> Vec<&'a str> {
         if entry.value == "*" {
             return self.declared.names(kind).collect();
@@ -321,7 +324,7 @@
         known.flatten().collect()
     }
 
-    /// The words of a list that must not be empty.
+    /// Reads a list that must not be empty.
     pub(super) fn words(&mut self, entry: &'a Entry) -> BTreeSet<&'a str> {
         let words: BTreeSet<&'a str> = value::list_items(&entry.value).collect();
         if words.is_empty() {
--- a/crates/core/src/config/render.rs
+++ b/crates/core/src/config/render.rs
@@ -1,4 +1,4 @@
-//! A fleet as the configuration that gives it.
+//! Rendering of a fleet as a configuration.
 
 use std::collections::BTreeSet;
 use std::fmt::{self, Write};
@@ -11,8 +11,8 @@
 use crate::names::Names;
 use crate::rule::{Access, Ack, Rule, Target};
 
-/// Writes `fleet` as a configuration with every value spelt out; [`super::parse`] gives the same
-/// fleet from it, but for the lines of rules.
+/// Renders `fleet` as a configuration with all values written out. [`super::parse`] returns the
+/// same fleet from it, except for the line numbers of rules.
 ///
 /// ```
 /// use flamingopost_core::config;
--- a/crates/core/src/config/report.rs
+++ b/crates/core/src/config/report.rs
@@ -1,13 +1,13 @@
-//! Everything that is wrong in a configuration.
+//! The report of all problems in a configuration.
 
 use std::fmt;
 
 use super::Problem;
 
-/// Everything that is wrong in a configuration, in the order of its lines.
+/// All problems in a configuration, in the order of their lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// The file, as its reader calls it.
+    /// Name of the file, as passed to [`super::parse`].
     pub file: String,
     /// The problems; never empty.
     pub problems: Vec<Problem>,
@@ -20,7 +20,7 @@
         for problem in found {
             let line = problem.line;
             let mut beside = problems.iter().rev().take_while(|other| other.line == line);
-            // A default that several servers inherit is read, and found wrong, for each of them.
+            // An invalid default that several servers inherit is found once for each of them.
             if !beside.any(|other| *other == problem) {
                 problems.push(problem);
             }
--- a/crates/core/src/config/rules.rs
+++ b/crates/core/src/config/rules.rs
@@ -1,4 +1,4 @@
-//! When-then rules: reading one section and checking that it makes sense.
+//! When-then rules: reading one section and checking that its keys fit together.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const MAX_RETRIES: u16 = 10;
 const MAX_RATE: u32 = 1_000_000;
 
-/// Keys that mean nothing once requests are refused.
+/// Keys that have no effect if the rule refuses requests.
 const UNUSED_WITH_REFUSE: [&str; 8] = [
     "then.target",
     "then.max_age",
@@ -25,8 +25,8 @@
     "then.ack",
 ];
 
-/// Reads one rule; `None` when anything in it is wrong, since a rule that lost a condition would
-/// seem to hide the rules after it.
+/// Reads one rule. Returns `None` if anything in it is wrong: without one of its conditions, the
+/// rule would seem to shadow the rules after it.
 pub(super) fn read(
     mut reader: Reader<'_, '_>,
     directory: &mut Directory,
@@ -82,7 +82,8 @@
     words.into_iter().map(str::to_owned).collect()
 }
 
-// A misspelt role would never match, and its requests would silently fall to a later rule.
+// Reports roles that no caller has. A misspelt role would never match, and its requests would
+// silently be treated by a later rule.
 fn check_roles(reader: &mut Reader<'_, '_>, roles: &BTreeSet<String>) {
     let known = reader.values_of(Kind::Caller, "role");
     let line = line_of(reader, "when.role");
@@ -136,6 +137,7 @@
 const TARGETS: [(&str, Target); 2] = [("primary", Target::Primary), ("replica", Target::Replica)];
 const ACKS: [(&str, Ack); 2] = [("primary", Ack::Primary), ("replica", Ack::Replica)];
 
+/// Reports keys that contradict each other or have no effect without another one.
 fn check_combinations(reader: &mut Reader<'_, '_>, access: Option<Access>) {
     let reads = access == Some(Access::Read);
     let refuse = reader.entry("then.refuse");
@@ -167,6 +169,7 @@
     }
 }
 
+/// Reports a hedge delay that is not shorter than the deadline.
 fn check_times(reader: &mut Reader<'_, '_>, then: &Then) {
     let Some(hedge) = then.hedge.filter(|hedge| *hedge >= then.deadline) else {
         return;
@@ -188,6 +191,7 @@
     matching(reader, key, Some(value)).is_some()
 }
 
+/// Returns the entry for `key` if it has the given value, or any value if `value` is `None`.
 fn matching<'a>(reader: &Reader<'a, '_>, key: &str, value: Option<&str>) -> Option<&'a Entry> {
     let entry = reader.entry(key)?;
     value
@@ -195,6 +199,7 @@
         .then_some(entry)
 }
 
+/// Reports that the setting has no effect without `needs`, if it is there.
 fn check_needed(reader: &mut Reader<'_, '_>, key: &str, value: Option<&str>, needs: &str) {
     if let Some(entry) = matching(reader, key, value) {
         let fault = Fault::Needs {
@@ -205,6 +210,7 @@
     }
 }
 
+/// Reports that the setting contradicts `other`, if it is there.
 fn check_contradiction(reader: &mut Reader<'_, '_>, key: &str, value: Option<&str>, other: &str) {
     if let Some(entry) = matching(reader, key, value) {
         let fault = Fault::Contradicts {
@@ -219,6 +225,7 @@
     format!("{} = {}", entry.key, entry.value)
 }
 
+/// Returns the line of the entry for `key`, else that of the section.
 fn line_of(reader: &Reader<'_, '_>, key: &str) -> usize {
     reader
         .entry(key)
--- a/crates/core/src/config/shadow.rs
+++ b/crates/core/src/config/shadow.rs
@@ -1,9 +1,9 @@
-//! Rules that no request can reach.
+//! Detection of rules that no request can reach.
 
 use super::{Fault, Problem};
 use crate::rule::Rule;
 
-/// Notes every rule whose requests are all matched by one earlier rule.
+/// Reports every rule whose requests are all matched by one earlier rule.
 pub(super) fn check(rules: &[Rule], problems: &mut Vec<Problem>) {
     for (place, rule) in rules.iter().enumerate() {
         let mut earlier = rules[..place].iter();
--- a/crates/core/src/config/value.rs
+++ b/crates/core/src/config/value.rs
@@ -1,24 +1,24 @@
-//! Values of keys: times, numbers, addresses, choices.
+//! Values of keys: times, numbers, addresses, choices and names.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Longest time that a key may give.
+/// Longest time that a key can be set to.
 const MAX_TIME: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// What a key wants to see.
+/// The kind of value that a key takes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expected {
-    /// A time.
+    /// A time with a unit.
     Time,
-    /// A whole number up to a greatest one.
+    /// A whole number from 1 to a maximum.
     Number {
-        /// The greatest.
+        /// The maximum.
         max: u64,
     },
-    /// An address.
+    /// An IP address with a port.
     Address,
-    /// One of some words.
+    /// One of these words.
     OneOf(Vec<&'static str>),
     /// A name of letters, digits, `-`, `_` and `.`.
     Name,
@@ -39,6 +39,7 @@
     }
 }
 
+/// Units of time, each with its number of microseconds.
 const UNITS: [(&str, u64); 5] = [
     ("us", 1),
     ("ms", 1_000),
@@ -47,7 +48,7 @@
     ("h", 3_600_000_000),
 ];
 
-/// Reads a time such as `200ms`.
+/// Parses a time such as `200ms`.
 pub(super) fn time(text: &str) -> Option<Duration> {
     let digits = text.find(|c: char| !c.is_ascii_digit())?;
     let (number, unit) = text.split_at(digits);
@@ -57,7 +58,8 @@
     (time <= MAX_TIME).then_some(time)
 }
 
-/// Writes a time as [`time`] reads it, in the greatest unit that keeps it whole.
+/// Formats a time in the form that [`time`] parses, in the greatest unit in which it is a whole
+/// number.
 pub(super) fn format_time(time: Duration) -> String {
     let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     let whole = |(_, size): &&(&str, u64)| micros > 0 && micros.is_multiple_of(*size);
@@ -65,20 +67,21 @@
     format!("{}{unit}", micros / size)
 }
 
-/// Whether `text` can be a name.
+/// Reports whether `text` is a valid name.
 pub(super) fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     !text.is_empty() && text.chars().all(allowed)
 }
 
-/// The words of a list.
+/// Returns the items of a comma-separated list.
 pub(super) fn list_items(text: &str) -> impl Iterator<Item = &str> {
     text.split(',')
         .map(str::trim)
         .filter(|word| !word.is_empty())
 }
 
-/// The known word nearest to `wrong`, if one is near enough to be meant.
+/// Returns the known word that is most similar to `wrong`, if it is similar enough to be a
+/// misspelling.
 pub(super) fn nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
     let similarity = |word: &str| strsim::jaro_winkler(wrong, word);
     known
@@ -89,5 +92,5 @@
         .map(|(_, word)| word.to_owned())
 }
 
-/// Likeness from which a word may have been meant.
+/// Smallest Jaro-Winkler similarity at which a word counts as a misspelling of another.
 const MIN_SIMILARITY: f64 = 0.75;
--- a/crates/core/src/config/verifier.rs
+++ b/crates/core/src/config/verifier.rs
@@ -6,11 +6,14 @@
 use super::Fault;
 use super::fault::VerifierFault;
 
+/// Smallest number of SCRAM iterations that is accepted.
 const MIN_ITERATIONS: u32 = 4096;
+/// Length of the stored key and the server key.
 const KEY_BYTES: usize = 32;
+/// Length of PostgreSQL's form of an MD5 hash: `md5` and 32 hexadecimal digits.
 const MD5_LENGTH: usize = 35;
 
-/// Checks a verifier. The value stays out of the fault: it may be somebody's password.
+/// Checks a verifier. The fault does not contain the value, which may be a password.
 pub(super) fn check(text: &str) -> Result<(), Fault> {
     match text.strip_prefix("SCRAM-SHA-256$") {
         Some(rest) => check_parts(rest).map_err(|reason| Fault::BadVerifier { reason }),
--- a/crates/core/src/rule.rs
+++ b/crates/core/src/rule.rs
@@ -1,4 +1,4 @@
-//! When-then rules: how a request is to be treated.
+//! When-then rules, which decide how a request is treated.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -17,9 +17,9 @@
 pub struct Rule {
     /// Its name in the configuration.
     pub name: String,
-    /// Line of the configuration on which it starts, from 1.
+    /// Line of the configuration on which it starts, counted from 1.
     pub line: usize,
-    /// What a request must be for the rule to match; every condition present must hold.
+    /// Conditions of the rule, which must all hold for it to match.
     pub when: When,
     /// How a matching request is treated.
     pub then: Then,
@@ -38,16 +38,16 @@
     pub access: Option<Access>,
     /// The statement carries one of these tags.
     pub tags: BTreeSet<String>,
-    /// The statement touches at least one of these tables, and if it is a read, no others.
+    /// The statement touches at least one of these tables and, if it is a read, no others.
     pub tables: BTreeSet<String>,
 }
 
 /// Whether a statement can change data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Access {
-    /// It only reads.
+    /// The statement only reads.
     Read,
-    /// It may write, or nothing is known about it.
+    /// The statement may write, or could not be classified.
     Write,
 }
 
@@ -56,24 +56,24 @@
 pub struct Then {
     /// Which servers may answer it.
     pub target: Target,
-    /// Greatest age of the data it may be answered from; `None` where a session's own writes
-    /// are the only bound.
+    /// Greatest age of the data that may answer it; `None` if the session's own writes are the only
+    /// bound.
     pub max_age: Option<Duration>,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Time within which it has to be answered.
+    /// Time within which it must be answered.
     pub deadline: Duration,
     /// Its class.
     pub class: ClassKey,
-    /// How often it may be tried again, within the retry budget.
+    /// How often it may be retried, within the retry budget.
     pub retries: u8,
-    /// After which wait a second copy is sent elsewhere, within the hedge budget.
+    /// Time after which a second copy is sent to another server, within the hedge budget.
     pub hedge: Option<Duration>,
-    /// Most requests a second that one entry host lets through under this rule.
+    /// Greatest number of requests a second that one entry host admits under this rule.
     pub rate: Option<u32>,
-    /// What a write must have reached before it is acknowledged.
+    /// Which servers must have a write before it is acknowledged.
     pub ack: Ack,
-    /// Why requests are refused, where they are.
+    /// Reason with which requests are refused, if the rule refuses them.
     pub refuse: Option<String>,
 }
 
@@ -82,11 +82,11 @@
 pub enum Target {
     /// The primary only.
     Primary,
-    /// A replica that satisfies session and age, else the primary.
+    /// A replica that satisfies the session's requirements and the data age, else the primary.
     Replica,
 }
 
-/// What a write must have reached before it is acknowledged; the greater asks for more.
+/// Which servers must have a write before it is acknowledged, ordered from weaker to stronger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ack {
     /// The primary.
@@ -95,30 +95,30 @@
     Replica,
 }
 
-/// What rules are matched against.
+/// A request, as rules match it.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
-    /// The service it was sent to.
+    /// Service to which the request was sent.
     pub service: ServiceKey,
-    /// Who sent it.
+    /// Caller that sent the request.
     pub caller: CallerKey,
-    /// That caller's role.
+    /// Role of the caller.
     pub role: &'a str,
-    /// What it asks.
+    /// The classified statement.
     pub statement: &'a Statement,
 }
 
 /// The treatment chosen for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice<'a> {
-    /// Place of the rule that applies in the fleet's list; `None` where no rule matches.
+    /// Index of the matching rule in the fleet's list; `None` if no rule matches.
     pub rule: Option<usize>,
-    /// The treatment.
+    /// How the request is treated.
     pub then: Cow<'a, Then>,
 }
 
 impl Choice<'_> {
-    /// The deadline, which a caller may shorten and never lengthen.
+    /// Returns the deadline. The caller's marker can shorten it, but not extend it.
     ///
     /// ```
     /// use std::borrow::Cow;
@@ -138,7 +138,7 @@
         marker.deadline.map_or(limit, |asked| asked.min(limit))
     }
 
-    /// The greatest data age, which a caller may lower and never raise.
+    /// Returns the greatest data age. The caller's marker can lower it, but not raise it.
     pub fn max_age(&self, marker: &Marker) -> Option<Duration> {
         match (self.then.max_age, marker.max_age) {
             (Some(limit), Some(asked)) => Some(limit.min(asked)),
@@ -148,7 +148,7 @@
 }
 
 impl When {
-    /// Whether every condition holds for `request`.
+    /// Reports whether every condition holds for `request`.
     ///
     /// ```
     /// use flamingopost_core::key::{CallerKey, ServiceKey};
@@ -173,7 +173,7 @@
             && self.matches_tables(statement)
     }
 
-    /// Whether every request that `other` matches is matched by this one too.
+    /// Reports whether every request that matches `other` also matches these conditions.
     ///
     /// ```
     /// use flamingopost_core::rule::{Access, When};
@@ -209,16 +209,20 @@
     }
 }
 
+/// Reports whether `key` satisfies `condition`; an empty condition always holds.
 fn condition_holds<K: Ord>(condition: &BTreeSet<K>, key: &K) -> bool {
     condition.is_empty() || condition.contains(key)
 }
 
+/// Reports whether the condition `outer` holds for every key for which `inner` holds.
 fn is_covered<K: Ord>(inner: &BTreeSet<K>, outer: &BTreeSet<K>) -> bool {
     outer.is_empty() || (!inner.is_empty() && inner.is_subset(outer))
 }
 
-/// The first rule of `fleet` that matches `request`, or the default treatment
-/// ([`Fleet::default_then`]). It looks at every rule; [`Index`] does the same with fewer.
+/// Returns the first rule of `fleet` that matches `request`, or the default treatment
+/// ([`Fleet::default_then`]).
+///
+/// This examines all rules in turn; [`Index`] makes the same choice with fewer.
 ///
 /// ```
 /// use flamingopost_core::fleet::Fleet;
--- a/crates/core/src/rule/index.rs
+++ b/crates/core/src/rule/index.rs
@@ -1,4 +1,4 @@
-//! Rules sorted by service and access, so that a thousand services stay cheap to match.
+//! Index of rules by service and access, so that matching stays cheap with a thousand services.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -12,9 +12,9 @@
 
 /// The rules of one fleet by service and access.
 ///
-/// Rules that name services are listed under each of these; rules that name none are listed once
-/// for all. Choosing walks the two lists together in the order of the rules, so memory grows with
-/// the rules and not with rules times services.
+/// A rule that names services is listed under each of them. A rule that names none is listed once,
+/// for all services. A choice merges the two lists in the order of the rules, so memory grows with
+/// the number of rules and not with rules times services.
 #[derive(Debug, Clone)]
 pub struct Index {
     fleet: Arc<Fleet>,
@@ -23,6 +23,7 @@
     writes: AnyService,
 }
 
+/// Rules of one kind of access that apply to any service.
 #[derive(Debug, Clone)]
 struct AnyService {
     rules: Vec<usize>,
@@ -30,7 +31,7 @@
 }
 
 impl Index {
-    /// Sorts the rules of `fleet`.
+    /// Creates the index of the rules of `fleet`.
     pub fn new(fleet: Arc<Fleet>) -> Index {
         let mut by_service: BTreeMap<(ServiceKey, Access), Vec<usize>> = BTreeMap::new();
         for (position, rule) in fleet.rules.iter().enumerate() {
@@ -51,12 +52,12 @@
         }
     }
 
-    /// The fleet whose rules these are.
+    /// Returns the fleet of these rules.
     pub fn fleet(&self) -> &Arc<Fleet> {
         &self.fleet
     }
 
-    /// The same choice that [`super::choose`] makes.
+    /// Makes the same choice as [`super::choose`].
     ///
     /// ```
     /// use std::sync::Arc;
@@ -114,6 +115,7 @@
     }
 }
 
+/// Returns the kinds of access that `rule` matches.
 fn accesses(rule: &Rule) -> impl Iterator<Item = Access> + use<> {
     let wanted = rule.when.access;
     [Access::Read, Access::Write]
@@ -121,6 +123,7 @@
         .filter(move |access| wanted.is_none_or(|wanted| wanted == *access))
 }
 
+/// Merges two sorted lists of rule indexes.
 struct Merge<'a> {
     left: Peekable<slice::Iter<'a, usize>>,
     right: Peekable<slice::Iter<'a, usize>>,
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,4 +1,4 @@
-//! Good configurations: the examples, and what is written back.
+//! Valid configurations: the examples, and what is rendered from them.
 
 use std::time::Duration;
 
--- a/crates/core/tests/config_fuzz.rs
+++ b/crates/core/tests/config_fuzz.rs
@@ -1,4 +1,4 @@
-//! Configurations and statements from outside, made at random from a fixed seed.
+//! Random configurations and statements from a fixed seed.
 
 use std::cell::RefCell;
 
@@ -20,7 +20,8 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// Reads `text`: either a fleet that reads the same again, or problems on lines that exist.
+/// Parses `text`, which must give either a fleet that survives rendering and parsing, or problems
+/// on existing lines.
 fn read(text: &str) -> Result<(), TestCaseError> {
     let mut directory = Directory::default();
     match config::parse("x.ini", text, &mut directory) {
@@ -42,6 +43,7 @@
     Ok(())
 }
 
+/// Returns the example configuration with a few lines damaged at random.
 fn damaged() -> impl Strategy<Value = String> {
     let lines: Vec<String> = TESFA.lines().map(str::to_owned).collect();
     let count = lines.len();
--- a/crates/core/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -1,5 +1,5 @@
-//! Rules made at random from a fixed seed: the index decides like the list, and what is called
-//! covered is.
+//! Random rules from a fixed seed: the index agrees with a linear search, and covered rules match
+//! nothing that the covering rule does not.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -106,7 +106,7 @@
     }
 }
 
-/// Every request that the words above can make.
+/// Returns every request that the constants above can form.
 fn requests(statements: &[Statement]) -> Vec<Request<'_>> {
     let mut requests = Vec::new();
     for statement in statements {
@@ -145,8 +145,8 @@
         .unwrap();
 }
 
-// The checker calls a rule unreachable, the operator removes it, and requests that it did match
-// are treated differently from then on.
+// Guards against reporting a reachable rule as unreachable: the operator would remove it, and the
+// requests that it matched would be treated differently.
 #[test]
 fn a_covered_rule_matches_no_further_request() {
     let statements = TEXTS.map(statement::classify);
