--- a/crates/core/src/config/fault.rs
+++ b/crates/core/src/config/fault.rs
@@ -1,33 +1,33 @@
-//! What can be wrong in a configuration, and what would be right.
+//! Faults in a configuration and their suggested fixes.
 
 use super::{Expected, Kind};
 
-/// What is wrong.
+/// A fault in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Fault {
     /// the configuration is {bytes} bytes long
     TooLong {
-        /// Its length.
+        /// Length of the configuration.
         bytes: usize,
     },
-    /// `{text}` is no section heading
+    /// `{text}` is not a section heading
     Heading {
-        /// The line.
+        /// Text of the line.
         text: String,
     },
     /// `{text}` has no value
     NoValue {
-        /// The line.
+        /// Text of the line.
         text: String,
     },
-    /// `{key}` stands before the first section
+    /// `{key}` comes before the first section
     OutsideSection {
         /// The key.
         key: String,
     },
     /// a comment starts with `#`
     HashComment,
-    /// a comment stands behind the value of `{key}`
+    /// a comment follows the value of `{key}`
     TrailingComment {
         /// The key.
         key: String,
@@ -36,7 +36,7 @@
     UnknownKind {
         /// The kind.
         kind: String,
-        /// The nearest kind there is.
+        /// The most similar kind, if one is similar enough.
         nearest: Option<String>,
     },
     /// section `[{kind}]` has no name
@@ -80,7 +80,7 @@
         kind: Kind,
         /// The key.
         key: String,
-        /// The nearest key there is.
+        /// The most similar key, if one is similar enough.
         nearest: Option<String>,
     },
     /// {kind} `{name}` lacks `{key}`
@@ -105,32 +105,32 @@
         key: String,
         /// Its value.
         value: String,
-        /// What it has to be.
+        /// The kind of value that the key takes.
         expected: Expected,
     },
     /// `{key}` is zero
     Zero {
         /// The key.
         key: String,
-        /// What it has to be.
+        /// The kind of value that the key takes.
         expected: Expected,
     },
     /// `{key}` names the {kind} `{name}`, which is not described
     UnknownName {
         /// The key.
         key: String,
-        /// Kind of what it names.
+        /// Kind of the section that the name refers to.
         kind: Kind,
         /// The name.
         name: String,
-        /// The nearest name there is.
+        /// The most similar name, if one is similar enough.
         nearest: Option<String>,
     },
     /// no caller has the role `{role}`
     UnknownRole {
         /// The role.
         role: String,
-        /// The nearest role there is.
+        /// The most similar role, if one is similar enough.
         nearest: Option<String>,
     },
     /// service `{service}` has no servers
@@ -156,32 +156,32 @@
     },
     /// {slots} slots cannot be used through {connections} connections
     SlotsBeyondConnections {
-        /// Slots.
+        /// Number of slots.
         slots: u16,
-        /// Connections.
+        /// Number of connections.
         connections: u16,
     },
-    /// a password stands in the configuration
+    /// the configuration contains a password
     PlainPassword,
     /// the verifier is an MD5 hash
     Md5Verifier,
-    /// the verifier is no SCRAM-SHA-256 verifier: {reason}
+    /// the verifier is not a SCRAM-SHA-256 verifier: {reason}
     BadVerifier {
-        /// What is wrong in it.
+        /// The fault in the verifier.
         reason: VerifierFault,
     },
     /// `{setting}` has no effect without `{needs}`
     Needs {
-        /// What is set.
+        /// The setting.
         setting: String,
-        /// What it needs.
+        /// The setting that it needs.
         needs: String,
     },
     /// `{setting}` contradicts `{other}`
     Contradicts {
-        /// What is set.
+        /// The setting.
         setting: String,
-        /// What it contradicts.
+        /// The setting that it contradicts.
         other: String,
     },
     /// `{key}` of {time} is not before the deadline of {deadline}
@@ -193,7 +193,7 @@
         /// The deadline.
         deadline: String,
     },
-    /// no request reaches rule `{rule}`: rule `{by}` on line {line} matches them all before
+    /// no request reaches rule `{rule}`: rule `{by}` on line {line} matches all of them first
     Unreachable {
         /// The rule.
         rule: String,
@@ -204,7 +204,7 @@
     },
 }
 
-/// What is wrong in a verifier.
+/// A fault in a verifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum VerifierFault {
     /// it does not have the form SCRAM-SHA-256$ITERATIONS:SALT$STORED:SERVER
@@ -218,7 +218,7 @@
 }
 
 impl Fault {
-    /// What would be right.
+    /// Returns how to fix the fault.
     pub fn fix(&self) -> String {
         match self {
             Fault::TooLong { .. } => format!("keep it under {} bytes", super::MAX_BYTES),
@@ -267,10 +267,12 @@
     }
 }
 
+/// Returns the names of all kinds of sections.
 fn kinds() -> Vec<String> {
     Kind::ALL.iter().map(Kind::to_string).collect()
 }
 
+/// Suggests the nearest of the allowed words, or else all of them.
 fn suggest_from<S: AsRef<str>>(nearest: &Option<String>, what: &str, all: &[S]) -> String {
     match nearest {
         Some(nearest) => format!("write `{nearest}`, the nearest {what} there is"),
@@ -281,6 +283,7 @@
     }
 }
 
+/// Suggests the nearest declared name, or else to declare it.
 fn suggest_name(nearest: &Option<String>, what: &str) -> String {
     match nearest {
         Some(nearest) => format!("write `{nearest}`, the nearest {what} there is"),
