--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -22,8 +22,8 @@
 const SHORT_QUEUE: usize = 16;
 /// Time between two scans of a longer queue.
 const SCAN_INTERVAL: Duration = Duration::from_millis(1);
-/// Fraction of the slots that is assumed to be left for a class, however much work of greater weight
-/// arrives.
+/// Fraction of the slots that is assumed to be left for a class, however much work of greater
+/// weight arrives.
 const MIN_FREE_SHARE: f64 = 0.05;
 
 /// The decision about one request.
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -16,11 +16,11 @@
 
 /// An adaptive concurrency limit.
 ///
-/// Several hosts share a server's slots without seeing each other. Each host infers from the latency
-/// of its own answers whether the server is congested. It raises the limit slowly while it is not,
-/// and lowers it by a factor when it is (AIMD). The limit never falls below the number of slots: a
-/// class contains quick and slow statements, so a slow statement can look like congestion, and a
-/// host that reduced its limit to one because of it left slots idle.
+/// Several hosts share a server's slots without seeing each other. Each host infers from the
+/// latency of its own answers whether the server is congested. It raises the limit slowly while it
+/// is not, and lowers it by a factor when it is (AIMD). The limit never falls below the number of
+/// slots: a class contains quick and slow statements, so a slow statement can look like congestion,
+/// and a host that reduced its limit to one because of it left slots idle.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limit {
     limit: f64,
@@ -46,8 +46,8 @@
         self.limit as usize
     }
 
-    /// Records an answer that took `took`, where `least` is the minimum latency of its class. `full`
-    /// says whether the limit was reached; otherwise the answer gives no reason to raise it.
+    /// Records an answer that took `took`, where `least` is the minimum latency of its class.
+    /// `full` says whether the limit was reached; otherwise the answer gives no reason to raise it.
     pub fn record(&mut self, took: Duration, least: Duration, full: bool, now: Duration) {
         let slowdown = took.as_secs_f64() / least.as_secs_f64().max(1e-6);
         if slowdown < INCREASE_BELOW_SLOWDOWN && full {
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -15,8 +15,8 @@
 pub struct Grant {
     /// Number of connections while the host's lease is valid.
     pub leased: u16,
-    /// Number of connections out of `leased` that the host may keep much longer, so that a zone that
-    /// is cut off from its controller goes on serving.
+    /// Number of connections out of `leased` that the host may keep much longer, so that a zone
+    /// that is cut off from its controller goes on serving.
     pub floor: u16,
     /// Validity of the floor, from the moment at which the host *sent* its renewal.
     pub floor_valid: Duration,
--- a/crates/core/src/budget/host_budget.rs
+++ b/crates/core/src/budget/host_budget.rs
@@ -102,8 +102,8 @@
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Returns what to do about the connections. Has to be called at [`HostBudget::deadline`] at the
-    /// latest.
+    /// Returns what to do about the connections. Has to be called at [`HostBudget::deadline`] at
+    /// the latest.
     pub fn advise(&self, now: Duration) -> Advice {
         let allowed = self.allowed(now + CLOSE_MARGIN);
         if self.open > allowed {
--- a/crates/core/src/budget/server_budget.rs
+++ b/crates/core/src/budget/server_budget.rs
@@ -54,8 +54,8 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Account {
-    /// Every grant whose lease may still be valid. An answer can be lost, so the host may use any of
-    /// them, and the greatest counts.
+    /// Every grant whose lease may still be valid. An answer can be lost, so the host may use any
+    /// of them, and the greatest counts.
     leases: Vec<Lease>,
     floor: Option<Floor>,
     demand: u16,
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -75,6 +75,7 @@
 #[derive(Debug, Default)]
 pub struct Dispatch {
     servers: BTreeMap<ServerKey, Server>,
+    /// The primary that this host knows of.
     leader: Option<ServerKey>,
     hold: Option<Hold>,
     /// Whether `hold` also stops reads with bounded staleness from using the primary.
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -1,9 +1,9 @@
 //! Detection of a stuck feed: a feed of the platform that no longer delivers changes to this host.
 //!
-//! A call that waits for changes (long poll) may wait in vain, because its connection is dead or its
-//! answer was lost. A shorter wait detects this sooner, but makes more calls, which are charged for
-//! and limited for all hosts together. So in a large fleet only a few hosts use short waits. They
-//! report to the others how far they have read, and a host that has read less calls again.
+//! A call that waits for changes (long poll) may wait in vain, because its connection is dead or
+//! its answer was lost. A shorter wait detects this sooner, but makes more calls, which are charged
+//! for and limited for all hosts together. So in a large fleet only a few hosts use short waits.
+//! They report to the others how far they have read, and a host that has read less calls again.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 /// hosts some milliseconds apart, and hundreds of milliseconds apart when the store is slow.
 pub const STUCK_AFTER: Duration = Duration::from_millis(400);
 
-/// Longest such time; it doubles with each new call. A host that the store refuses keeps learning of
-/// changes from other hosts, and each further call is charged for.
+/// Longest such time; it doubles with each new call. A host that the store refuses keeps learning
+/// of changes from other hosts, and each further call is charged for.
 pub const STUCK_AFTER_MAX: Duration = Duration::from_millis(3_200);
 
 /// Tracks how far one of the platform's feeds was read, by this host and by others.
@@ -51,8 +51,8 @@
 }
 
 impl Feed {
-    /// Records that everything up to version `as_of` was read. `newest` is the version of the newest
-    /// change in it, if there was any.
+    /// Records that everything up to version `as_of` was read. `newest` is the version of the
+    /// newest change in it, if there was any.
     pub fn record_read(&mut self, as_of: u64, newest: Option<u64>) {
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(newest.unwrap_or_default());
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -131,8 +131,8 @@
 
     /// Returns whether a replica is slow compared with its peers.
     ///
-    /// The bound is not a fixed time: when the load or the data make all replicas slow, none of them
-    /// is the cause.
+    /// The bound is not a fixed time: when the load or the data make all replicas slow, none of
+    /// them is the cause.
     fn is_slow(&self, key: ServerKey) -> bool {
         let member = &self.members[&key];
         let Some(mine) = member
@@ -157,8 +157,8 @@
 
     /// Returns whether one more replica may be set aside.
     ///
-    /// At most half of the replicas are aside at once, and the remaining ones must have the capacity
-    /// for the additional work. Otherwise they would be the next to become slow.
+    /// At most half of the replicas are aside at once, and the remaining ones must have the
+    /// capacity for the additional work. Otherwise they would be the next to become slow.
     fn can_set_aside(&self, utilization: f64) -> bool {
         let full = self
             .members
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -191,9 +191,9 @@
 }
 
 impl Refusal {
-    /// Returns the SQLSTATE: `PF0..` if the request never ran, `PF1..` if it may have run, `PF2..` if
-    /// it ran. Refusals that end a connection at its start use PostgreSQL's own codes, which clients
-    /// know.
+    /// Returns the SQLSTATE: `PF0..` if the request never ran, `PF1..` if it may have run, `PF2..`
+    /// if it ran. Refusals that end a connection at its start use PostgreSQL's own codes, which
+    /// clients know.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             Refusal::DeadlineTooShort { .. } => "PF001",
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -10,8 +10,8 @@
 /// A token bucket that first attempts fill and extra attempts drain.
 ///
 /// Extra attempts stay a fixed fraction of the requests, so a fault that fails every request adds
-/// only that fraction to the load. Without a budget, retries multiply the load when the servers have
-/// the least capacity to spare.
+/// only that fraction to the load. Without a budget, retries multiply the load when the servers
+/// have the least capacity to spare.
 ///
 /// ```
 /// use flamingopost_core::retry::budget::Budget;
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -18,8 +18,8 @@
 use primary_positions::PrimaryPositions;
 use server::{Server, ServerSettings, Status};
 
-/// Time after which nothing new may start on a leaving server, counted from the moment at which this
-/// host learnt that it is leaving. Running requests and open transactions may go on.
+/// Time after which nothing new may start on a leaving server, counted from the moment at which
+/// this host learnt that it is leaving. Running requests and open transactions may go on.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
 /// Retry time of a refusal while no primary is known: the usual duration of a promotion.
 const PROMOTION_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -204,8 +204,8 @@
     /// Asserts that a read was answered from data that satisfy `need`. `position` is the position
     /// that the server reported with its answer.
     ///
-    /// Between routing and answer a server's position only grows, except for writes that a promotion
-    /// drops. Reads that need such writes are refused because their position is lost.
+    /// Between routing and answer a server's position only grows, except for writes that a
+    /// promotion drops. Reads that need such writes are refused because their position is lost.
     pub fn check_read(&self, need: &Need, position: Position) {
         let holds = need
             .position()
@@ -252,8 +252,8 @@
         }
     }
 
-    /// Routes a read: to a replica in the host's zone that satisfies it, else to a replica in another
-    /// zone, else it waits if a replica is about to satisfy it, else to the primary.
+    /// Routes a read: to a replica in the host's zone that satisfies it, else to a replica in
+    /// another zone, else it waits if a replica is about to satisfy it, else to the primary.
     pub fn read(&self, request: &ReadRequest, now: Duration) -> Route {
         if request.need == Need::Primary {
             return self.write(now);
@@ -326,8 +326,8 @@
 
     /// Returns whether data at `position` are part of the service's log.
     ///
-    /// A replaced primary may have writes that no later term contains. Nothing is read from it until
-    /// it follows the new primary.
+    /// A replaced primary may have writes that no later term contains. Nothing is read from it
+    /// until it follows the new primary.
     fn is_in_log(&self, position: Position) -> bool {
         !matches!(self.service.history.judge(position), Verdict::Lost { .. })
     }
@@ -335,8 +335,8 @@
     /// Returns the latest time at which the data of `server` are proven to have been current.
     ///
     /// A server's own proof only shows that it had all data of the primary that it follows. That
-    /// primary was the only one while a write lease of its term was valid, so the proof counts until
-    /// the end of that lease at most.
+    /// primary was the only one while a write lease of its term was valid, so the proof counts
+    /// until the end of that lease at most.
     fn proven_at(&self, server: &Server) -> Option<Duration> {
         let proof = server.proof()?;
         let lease = self.leases.get(&proof.term)?;
@@ -345,8 +345,8 @@
 
     /// Picks one of the candidates.
     ///
-    /// It is the cheaper of two random ones in full health (power of two choices), where a server in
-    /// another zone costs its distance in addition. A replica on trial gets one read in
+    /// It is the cheaper of two random ones in full health (power of two choices), where a server
+    /// in another zone costs its distance in addition. A replica on trial gets one read in
     /// [`TRIAL_READ_INTERVAL`], and one that was set aside is used only if there is no other.
     fn pick(&self, candidates: &[ServerKey], random_bits: u64) -> Option<ServerKey> {
         let trial = self.in_health_state(candidates, HealthState::Trial);
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -180,8 +180,8 @@
         self.average_latency().mul_f64(rounds.max(1.0))
     }
 
-    /// Returns the time after which the server should reach `wanted`, estimated from the growth rate
-    /// of its log.
+    /// Returns the time after which the server should reach `wanted`, estimated from the growth
+    /// rate of its log.
     pub(super) fn time_to_reach(&self, wanted: Position, now: Duration) -> Option<Duration> {
         let (at, position) = self.last_sample?;
         if position.term != wanted.term {
--- a/crates/core/src/timing.rs
+++ b/crates/core/src/timing.rs
@@ -46,8 +46,9 @@
 /// Number of standbys that a controller names, in other zones than its own if possible.
 pub const STANDBY_COUNT: usize = 2;
 
-/// How long a shard's row has to stay unchanged before a host that it does not name claims the shard.
-/// It is also how long after its last write a controller keeps its authority by promises alone.
+/// How long a shard's row has to stay unchanged before a host that it does not name claims the
+/// shard. It is also how long after its last write a controller keeps its authority by promises
+/// alone.
 pub const ORPHAN_TIMEOUT: Duration = Duration::from_secs(2 * 60 * 60);
 
 /// [`ORPHAN_TIMEOUT`] of a row that names no standby: no host can give a promise, so no promise has
@@ -64,18 +65,19 @@
 /// How often a controller asks each backend server of its shard for its status.
 pub const STATUS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a promotion waits for servers that have not answered, once one server could be promoted.
+/// How long a promotion waits for servers that have not answered, once one server could be
+/// promoted.
 pub const GATHER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a successor that cannot learn the earlier history from any host waits for servers that do
-/// not answer. One of them may lead a term that is recorded nowhere else any more.
+/// How long a successor that cannot learn the earlier history from any host waits for servers that
+/// do not answer. One of them may lead a term that is recorded nowhere else any more.
 pub const UNKNOWN_HISTORY_WAIT: Duration = Duration::from_secs(10);
 
 /// How long a promotion waits for a replica to receive the last acknowledged write.
 pub const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time without progress on any server after which that wait ends early, if all servers have answered
-/// and the old primary is gone. Replication that still runs makes progress more often.
+/// Time without progress on any server after which that wait ends early, if all servers have
+/// answered and the old primary is gone. Replication that still runs makes progress more often.
 pub const REPLICATION_IDLE: Duration = Duration::from_millis(200);
 
 /// How long a planned switchover waits for a replica to catch up. It is aborted rather than lose a
@@ -106,8 +108,8 @@
 /// Greatest value to which [`COOL_DOWN`] doubles.
 pub const COOL_DOWN_MAX: Duration = Duration::from_secs(5 * 60);
 
-/// Divisor of the assumed clock drift: the clocks of two machines drift by less than one part in this
-/// many against each other.
+/// Divisor of the assumed clock drift: the clocks of two machines drift by less than one part in
+/// this many against each other.
 const DRIFT_DIVISOR: u32 = 64;
 
 /// Returns `span` shortened by the greatest clock drift.
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -104,8 +104,8 @@
     assert_eq!(server_budget.floors().count(), 0);
 }
 
-/// A zone is cut off from its controller. Its hosts cannot renew, but still reach the servers in the
-/// zone. They keep their floors and close the other connections in time.
+/// A zone is cut off from its controller. Its hosts cannot renew, but still reach the servers in
+/// the zone. They keep their floors and close the other connections in time.
 #[test]
 fn a_cut_off_host_keeps_its_floor_and_closes_the_rest() {
     let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
@@ -308,8 +308,8 @@
         });
     }
 
-    /// Kills the process. Its machine may be lost as well, so the server keeps its connections for a
-    /// while.
+    /// Kills the process. Its machine may be lost as well, so the server keeps its connections for
+    /// a while.
     fn kill(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         let clock = host.clock(self.now);
--- a/crates/core/tests/dispatch/main.rs
+++ b/crates/core/tests/dispatch/main.rs
@@ -77,8 +77,9 @@
     })
 }
 
-/// A lot view accepts data that are a second old. The replica in the host's zone has them. A read at
-/// the primary in another zone would take a slot that bids need, and cause traffic between zones.
+/// A lot view accepts data that are a second old. The replica in the host's zone has them. A read
+/// at the primary in another zone would take a slot that bids need, and cause traffic between
+/// zones.
 #[test]
 fn a_read_goes_to_the_replica_in_the_same_zone() {
     let now = ms(5_000);
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -9,8 +9,8 @@
 }
 
 /// Sixty-five hosts each repeated their call to the store every five seconds, to detect a feed that
-/// no longer delivers changes. With the reports of other hosts, a host detects it within a second of
-/// them, however long its own call waits.
+/// no longer delivers changes. With the reports of other hosts, a host detects it within a second
+/// of them, however long its own call waits.
 #[test]
 fn a_feed_behind_its_peers_becomes_stuck() {
     let mut feed = Feed::default();
@@ -20,8 +20,8 @@
     assert!(feed.is_stuck(at(1_400)));
 }
 
-/// Versions count the changes of all tables together. A host that has read up to version 20, with 12
-/// as the last change of this table, has read every change of it that other hosts have.
+/// Versions count the changes of all tables together. A host that has read up to version 20, with
+/// 12 as the last change of this table, has read every change of it that other hosts have.
 #[test]
 fn changes_of_other_tables_do_not_count() {
     let mut feed = Feed::default();
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -72,8 +72,8 @@
     assert_eq!(decide(late), RetryDecision::GiveUp);
 }
 
-/// During a promotion the writes of all hosts fail at the same time. Without jitter all retries would
-/// reach the new primary at once.
+/// During a promotion the writes of all hosts fail at the same time. Without jitter all retries
+/// would reach the new primary at once.
 #[test]
 fn backoff_is_jittered() {
     let wait = |random_bits| match decide(Attempt {
@@ -124,8 +124,8 @@
     );
 }
 
-/// The first answers of a service arrive on new connections and are slow. They must not delay hedges
-/// for long.
+/// The first answers of a service arrive on new connections and are slow. They must not delay
+/// hedges for long.
 #[test]
 fn slow_initial_answers_are_forgotten() {
     let mut hedge = Hedge::default();
@@ -134,8 +134,8 @@
     assert_eq!(hedge.wait(ms(1)), Some(ms(4)));
 }
 
-/// All replicas become slow at once, so every read would send a copy, which doubles the load on slow
-/// servers.
+/// All replicas become slow at once, so every read would send a copy, which doubles the load on
+/// slow servers.
 #[test]
 fn hedges_stay_a_twentieth_of_the_requests_when_everything_is_slow() {
     let mut hedge = Hedge::default();
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -179,8 +179,8 @@
     assert_eq!(scene.read_at(after(100), now), replica(scene.near));
 }
 
-/// The host's lease has ended, so there may be another primary by now. The old primary still answers
-/// and reports that its data are current. Their age counts from the end of the lease.
+/// The host's lease has ended, so there may be another primary by now. The old primary still
+/// answers and reports that its data are current. Their age counts from the end of the lease.
 #[test]
 fn a_primary_without_a_lease_ages_like_a_replica() {
     let mut scene = Scene::new();
@@ -232,8 +232,8 @@
     assert_eq!(scene.read(any), to_new);
 }
 
-/// The answer to an older probe arrives late, after the server has dropped the tail of its old term.
-/// If it were used, a read could miss the session's write.
+/// The answer to an older probe arrives late, after the server has dropped the tail of its old
+/// term. If it were used, a read could miss the session's write.
 #[test]
 fn a_late_status_does_not_undo_a_newer_one() {
     let mut scene = Scene::new();
@@ -264,8 +264,8 @@
     assert_eq!(scene.read(after(100)), replica(scene.near));
 }
 
-/// An operator drains a server. Reads stop at once. A leaving primary takes writes only for the grace
-/// period in which the controller promotes another server.
+/// An operator drains a server. Reads stop at once. A leaving primary takes writes only for the
+/// grace period in which the controller promotes another server.
 #[test]
 fn a_leaving_server_gets_no_new_work() {
     let mut scene = Scene::new();
@@ -310,9 +310,9 @@
     );
 }
 
-/// Under load every connection to the replica runs statements, so no probe gets through for a while.
-/// Lot views with an age limit must not all move to the primary: the answers themselves show that
-/// the replica has reached the primary's position.
+/// Under load every connection to the replica runs statements, so no probe gets through for a
+/// while. Lot views with an age limit must not all move to the primary: the answers themselves show
+/// that the replica has reached the primary's position.
 #[test]
 fn answers_prove_a_replica_current_without_probes() {
     let mut scene = Scene::new();
