--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -234,6 +234,7 @@
         decisions
     }
 
+    /// Refuses the waiting requests that can no longer meet their deadlines, even if started now.
     fn expire(&mut self, now: Duration, decisions: &mut Vec<Admission>) {
         let mut place = 0;
         while let Some(ticket) = self.queue.get(place).copied() {
@@ -248,6 +249,7 @@
         }
     }
 
+    /// Starts waiting requests while there are free slots.
     fn start(&mut self, now: Duration, decisions: &mut Vec<Admission>) {
         while self.running.len() < self.slots() {
             let Some(ticket) = self.queue.remove(0) else {
@@ -265,6 +267,7 @@
         }
     }
 
+    /// Refuses requests of least weight until all that wait can meet their deadlines.
     fn shed(&mut self, now: Duration, decisions: &mut Vec<Admission>) {
         while let Some(first_late) = self.first_late(now) {
             let place = self.victim(first_late, now);
@@ -291,6 +294,7 @@
         end > ticket.deadline && is_heaviest_user
     }
 
+    /// Returns the recent usage of a customer, relative to its share.
     fn usage_per_share(&self, customer: CustomerKey, share: u32, now: Duration) -> f64 {
         self.usage.rate(&customer, now) / f64::from(share.max(1))
     }
@@ -375,6 +379,7 @@
             .sum()
     }
 
+    /// Returns the expected work of all running and waiting requests.
     fn backlog(&self, now: Duration) -> Duration {
         self.running_work(now) + self.queue.work(&self.costs)
     }
--- a/crates/core/src/budget/server_budget.rs
+++ b/crates/core/src/budget/server_budget.rs
@@ -52,6 +52,7 @@
     until: Duration,
 }
 
+/// The grants and the demand of one host.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Account {
     /// Every grant whose lease may still be valid. An answer can be lost, so the host may use any
@@ -62,6 +63,7 @@
 }
 
 impl Account {
+    /// Returns the number of connections that the host may have open at `now`.
     fn outstanding(&self, now: Duration) -> u16 {
         let leased = self.leases.iter().filter(|lease| now < lease.until);
         let leased = leased.map(|lease| lease.connections).max().unwrap_or(0);
@@ -244,10 +246,12 @@
         1
     }
 
+    /// Returns the number of connections that are kept for new hosts.
     fn reserve(&self) -> u16 {
         self.limit / 8
     }
 
+    /// Returns the number of connections that all other hosts may have open at `now`.
     fn held_by_others(&self, instance: HostInstance, now: Duration) -> u16 {
         let others = self.accounts.iter().filter(|(of, _)| **of != instance);
         others.map(|(_, account)| account.outstanding(now)).sum()
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -167,6 +167,7 @@
         self.hold
     }
 
+    /// Returns whether requests that need the primary are held back at `now`.
     fn is_on_hold(&self, now: Duration) -> bool {
         self.hold
             .is_some_and(|hold| hold.from <= now && now < hold.until)
@@ -443,6 +444,7 @@
         }
     }
 
+    /// Returns whether `server` may answer `ticket`, apart from free connections.
     fn may_serve(&self, ticket: &Ticket, key: ServerKey, server: &Server, now: Duration) -> bool {
         if ticket.opens_transaction && !server.accepts_transaction(now) {
             return false;
@@ -464,6 +466,7 @@
         }
     }
 
+    /// Returns the cost of answering `ticket` at `server`: the expected latency and the surcharges.
     fn cost(&self, ticket: &Ticket, key: ServerKey, server: &Server) -> Duration {
         let mut cost = server.expected_latency();
         if !server.local {
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -182,8 +182,8 @@
         self.busy.saturating_add(idle).saturating_add(self.opening)
     }
 
-    /// Returns whether the last connect failed and no connection is idle. It stops to hold
-    /// [`BACKOFF_MAX`] after the next attempt is due.
+    /// Returns whether the last connect failed and no connection is idle. This no longer holds once
+    /// the next attempt has been due for the time of the longest backoff.
     pub fn is_broken(&self, now: Duration) -> bool {
         self.backoff > Duration::ZERO && self.idle.is_empty() && now < self.retry_at + BACKOFF_MAX
     }
@@ -253,6 +253,7 @@
         self.connections().saturating_sub(self.opening) < self.fair_connections
     }
 
+    /// Returns the number of connections that this host may have at `now`.
     fn connection_limit(&self, now: Duration) -> u16 {
         match now < self.fair_share_until {
             true => self.fair_connections,
@@ -280,6 +281,7 @@
         }
     }
 
+    /// Takes back a connection. Returns `false` if it has to be closed instead.
     pub(super) fn connection_returned(&mut self, connection: u64, now: Duration) -> bool {
         self.busy = self.busy.saturating_sub(1);
         if self.state == ServerState::Leaving || self.connections() >= self.connection_limit(now) {
@@ -300,6 +302,7 @@
         self.idle.retain(|idle| idle.connection != connection);
     }
 
+    /// Takes the idle connection that was used last.
     pub(super) fn check_out(&mut self) -> Option<u64> {
         let idle = self.idle.pop()?;
         self.busy += 1;
@@ -321,6 +324,7 @@
             && now >= self.full_until
     }
 
+    /// Returns whether a base connection is missing and can be opened now.
     pub(super) fn needs_warming(&self, now: Duration) -> bool {
         self.state == ServerState::Serving
             && self.connections() < self.base_connections
@@ -328,6 +332,8 @@
             && self.can_open(now)
     }
 
+    /// Returns whether the server may have reached `position`, which a primary had at time `at`, so
+    /// that a read that needs it is worth sending.
     pub(super) fn may_have_position(
         &self,
         position: Position,
@@ -346,10 +352,13 @@
         now >= self.lag_retry_at && (caught_up || now >= self.lag_measured_at + LAG_RETRY_AFTER)
     }
 
+    /// Returns the expected latency of one more request.
     pub(super) fn expected_latency(&self) -> Duration {
         self.average_latency * (u32::from(self.busy) + 1) / u32::from(self.slots)
     }
 
+    /// Removes the idle connections to close: those above `base_connections` that have been idle
+    /// for `max_idle`, those above the connection limit, and all if the server is leaving.
     pub(super) fn take_surplus(&mut self, now: Duration, max_idle: Duration) -> Vec<u64> {
         let mut surplus = Vec::new();
         let leaving = self.state == ServerState::Leaving;
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -101,6 +101,7 @@
         changed
     }
 
+    /// Returns the state that a replica changes to, if it changes.
     fn next_state(&self, key: ServerKey, utilization: f64, now: Duration) -> Option<HealthState> {
         let member = &self.members[&key];
         match member.state {
@@ -173,6 +174,7 @@
 }
 
 impl Member {
+    /// Returns how long the replica stays set aside.
     fn time_aside(&self) -> Duration {
         let doubled = MIN_ASIDE * 2u32.pow(self.relapses.saturating_sub(1).min(8));
         doubled.min(MAX_ASIDE)
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -76,6 +76,7 @@
     zone: ZoneKey,
     service: view::Service,
     servers: BTreeMap<ServerKey, Server>,
+    /// End of the write lease of each recent term.
     leases: BTreeMap<Term, Duration>,
     primary_positions: PrimaryPositions,
 }
@@ -308,6 +309,7 @@
             .collect()
     }
 
+    /// Returns whether a read that needs `need` may be answered by `server`.
     fn satisfies(&self, server: &Server, need: &Need, now: Duration) -> bool {
         let Some(position) = server.position() else {
             return false;
@@ -380,6 +382,7 @@
             .collect()
     }
 
+    /// Returns the cheaper of two servers that `random_bits` pick from `pool`.
     fn cheaper_of_two(&self, pool: &[ServerKey], random_bits: u64) -> Option<ServerKey> {
         let count = pool.len() as u64;
         if count == 0 {
@@ -394,6 +397,7 @@
             .min_by_key(|key| self.cost(*key))
     }
 
+    /// Returns the expected latency of a request to a server, including its distance.
     fn cost(&self, key: ServerKey) -> Duration {
         let server = &self.servers[&key];
         let distance = if server.settings.zone == self.zone {
@@ -419,6 +423,7 @@
             .min()
     }
 
+    /// Returns how far the log of `server` is behind that of the primary, if both are known.
     fn primary_lag(&self, server: &Server) -> Option<u64> {
         let State::Open { primary, .. } = self.service.state else {
             return None;
@@ -427,6 +432,8 @@
         Some(head.log.saturating_sub(server.position()?.log))
     }
 
+    /// Returns the refusal of a read that no server can answer. `no_primary` is the refusal for a
+    /// read that only lacks a primary.
     fn refusal_for(&self, need: &Need, no_primary: Refusal, now: Duration) -> Refusal {
         if !self.servers.values().any(|server| server.is_reachable(now)) {
             return Refusal::NoServer {
@@ -457,6 +464,7 @@
         }
     }
 
+    /// Returns whether a reachable server has the position `wanted`.
     fn is_position_reachable(&self, wanted: Position, now: Duration) -> bool {
         let need = Need::Position {
             position: wanted,
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -57,7 +57,7 @@
     pub at: Duration,
 }
 
-/// One backend server.
+/// One backend server and what it has reported.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Server {
     /// Its configured properties.
@@ -69,10 +69,14 @@
     pub(super) health: HealthState,
     position: Option<Position>,
     proof: Option<Proof>,
+    /// Sending time of the message that the newest recorded status answers.
     status_sent_at: Duration,
+    /// Time of the last failure, if the server has not answered since.
     failed_at: Option<Duration>,
     average_latency: Option<Duration>,
+    /// Time and position of the last measurement of `log_rate`.
     last_sample: Option<(Duration, Position)>,
+    /// Moving average of the growth of its log per second.
     log_rate: Option<f64>,
 }
 
@@ -159,6 +163,8 @@
         }
     }
 
+    /// Returns whether the server has answered since its last failure, or the failure is old enough
+    /// to try it again.
     pub(super) fn is_reachable(&self, now: Duration) -> bool {
         self.failed_at
             .is_none_or(|at| now >= at + RETRY_AFTER_FAILURE)
