--- a/crates/core/src/dispatch/window.rs
+++ b/crates/core/src/dispatch/window.rs
@@ -18,8 +18,8 @@
 /// tenfold from one request to the next, and the trend must not.
 const TREND_SMOOTHING_DIVISOR: u32 = 32;
 
-/// Growth of the baseline in a second, as a fraction of itself. With it, the baseline is the lowest
-/// trend of about half a minute.
+/// Greatest growth of the baseline in a second, as a fraction of itself. With it, the baseline is
+/// the lowest trend of about half a minute.
 const BASELINE_DRIFT_PER_SECOND: f64 = 0.02;
 
 /// Ratio of trend to baseline above which a server counts as congested, for an infinitely large
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -3,7 +3,8 @@
 //! A call that waits for changes (long poll) may wait in vain, because its connection is dead or
 //! its answer was lost. A shorter wait detects this sooner, but makes more calls, which are charged
 //! for and limited for all hosts together. So in a large fleet only a few hosts use short waits.
-//! They report to the others how far they have read, and a host that has read less calls again.
+//! They report to the others how far they have read, and a host that has read less than that makes
+//! a new call.
 
 use std::time::Duration;
 
