--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -290,12 +290,12 @@
         let delay = Duration::from_millis(self.random.random_range(0..400));
         let same_zone = self.random.random_bool(0.4);
         let host = &self.hosts[index];
-        let ask = Renewal {
+        let request = Renewal {
             same_zone,
             ..renewal(host.key, host.incarnation, demand)
         };
         let (incarnation, sent) = (host.incarnation, host.clock(self.now));
-        let grant = self.server_budget.renew(ask, self.now + delay / 2);
+        let grant = self.server_budget.renew(request, self.now + delay / 2);
         if self.random.random_ratio(1, 5) {
             return;
         }
