--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -133,7 +133,10 @@
     for incarnation in 0..100 {
         let now = seconds(5 * incarnation);
         let grant = server_budget.renew(renewal(host, incarnation, 4), now);
-        assert!(grant.leased >= 1, "life {incarnation} gets nothing");
+        assert!(
+            grant.leased >= 1,
+            "incarnation {incarnation} gets no connection"
+        );
     }
     let floors: u16 = server_budget
         .floors()
