--- a/crates/core/examples/decision_cost.rs
+++ b/crates/core/examples/decision_cost.rs
@@ -12,11 +12,14 @@
 use flamingopost_core::rule::{self, Index, Request};
 use flamingopost_core::statement::{self, Cache};
 
+/// Duration of one measurement.
 const RUN: Duration = Duration::from_millis(300);
+/// Numbers of services in the measured configurations.
 const SIZES: [usize; 4] = [3, 30, 300, 1000];
 const VERIFIER: &str = "SCRAM-SHA-256$4096:c2FsdHNhbHRzYWx0c2FsdA==$\
     7lwOeF0Bk7A5uu1zPIQrlz9g+CW0lL9jZHqkDMzBTWM=:oZ4s3ZfGmSmXTqBRWQvA5zuK7Oy0wFUP9LmBZ9Uu7Zs=";
 
+/// Statements to classify, with their names in the output.
 const TEXTS: [(&str, &str); 5] = [
     ("small read", "SELECT price FROM lots WHERE id = $1"),
     (
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -42,6 +42,7 @@
         scene
     }
 
+    /// Adds a request and returns its identifier with the decisions. Times are in milliseconds.
     fn arrive(&mut self, class: ClassKey, deadline: u64, now: u64) -> (u64, Vec<Admission>) {
         self.count += 1;
         let ticket = Ticket {
@@ -56,6 +57,7 @@
     }
 }
 
+/// Returns the refused requests, and asserts that they did not run and may be retried.
 fn refused(decisions: &[Admission]) -> Vec<u64> {
     decisions
         .iter()
@@ -70,6 +72,7 @@
         .collect()
 }
 
+/// Start of the scenarios, in milliseconds.
 const T0: u64 = 10_000;
 
 #[test]
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -15,7 +15,9 @@
 use rand_chacha::ChaCha8Rng;
 
 const LEASE: Duration = Duration::from_millis(2500);
+/// Connection limit of the server.
 const LIMIT: u16 = 16;
+/// Number of schedules of a run without `FLAMINGOPOST_SCHEDULES`.
 const CI_SCHEDULES: u64 = 300;
 
 fn hosts(count: usize) -> Vec<HostKey> {
--- a/crates/core/tests/dispatch/load.rs
+++ b/crates/core/tests/dispatch/load.rs
@@ -41,7 +41,7 @@
     dispatch.queue_full(keys[0], now);
     for id in 2..6 {
         let actions = dispatch.arrive(ticket(id, Need::Leader, now), now);
-        assert_eq!(actions, [], "the window is full, not the connections");
+        assert_eq!(actions, [], "the window is full, not the connection limit");
     }
     let actions = dispatch.connection_returned(keys[0], 1, now);
     assert_eq!(assigned(&actions), Some(keys[0]), "the next one runs");
@@ -60,17 +60,20 @@
     let mut answer = |dispatch: &mut Dispatch, took: u64, count: u64| {
         for _ in 0..count {
             now += ms(10);
-            let server = dispatch.server_mut(keys[0]).expect("it is known");
+            let server = dispatch.server_mut(keys[0]).expect("the server is known");
             server.record_latency(ms(took), now);
         }
         window(dispatch, keys[0], now)
     };
     let uncongested = answer(&mut dispatch, 20, 400);
-    assert_eq!(uncongested, 4, "as many as the host may have connections");
+    assert_eq!(
+        uncongested, 4,
+        "as many as the host may have connections to the server"
+    );
     let congested = answer(&mut dispatch, 200, 400);
     assert_eq!(congested, 1);
     let uncongested = answer(&mut dispatch, 20, 400);
-    assert_eq!(uncongested, 4, "it widens again");
+    assert_eq!(uncongested, 4, "the window grows again");
 }
 
 /// Returns how many requests run at `server` at once when the host has enough connections.
--- a/crates/core/tests/dispatch/main.rs
+++ b/crates/core/tests/dispatch/main.rs
@@ -62,7 +62,7 @@
     assert_eq!(
         dispatch.tick(now).len(),
         3,
-        "one connection each is opened ahead"
+        "one connection to each server is opened ahead of need"
     );
     for (index, key) in keys.into_iter().enumerate() {
         dispatch.connection_opened(key, index as u64 + 1, now);
--- a/crates/core/tests/dispatch/random.rs
+++ b/crates/core/tests/dispatch/random.rs
@@ -165,15 +165,23 @@
                     if need == Need::Leader {
                         assert_eq!(self.dispatch.leader(), Some(server), "seed {}", self.seed);
                     }
-                    let of = self.connections.get_mut(&connection).expect("it exists");
-                    assert_eq!(*of, (server, None), "seed {}: one request each", self.seed);
+                    let of = self
+                        .connections
+                        .get_mut(&connection)
+                        .expect("the connection is open");
+                    assert_eq!(
+                        *of,
+                        (server, None),
+                        "seed {}: one request per connection",
+                        self.seed
+                    );
                     of.1 = Some(ticket);
                 }
                 Action::Open { server } => self.opening.push(server),
                 Action::Close { connection, .. } => {
                     let closed = self.connections.remove(&connection);
                     let idle = closed.is_some_and(|(_, ticket)| ticket.is_none());
-                    assert!(idle, "seed {}: only idle ones close", self.seed);
+                    assert!(idle, "seed {}: only idle connections are closed", self.seed);
                 }
                 Action::Refuse { ticket, .. } => {
                     assert!(self.waiting.remove(&ticket).is_some(), "seed {}", self.seed);
@@ -187,7 +195,11 @@
                 .filter(|(of, _)| *of == key)
                 .count();
             let opening = self.opening.iter().filter(|of| **of == key).count();
-            assert!(open + opening <= 4, "seed {}: over the limit", self.seed);
+            assert!(
+                open + opening <= 4,
+                "seed {}: over the connection limit",
+                self.seed
+            );
         }
     }
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -85,7 +85,7 @@
     assert_eq!(
         replicas.evaluate(0.5, ms(0)),
         [],
-        "one would have to do the work of two"
+        "one replica would have to do the work of two"
     );
 }
 
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -65,6 +65,7 @@
         scene
     }
 
+    /// Records the status of a server. `age` is in milliseconds.
     fn report(&mut self, server: ServerKey, log: u64, age: u64) {
         self.report_at(server, log, age, NOW);
     }
