--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -75,6 +75,7 @@
 #[derive(Debug, Default)]
 pub struct Dispatch {
     servers: BTreeMap<ServerKey, Server>,
+    /// The primary that this host knows of.
     leader: Option<ServerKey>,
     hold: Option<Hold>,
     /// Whether `hold` also stops reads with bounded staleness from using the primary.
@@ -166,6 +167,7 @@
         self.hold
     }
 
+    /// Returns whether requests that need the primary are held back at `now`.
     fn is_on_hold(&self, now: Duration) -> bool {
         self.hold
             .is_some_and(|hold| hold.from <= now && now < hold.until)
@@ -442,6 +444,7 @@
         }
     }
 
+    /// Returns whether `server` may answer `ticket`, apart from free connections.
     fn may_serve(&self, ticket: &Ticket, key: ServerKey, server: &Server, now: Duration) -> bool {
         if ticket.opens_transaction && !server.accepts_transaction(now) {
             return false;
@@ -463,6 +466,7 @@
         }
     }
 
+    /// Returns the cost of answering `ticket` at `server`: the expected latency and the surcharges.
     fn cost(&self, ticket: &Ticket, key: ServerKey, server: &Server) -> Duration {
         let mut cost = server.expected_latency();
         if !server.local {
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -101,6 +101,7 @@
         changed
     }
 
+    /// Returns the state that a replica changes to, if it changes.
     fn next_state(&self, key: ServerKey, utilization: f64, now: Duration) -> Option<HealthState> {
         let member = &self.members[&key];
         match member.state {
@@ -131,8 +132,8 @@
 
     /// Returns whether a replica is slow compared with its peers.
     ///
-    /// The bound is not a fixed time: when the load or the data make all replicas slow, none of them
-    /// is the cause.
+    /// The bound is not a fixed time: when the load or the data make all replicas slow, none of
+    /// them is the cause.
     fn is_slow(&self, key: ServerKey) -> bool {
         let member = &self.members[&key];
         let Some(mine) = member
@@ -157,8 +158,8 @@
 
     /// Returns whether one more replica may be set aside.
     ///
-    /// At most half of the replicas are aside at once, and the remaining ones must have the capacity
-    /// for the additional work. Otherwise they would be the next to become slow.
+    /// At most half of the replicas are aside at once, and the remaining ones must have the
+    /// capacity for the additional work. Otherwise they would be the next to become slow.
     fn can_set_aside(&self, utilization: f64) -> bool {
         let full = self
             .members
@@ -173,6 +174,7 @@
 }
 
 impl Member {
+    /// Returns how long the replica stays set aside.
     fn time_aside(&self) -> Duration {
         let doubled = MIN_ASIDE * 2u32.pow(self.relapses.saturating_sub(1).min(8));
         doubled.min(MAX_ASIDE)
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -18,8 +18,8 @@
 use primary_positions::PrimaryPositions;
 use server::{Server, ServerSettings, Status};
 
-/// Time after which nothing new may start on a leaving server, counted from the moment at which this
-/// host learnt that it is leaving. Running requests and open transactions may go on.
+/// Time after which nothing new may start on a leaving server, counted from the moment at which
+/// this host learnt that it is leaving. Running requests and open transactions may go on.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
 /// Retry time of a refusal while no primary is known: the usual duration of a promotion.
 const PROMOTION_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -76,6 +76,7 @@
     zone: ZoneKey,
     service: view::Service,
     servers: BTreeMap<ServerKey, Server>,
+    /// End of the write lease of each recent term.
     leases: BTreeMap<Term, Duration>,
     primary_positions: PrimaryPositions,
 }
@@ -204,8 +205,8 @@
     /// Asserts that a read was answered from data that satisfy `need`. `position` is the position
     /// that the server reported with its answer.
     ///
-    /// Between routing and answer a server's position only grows, except for writes that a promotion
-    /// drops. Reads that need such writes are refused because their position is lost.
+    /// Between routing and answer a server's position only grows, except for writes that a
+    /// promotion drops. Reads that need such writes are refused because their position is lost.
     pub fn check_read(&self, need: &Need, position: Position) {
         let holds = need
             .position()
@@ -252,8 +253,8 @@
         }
     }
 
-    /// Routes a read: to a replica in the host's zone that satisfies it, else to a replica in another
-    /// zone, else it waits if a replica is about to satisfy it, else to the primary.
+    /// Routes a read: to a replica in the host's zone that satisfies it, else to a replica in
+    /// another zone, else it waits if a replica is about to satisfy it, else to the primary.
     pub fn read(&self, request: &ReadRequest, now: Duration) -> Route {
         if request.need == Need::Primary {
             return self.write(now);
@@ -308,6 +309,7 @@
             .collect()
     }
 
+    /// Returns whether a read that needs `need` may be answered by `server`.
     fn satisfies(&self, server: &Server, need: &Need, now: Duration) -> bool {
         let Some(position) = server.position() else {
             return false;
@@ -326,8 +328,8 @@
 
     /// Returns whether data at `position` are part of the service's log.
     ///
-    /// A replaced primary may have writes that no later term contains. Nothing is read from it until
-    /// it follows the new primary.
+    /// A replaced primary may have writes that no later term contains. Nothing is read from it
+    /// until it follows the new primary.
     fn is_in_log(&self, position: Position) -> bool {
         !matches!(
             self.service.history.survival(position),
@@ -338,8 +340,8 @@
     /// Returns the latest time at which the data of `server` are proven to have been current.
     ///
     /// A server's own proof only shows that it had all data of the primary that it follows. That
-    /// primary was the only one while a write lease of its term was valid, so the proof counts until
-    /// the end of that lease at most.
+    /// primary was the only one while a write lease of its term was valid, so the proof counts
+    /// until the end of that lease at most.
     fn proven_at(&self, server: &Server) -> Option<Duration> {
         let proof = server.proof()?;
         let lease = self.leases.get(&proof.term)?;
@@ -348,8 +350,8 @@
 
     /// Picks one of the candidates.
     ///
-    /// It is the cheaper of two random ones in full health (power of two choices), where a server in
-    /// another zone costs its distance in addition. A replica on trial gets one read in
+    /// It is the cheaper of two random ones in full health (power of two choices), where a server
+    /// in another zone costs its distance in addition. A replica on trial gets one read in
     /// [`TRIAL_READ_INTERVAL`], and one that was set aside is used only if there is no other.
     fn pick(&self, candidates: &[ServerKey], random_bits: u64) -> Option<ServerKey> {
         let trial = self.in_health_state(candidates, HealthState::Trial);
@@ -383,6 +385,7 @@
             .collect()
     }
 
+    /// Returns the cheaper of two servers that `random_bits` pick from `pool`.
     fn cheaper_of_two(&self, pool: &[ServerKey], random_bits: u64) -> Option<ServerKey> {
         let count = pool.len() as u64;
         if count == 0 {
@@ -397,6 +400,7 @@
             .min_by_key(|key| self.cost(*key))
     }
 
+    /// Returns the expected latency of a request to a server, including its distance.
     fn cost(&self, key: ServerKey) -> Duration {
         let server = &self.servers[&key];
         let distance = if server.settings.zone == self.zone {
@@ -422,6 +426,7 @@
             .min()
     }
 
+    /// Returns how far the log of `server` is behind that of the primary, if both are known.
     fn primary_lag(&self, server: &Server) -> Option<u64> {
         let State::Open { primary, .. } = self.service.state else {
             return None;
@@ -430,6 +435,8 @@
         Some(head.log.saturating_sub(server.position()?.log))
     }
 
+    /// Returns the refusal of a read that no server can answer. `no_primary` is the refusal for a
+    /// read that only lacks a primary.
     fn refusal_for(&self, need: &Need, no_primary: Refusal, now: Duration) -> Refusal {
         if !self.servers.values().any(|server| server.is_reachable(now)) {
             return Refusal::NoServer {
@@ -460,6 +467,7 @@
         }
     }
 
+    /// Returns whether a reachable server has the position `wanted`.
     fn is_position_reachable(&self, wanted: Position, now: Duration) -> bool {
         let need = Need::Position {
             position: wanted,
--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -15,7 +15,9 @@
 use rand_chacha::ChaCha8Rng;
 
 const LEASE: Duration = Duration::from_millis(2500);
+/// Connection limit of the server.
 const LIMIT: u16 = 16;
+/// Number of schedules of a run without `FLAMINGOPOST_SCHEDULES`.
 const CI_SCHEDULES: u64 = 300;
 
 fn hosts(count: usize) -> Vec<HostKey> {
@@ -104,8 +106,8 @@
     assert_eq!(server_budget.floors().count(), 0);
 }
 
-/// A zone is cut off from its controller. Its hosts cannot renew, but still reach the servers in the
-/// zone. They keep their floors and close the other connections in time.
+/// A zone is cut off from its controller. Its hosts cannot renew, but still reach the servers in
+/// the zone. They keep their floors and close the other connections in time.
 #[test]
 fn a_cut_off_host_keeps_its_floor_and_closes_the_rest() {
     let mut server_budget = ServerBudget::new(LIMIT, Duration::ZERO);
@@ -133,7 +135,10 @@
     for incarnation in 0..100 {
         let now = seconds(5 * incarnation);
         let grant = server_budget.renew(renewal(host, incarnation, 4), now);
-        assert!(grant.leased >= 1, "life {incarnation} gets nothing");
+        assert!(
+            grant.leased >= 1,
+            "incarnation {incarnation} gets no connection"
+        );
     }
     let floors: u16 = server_budget
         .floors()
@@ -290,12 +295,12 @@
         let delay = Duration::from_millis(self.random.random_range(0..400));
         let same_zone = self.random.random_bool(0.4);
         let host = &self.hosts[index];
-        let ask = Renewal {
+        let request = Renewal {
             same_zone,
             ..renewal(host.key, host.incarnation, demand)
         };
         let (incarnation, sent) = (host.incarnation, host.clock(self.now));
-        let grant = self.server_budget.renew(ask, self.now + delay / 2);
+        let grant = self.server_budget.renew(request, self.now + delay / 2);
         if self.random.random_ratio(1, 5) {
             return;
         }
@@ -308,8 +313,8 @@
         });
     }
 
-    /// Kills the process. Its machine may be lost as well, so the server keeps its connections for a
-    /// while.
+    /// Kills the process. Its machine may be lost as well, so the server keeps its connections for
+    /// a while.
     fn kill(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         let clock = host.clock(self.now);
--- a/crates/core/tests/dispatch/main.rs
+++ b/crates/core/tests/dispatch/main.rs
@@ -62,7 +62,7 @@
     assert_eq!(
         dispatch.tick(now).len(),
         3,
-        "one connection each is opened ahead"
+        "one connection to each server is opened ahead of need"
     );
     for (index, key) in keys.into_iter().enumerate() {
         dispatch.connection_opened(key, index as u64 + 1, now);
@@ -77,8 +77,9 @@
     })
 }
 
-/// A lot view accepts data that are a second old. The replica in the host's zone has them. A read at
-/// the primary in another zone would take a slot that bids need, and cause traffic between zones.
+/// A lot view accepts data that are a second old. The replica in the host's zone has them. A read
+/// at the primary in another zone would take a slot that bids need, and cause traffic between
+/// zones.
 #[test]
 fn a_read_goes_to_the_replica_in_the_same_zone() {
     let now = ms(5_000);
