--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -1,4 +1,4 @@
-//! Who may act for a shard, and who may claim it.
+//! Authority over a shard: which process may act for it, and which may claim it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -55,7 +55,7 @@
     }
 }
 
-/// A controller with two standbys that it met before its last read, at 10 s.
+/// A controller whose two standbys both answered before its last read, which was sent at 10 s.
 fn controller(hosts: &Hosts) -> (ShardAuthority, Row) {
     let row = row(hosts.controller, &[hosts.first, hosts.second]);
     let mut holder = ShardAuthority::new(row.clone(), None, secs(9), secs(9));
@@ -83,9 +83,9 @@
     }
 }
 
-/// Two controllers grant leases at once: the answer to a read of the row was under way for two
-/// seconds, and the old controller counted its authority from the arrival. A successor waits from
-/// its own write, which may have followed the read at once.
+/// Guards against two controllers that grant leases at once. The answer to a read of the row takes
+/// two seconds, and the old controller counts its authority from the arrival of the answer. The
+/// successor waits from its own write, which may have directly followed the read.
 #[test]
 fn authority_is_counted_from_when_the_read_was_sent() {
     let hosts = hosts();
@@ -95,8 +95,8 @@
     assert!(!holder.may_act(secs(12) + timing::AUTHORITY));
 }
 
-/// A lease runs on after the authority behind it has ended, and the successor does not know of
-/// it. Cause: a lease of full length granted late in an authority.
+/// Guards against a lease that outlives the authority under which it was granted, and that the
+/// successor does not know of. Cause: a lease of full length granted late in an authority.
 #[test]
 fn no_lease_outlives_the_authority() {
     let hosts = hosts();
@@ -108,7 +108,8 @@
     }
 }
 
-/// Writes stop when the table service goes away, although nothing of ours is broken.
+/// Guards against writes that stop during an outage of the table service although all hosts and
+/// servers work.
 #[test]
 fn promises_of_all_standbys_extend_the_authority_in_an_outage() {
     let hosts = hosts();
@@ -121,8 +122,9 @@
     }
 }
 
-/// In an outage a standby that is cut off finds the table and claims, and the controller goes on
-/// with the other's promise. Cause: promises of some standbys taken for those of all.
+/// Guards against two controllers after an outage: a standby that was cut off from the controller
+/// reaches the table and claims, while the controller relies on the other standby's promise. Cause:
+/// the promises of some standbys are treated as those of all.
 #[test]
 fn one_missing_promise_ends_the_authority() {
     let hosts = hosts();
@@ -131,10 +133,10 @@
     assert!(!holder.may_act(secs(13)));
 }
 
-/// A write is acknowledged in a term that has been replaced, found by schedule 1947. Order: a
-/// standby claims and promotes, the table goes down, the standby restarts with nothing in memory,
-/// the cut between it and the old controller ends, and it promises. Cause: a promise by a process
-/// that does not know what the one before it did.
+/// Guards against a write that is acknowledged in a replaced term, found by schedule 1947. Order of
+/// events: a standby claims and promotes, the table goes down, the standby restarts and loses its
+/// memory, the partition between it and the old controller ends, and it promises. Cause: a promise
+/// by a process that does not know what the process before it did.
 #[test]
 fn a_restarted_standby_does_not_revive_an_authority() {
     let hosts = hosts();
@@ -150,13 +152,13 @@
     }
     assert!(
         holder.may_act(secs(45)),
-        "the row still named it after both had answered"
+        "the row still named this controller after both standbys had answered"
     );
 }
 
-/// Writes stop in an outage because a standby's host was restarted, which it is every day. Its
-/// earlier process could not claim while its promise was running, and the new one was asked
-/// within that time.
+/// Guards against writes that stop in an outage because a standby's host restarts, which happens
+/// every day. The earlier process could not claim while its promise was running, and the new
+/// process receives a heartbeat within that time.
 #[test]
 fn a_standby_may_restart_in_an_outage() {
     let hosts = hosts();
@@ -174,8 +176,8 @@
     assert!(holder.may_act(secs(15)));
 }
 
-/// An old controller acts by promises of standbys that were replaced in the table by a write
-/// whose answer it never got. Cause: a lost answer taken for a write that did not happen.
+/// Guards against an old controller that relies on promises of standbys that a write of its own has
+/// replaced in the table. Cause: a write whose answer was lost is treated as one that failed.
 #[test]
 fn standbys_named_by_a_lost_write_have_to_promise_too() {
     let hosts = hosts();
@@ -202,7 +204,7 @@
     assert!(!holder.may_act(now + secs(3)));
 }
 
-/// Two controllers at once: a standby claims although it has just promised not to.
+/// Guards against two controllers: a standby claims although it has just promised not to.
 #[test]
 fn a_standby_keeps_its_promise() {
     let hosts = hosts();
@@ -221,7 +223,7 @@
     assert!(!row.standbys.contains(&hosts.first));
 }
 
-/// Two controllers at once: a standby restarts, does not remember its promise, and claims.
+/// Guards against two controllers: a standby restarts, does not remember its promise, and claims.
 #[test]
 fn a_restarted_standby_waits_until_earlier_promises_have_lapsed() {
     let hosts = hosts();
@@ -236,7 +238,7 @@
     assert!(standby.claim(late).is_some());
 }
 
-/// The old controller goes on by a promise that was given while the claim was under way.
+/// Guards against an old controller that relies on a promise given while a claim is in progress.
 #[test]
 fn a_standby_with_a_pending_claim_gives_no_promise() {
     let hosts = hosts();
@@ -256,7 +258,7 @@
     assert!(matches!(seat, ClaimOutcome::Won { .. }));
 }
 
-/// A host that nobody has heard of takes a shard over from a healthy controller.
+/// Guards against a host that is not a named standby taking over from a healthy controller.
 #[test]
 fn an_unnamed_host_claims_only_after_the_orphan_timeout() {
     let hosts = hosts();
@@ -270,7 +272,7 @@
     assert!(other.claim(last).is_some());
 }
 
-/// A controller that has only promises goes on for longer than a host that is not named waits.
+/// Guards against a controller that relies on promises for longer than an unnamed host waits.
 #[test]
 fn a_controller_stops_before_an_unnamed_host_claims() {
     let hosts = hosts();
@@ -283,9 +285,9 @@
     assert!(!holder.may_act(last - LATENCY));
 }
 
-/// Writes stop for seconds at each planned restart of a controller. It tells its successor which
-/// leases it granted, and only those are waited for; an answer by a later process on its host
-/// says nothing of them.
+/// Guards against writes that stop for seconds at each planned restart of a controller. The old
+/// controller reports the leases that it granted, and the successor waits only for those. An answer
+/// from a later process on the same host does not count.
 #[test]
 fn a_successor_waits_only_for_the_leases_of_a_released_authority() {
     let hosts = hosts();
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -75,9 +75,9 @@
     Position { term, log }
 }
 
-/// A caller is told that its bid is in, and it is not: the entry host was paused between the
-/// backend server's answer and its own, its lease lapsed, and a replica was promoted without the
-/// bid. Cause: a lease that is checked only before the statement is sent.
+/// Guards against an acknowledged write that is lost. The entry host is paused between the backend
+/// server's answer and its own, its lease lapses, and a replica without the write is promoted.
+/// Cause: the lease is checked only before the statement is sent.
 #[test]
 fn an_answer_after_the_lease_is_not_acknowledged() {
     let fixture = fixture();
@@ -94,8 +94,8 @@
     assert_eq!(holder.acknowledged(fixture.service), None);
 }
 
-/// A lease outlives what the controller waits for, because the renewal's answer was under way
-/// for two seconds. Cause: a lease counted from the answer's arrival.
+/// Guards against a lease that runs longer than the controller waits for it, because the answer to
+/// the renewal took two seconds. Cause: a lease that is counted from the arrival of the answer.
 #[test]
 fn a_lease_is_counted_from_when_its_renewal_was_sent() {
     let fixture = fixture();
@@ -109,8 +109,8 @@
     assert_eq!(answer, Acknowledge::Unknown);
 }
 
-/// A host counts a lease on a view that it does not act by: a grant was overtaken by the
-/// revocation. No write of the closed term may come of it.
+/// Guards against a lease for a view that is not the current one: a revocation overtakes the grant.
+/// No write of the closed term may be acknowledged afterwards.
 #[test]
 fn a_grant_overtaken_by_a_revocation_gives_no_lease() {
     let fixture = fixture();
@@ -124,8 +124,8 @@
     assert_eq!(holder.leader(fixture.service, at(1_600)), over);
 }
 
-/// The controller promotes a replica that lacks an acknowledged write, although a better one was
-/// there. Cause: a revocation answered without what had been acknowledged.
+/// Guards against the promotion of a replica that lacks an acknowledged write although another
+/// replica has it. Cause: an answer to a revocation that omits the acknowledged positions.
 #[test]
 fn a_revocation_returns_the_acknowledged_positions() {
     let fixture = fixture();
@@ -153,8 +153,8 @@
     assert_eq!(late, Acknowledge::Unknown);
 }
 
-/// After a promotion, writes wait for the next renewal although the host was told of the new
-/// term. Cause: a lease thrown away with the view it was granted on.
+/// Guards against writes that wait for the next renewal after a promotion although the host has
+/// received the new view. Cause: a lease that is dropped with the view that it was granted for.
 #[test]
 fn a_pushed_view_is_used_under_the_running_lease() {
     let fixture = fixture();
@@ -171,8 +171,8 @@
     assert_eq!(done, Acknowledge::Done);
 }
 
-/// A write sent to the old primary is acknowledged as one of the new term. Cause: the term of the
-/// backend server's own position was ignored.
+/// Guards against a write to the old primary that is acknowledged as one of the new term. Cause: the
+/// term of the backend server's position is ignored.
 #[test]
 fn a_position_of_another_term_is_not_acknowledged() {
     let fixture = fixture();
@@ -187,7 +187,7 @@
     assert_eq!(answer, Acknowledge::Unknown);
 }
 
-/// A lease without the view it covers says nothing about who leads.
+/// A grant for a view that the host never received gives no lease and no leader.
 #[test]
 fn a_grant_without_its_view_gives_no_lease() {
     let fixture = fixture();
@@ -201,9 +201,9 @@
     assert_eq!(holder.leader(fixture.service, at(1)), Leader::Unknown);
 }
 
-/// A write is acknowledged by a primary that has been replaced: a host that was stopping had given
-/// its lease up, so nobody waited for it, and a request that was still running there came to an
-/// end, or an earlier grant arrived.
+/// Guards against a write that is acknowledged by a replaced primary. A stopping host gives up its
+/// lease, so the promotion does not wait for it. Then a request that was still running there ends,
+/// or an earlier grant arrives.
 #[test]
 fn a_lease_that_was_given_up_stays_over() {
     let fixture = fixture();
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Hosts that join, fall silent, come back and leave; servers that leave.
+//! Hosts that join, stop sending heartbeats, return and leave; servers that leave.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,8 +23,8 @@
     Process { host, incarnation }
 }
 
-/// The platform's list still calls a host live that was switched off a while ago. Its silence
-/// counts, not the list.
+/// The platform's list still shows a host as live that was switched off a while ago. The missing
+/// heartbeats count, not the list.
 #[test]
 fn the_list_does_not_keep_a_silent_host_alive() {
     let host = Directory::default().hosts.intern("bole-1");
@@ -37,7 +37,8 @@
     assert_eq!(membership.state(process(host, 1), now), State::Gone);
 }
 
-/// The list has lost a host that works: a lagging list must not cost callers their host.
+/// A host that works is missing from the platform's list. A lagging list must not take a working
+/// host away from its callers.
 #[test]
 fn an_unlisted_host_is_live_while_it_sends_heartbeats() {
     let host = Directory::default().hosts.intern("bole-1");
@@ -48,8 +49,8 @@
     assert_eq!(membership.state(process(host, 1), now), State::Live);
 }
 
-/// A host restarts within a second. What its earlier process held may still be in use, so both
-/// are kept apart until the earlier one has been silent for long.
+/// A host restarts within a second. Resources of its earlier process may still be in use, so both
+/// processes are tracked until the earlier one has sent no heartbeat for a long time.
 #[test]
 fn a_restarted_host_is_a_new_process() {
     let host = Directory::default().hosts.intern("bole-1");
@@ -73,7 +74,7 @@
     assert_eq!(membership.members().count(), 1);
 }
 
-/// A process is paused for longer than anybody waits, and goes on as if nothing had happened.
+/// A process is paused for longer than any timeout, and then continues with its state intact.
 #[test]
 fn a_paused_process_comes_back_as_itself() {
     let process = process(HostKey::default(), 1);
@@ -108,8 +109,8 @@
     assert!(GONE_AFTER > timing::LEASE * 2);
 }
 
-/// An operator drains a server that the platform has called leaving as well. Taking back the
-/// drain alone must not send work to a server that is about to be switched off.
+/// An operator drains a server that the platform lists as leaving as well. Undoing the drain alone
+/// must not send work to a server that is about to be switched off.
 #[test]
 fn a_server_returns_when_no_source_reports_it_as_leaving() {
     let mut directory = Directory::default();
--- a/crates/core/tests/promotion.rs
+++ b/crates/core/tests/promotion.rs
@@ -82,7 +82,7 @@
 }
 
 impl Scenario {
-    /// What is wanted now, apart from questions.
+    /// Returns the actions that are due now, except for status queries.
     fn step(&mut self) -> Vec<PromotionAction> {
         let mut actions = self.promotion.step(1, self.committed, self.now);
         actions.retain(|action| !matches!(action, PromotionAction::QueryStatus(_)));
@@ -93,7 +93,7 @@
         self.now += span;
     }
 
-    /// Closes the term with one lease running until `until`.
+    /// Closes the term while one lease runs until `until`.
     fn close(&mut self, until: Duration) {
         let actions = self.step();
         let [PromotionAction::Commit(closed)] = &actions[..] else {
@@ -131,8 +131,9 @@
     }
 }
 
-/// A write of the old term is acknowledged after the new one has begun. Cause: a promotion before
-/// every holder had answered or its lease had lapsed, or before the row said that the term is over.
+/// Guards against a write of the old term that is acknowledged after the new term has begun. Cause:
+/// a promotion before every holder has answered or its lease has lapsed, or before the closed term
+/// is committed to the row.
 #[test]
 fn no_server_is_promoted_while_a_lease_may_run() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -153,7 +154,8 @@
     assert!(scenario.order().is_some());
 }
 
-/// An acknowledged write is lost although a replica has it: the nearer one was promoted.
+/// Guards against the loss of an acknowledged write that a replica has, because another replica was
+/// promoted.
 #[test]
 fn the_replica_with_every_acknowledged_write_is_chosen() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -162,7 +164,11 @@
     scenario
         .promotion
         .on_status(scenario.near, Some(replica(8)));
-    assert_eq!(scenario.order(), None, "another may have it");
+    assert_eq!(
+        scenario.order(),
+        None,
+        "the other replica may have the write"
+    );
     scenario.pass(timing::RETRY);
     scenario.promotion.on_status(scenario.far, Some(replica(9)));
     assert_eq!(scenario.order(), Some((scenario.far, NEW_TERM)));
@@ -175,9 +181,9 @@
     assert!(open.losses.is_empty());
 }
 
-/// A server loses the end of its log between its answer and the order, because an old controller's
-/// order to follow another one was late; it is promoted and the acknowledged write is gone. The
-/// order names what the log has to contain, and the server refuses.
+/// Guards against the loss of an acknowledged write when a server loses the end of its log between
+/// its status and the order, because a late order of an old controller made it follow another
+/// server. The order names the position that the log must contain, and the server refuses.
 #[test]
 fn an_order_names_the_log_that_it_needs() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -194,8 +200,8 @@
     assert_eq!(scenario.step(), [order]);
 }
 
-/// All writes of a term are lost, because a server that missed that term has the longer log: it
-/// led the term before, and wrote on behind a cut.
+/// Guards against the loss of all writes of a term. A server that missed that term has a longer log,
+/// because it led the term before and went on writing on its side of a partition.
 #[test]
 fn a_longer_log_of_an_older_term_is_not_taken() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -217,7 +223,7 @@
     assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
 }
 
-/// A caller's acknowledged write is gone and no record says so.
+/// Guards against an acknowledged write that is lost without a record.
 #[test]
 fn writes_that_no_server_has_are_recorded_as_lost() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -241,7 +247,8 @@
     );
 }
 
-/// A loss passes for complete although a holder that was cut off may have acknowledged more.
+/// Guards against a loss record that counts as complete although a holder that was cut off may have
+/// acknowledged more.
 #[test]
 fn an_unreachable_holder_makes_the_loss_record_incomplete() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -258,11 +265,11 @@
         .promotion
         .on_status(scenario.near, Some(leads(NEW_TERM, 7)));
     let open = scenario.open();
-    assert!(!open.losses.first().expect("it says so").complete);
+    assert!(!open.losses.first().expect("a loss is recorded").complete);
 }
 
-/// A loss passes for complete, found by schedule 111335: the promotion before could not ask
-/// everybody, and this one goes back to a log from before it.
+/// Guards against a loss record that wrongly counts as complete, found by schedule 111335. The
+/// previous promotion could not ask every holder, and this one returns to a log from before it.
 #[test]
 fn an_incomplete_loss_record_is_carried_forward() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -287,7 +294,7 @@
     scenario.pass(timing::GATHER);
     scenario.step();
     scenario.pass(timing::GATHER);
-    let (server, term) = scenario.order().expect("one is there");
+    let (server, term) = scenario.order().expect("a server is chosen");
     scenario.promotion.on_status(server, Some(leads(term, 8)));
     let open = scenario.open();
     assert!(
@@ -297,9 +304,9 @@
     );
 }
 
-/// The writes of a term that the row does not know are dropped and no record says so, found by
-/// schedule 104963: a server is known to have followed that term, and the one that led it has not
-/// answered yet. Cause: a choice made as soon as somebody has all that the row's term wrote.
+/// Guards against writes of a term unknown to the row that are dropped without a record, found by
+/// schedule 104963. One server is known to have followed that term, and the server that led it has
+/// not answered yet. Cause: a server is chosen as soon as it has every write of the row's term.
 #[test]
 fn a_promotion_waits_for_the_rival_to_answer() {
     let mut scenario = scenario(Reason::Rival);
@@ -314,7 +321,7 @@
         .promotion
         .on_status(scenario.old, Some(leads(OLD_TERM, 9)));
     scenario.promotion.on_status(scenario.far, Some(follows));
-    assert_eq!(scenario.order(), None, "the rival may answer yet");
+    assert_eq!(scenario.order(), None, "the rival may still answer");
     let rival = Status {
         position: Position {
             term: NEW_TERM,
@@ -323,7 +330,7 @@
         ..leads(NEW_TERM, 8)
     };
     scenario.promotion.on_status(scenario.near, Some(rival));
-    // Nobody knows on which log the rival's term went on, so the last write may be missing there.
+    // It is unknown which log the rival's term continues, so it may lack the last write.
     assert_eq!(scenario.order(), None);
     scenario.pass(timing::STILL);
     let after = Term { epoch: 1, count: 2 };
@@ -338,8 +345,8 @@
     assert!(!scenario.open().losses.iter().any(|loss| loss.complete));
 }
 
-/// The service hangs, or gets two primaries of one term, because the answer to a promotion was
-/// lost. The server's own status tells what became of it.
+/// Guards against a service that hangs, or gets two primaries of one term, because the answer to a
+/// promotion order was lost. The server's own status shows the outcome.
 #[test]
 fn a_lost_answer_is_resolved_by_the_status() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -356,7 +363,7 @@
     assert_eq!(
         scenario.order(),
         Some((scenario.near, NEW_TERM)),
-        "the same order again"
+        "the same order is repeated"
     );
     scenario
         .promotion
@@ -364,8 +371,8 @@
     assert_eq!(scenario.open().history.start(NEW_TERM), Some(7));
 }
 
-/// A server that may yet take the term is given up for another, and both lead it. Cause: the same
-/// term ordered twice.
+/// Guards against two primaries of one term. A server does not confirm in time but may yet take the
+/// term, and another server is ordered instead. Cause: the same term is used in both orders.
 #[test]
 fn each_promoted_server_gets_its_own_term() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -383,7 +390,7 @@
     assert_eq!(scenario.order(), Some((scenario.far, after)));
 }
 
-/// A promotion never ends because a server knows a greater term than the row.
+/// Guards against a promotion that never ends because a server knows a greater term than the row.
 #[test]
 fn a_refusal_leads_to_a_greater_term() {
     let mut scenario = scenario(Reason::Unreachable);
@@ -407,7 +414,7 @@
     assert_eq!(scenario.order(), Some((scenario.near, greater)));
 }
 
-/// A switchover loses the writes that the replica had not got yet.
+/// Guards against a switchover that loses writes that the replica has not received yet.
 #[test]
 fn a_switchover_waits_until_the_replica_has_every_write() {
     let mut scenario = scenario(Reason::Leaving);
@@ -419,7 +426,11 @@
         ..replica(40)
     };
     scenario.promotion.on_status(scenario.near, Some(behind));
-    assert_eq!(scenario.step(), [], "writes go on while no replica is near");
+    assert_eq!(
+        scenario.step(),
+        [],
+        "writes continue while no replica is close behind"
+    );
     scenario
         .promotion
         .on_status(scenario.near, Some(replica(99)));
@@ -430,14 +441,15 @@
         .promotion
         .on_status(scenario.old, Some(leads(OLD_TERM, 102)));
     scenario.pass(timing::CATCH_UP);
-    assert_eq!(scenario.order(), None, "not all is there yet");
+    assert_eq!(scenario.order(), None, "the replica lacks writes");
     scenario
         .promotion
         .on_status(scenario.near, Some(replica(102)));
     assert_eq!(scenario.order(), Some((scenario.near, NEW_TERM)));
 }
 
-/// A switchover whose replica never arrives ends in a loss instead of staying where it was.
+/// Guards against a switchover that loses writes because the replica never catches up. The old
+/// primary is promoted again instead.
 #[test]
 fn a_switchover_without_a_caught_up_replica_stays_with_the_old_primary() {
     let mut scenario = scenario(Reason::Leaving);
--- a/crates/core/tests/row.rs
+++ b/crates/core/tests/row.rs
@@ -1,4 +1,4 @@
-//! What a shard's row knows of the terms of a service.
+//! The history of a service's terms in the row of its shard.
 
 use flamingopost_core::history::Verdict;
 use flamingopost_core::key::ServerKey;
@@ -30,10 +30,10 @@
     service
 }
 
-/// A lost write passes for kept, found by schedule 121192. Order: the second term goes on without
-/// the last write of the first; a server that still has that write is promoted, and fails before
-/// it has written; then a server of the second term is. Cause: the second term was forgotten when
-/// it was passed over, and with it what it had cut off.
+/// Guards against a lost write that counts as kept, found by schedule 121192. Order of events: the
+/// second term continues without the last write of the first; a server that still has that write is
+/// promoted and fails before it writes; then a server of the second term is promoted. Cause: the
+/// second term's origin is dropped when the term is abandoned, and with it what the term cut off.
 #[test]
 fn a_promotion_of_an_abandoned_log_knows_what_was_cut_off() {
     let first = at(0, 0);
@@ -50,8 +50,8 @@
     ));
 }
 
-/// A loss does not fit its record, found by schedules 3728 and 8572: of two promotions in a row,
-/// the term between them wrote nothing and seemed to have been passed over.
+/// Guards against a loss that does not match its record, found by schedules 3728 and 8572. The term
+/// between two successive promotions has no writes and is treated as abandoned.
 #[test]
 fn a_term_without_writes_stays_in_the_history() {
     let service = opened(&[at(0, 0), at(0, 524), at(0, 524)]);
@@ -62,8 +62,9 @@
     assert_eq!(service.history.judge(at(0, 525)), lost);
 }
 
-/// A lost write passes for kept, found by schedule 130995: a term of which the row knows nothing
-/// is part of the only log that is left. Where it began is not known, nor on which log it went on.
+/// Guards against a lost write that counts as kept, found by schedule 130995. A term that the row
+/// does not know is part of the only remaining log. Neither where it began nor which log it
+/// continued is known.
 #[test]
 fn writes_before_an_unrecorded_term_count_as_lost() {
     let mut service = opened(&[at(0, 0), at(0, 1370)]);
--- a/crates/core/tests/submission.rs
+++ b/crates/core/tests/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions of racing operators against a store that loses answers and goes down.
+//! Concurrent submissions of operators to a store that loses answers and has outages.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +16,8 @@
     }
 }
 
-/// Two operators edit version 3 at the same moment. The second one's write loses; they are told
-/// who was first, and nothing of theirs is half in force.
+/// Two operators submit on top of version 3 at the same time. The second write fails, its operator
+/// gets the record of the winner, and no part of the second submission is in force.
 #[test]
 fn the_slower_of_two_operators_gets_a_conflict() {
     let (mut slower, _) = Submission::new(record(3, "slower"));
@@ -32,9 +32,9 @@
     assert_eq!(step, Step::Finish(Outcome::Conflict(Box::new(first))));
 }
 
-/// The write takes effect, its answer is lost, and the platform goes down before it can be read
-/// back. The operator is told that the outcome is unknown, not that nothing was done; when they
-/// submit again with the same id they learn that it had been accepted.
+/// The write takes effect, its answer is lost, and the platform goes down before the record can be
+/// read back. The operator gets the outcome "unknown" rather than "unavailable". Submitting again
+/// with the same id shows that the version was accepted.
 #[test]
 fn a_permanently_lost_answer_is_resolved_by_the_same_id() {
     let (mut submission, _) = Submission::new(record(0, "mine"));
@@ -61,8 +61,8 @@
     assert_eq!(step, Step::Finish(Outcome::Unavailable));
 }
 
-/// The store takes the body and its answers are lost, again and again. Reading the body back is
-/// enough to go on; putting it again would end in "unavailable" for a platform that works.
+/// The store accepts the body, but every answer is lost. Reading the body back is enough to continue;
+/// putting it again would end in "unavailable" although the platform works.
 #[test]
 fn a_body_whose_answer_is_lost_is_read_back() {
     let (mut submission, _) = Submission::new(record(0, "mine"));
@@ -73,13 +73,13 @@
     assert_eq!(submission.next(Event::BodyRead(Ok(true))), Step::ReadHead);
 }
 
-/// A table whose writes may be refused, lose their answers, or take effect late.
+/// A store whose writes may be refused, lose their answers, or take effect late.
 #[derive(Debug, Default)]
 struct Store {
     head: Option<Record>,
     records: BTreeMap<u64, Record>,
     bodies: Vec<Digest>,
-    /// Writes that were given up on by their sender and are still under way.
+    /// Writes whose sender has given up waiting, and which may still take effect.
     late: Vec<(Option<u64>, Record)>,
     down: bool,
 }
@@ -96,7 +96,7 @@
             assert_eq!(
                 record.version,
                 current.unwrap_or(0) + 1,
-                "a version was left out"
+                "a version number was skipped"
             );
             self.head = Some(record.clone());
             self.records.insert(record.version, record.clone());
@@ -175,8 +175,8 @@
     }
 }
 
-/// Operators race while the store loses answers, goes down and lets writes take effect late.
-/// What each of them is told has to be true in the end.
+/// Runs concurrent operators while the store loses answers, goes down and applies writes late.
+/// The outcome that each operator gets must be true in the end.
 fn run_schedule(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut store = Store::default();
@@ -222,18 +222,24 @@
     let attempts = attempts.filter(|other| other.submission == record.submission);
     let only_attempt = attempts.count() == 1;
     match &operator.step {
-        Step::Finish(Outcome::Accepted) => assert!(mine, "seed {seed}: accepted and not kept"),
+        Step::Finish(Outcome::Accepted) => {
+            assert!(mine, "seed {seed}: reported as accepted, but not stored")
+        }
         Step::Finish(Outcome::Conflict(winner)) => {
-            assert!(!mine, "seed {seed}: a conflict with itself");
-            assert_eq!(kept, Some(&**winner), "seed {seed}: the wrong winner");
+            assert!(!mine, "seed {seed}: conflict of a submission with itself");
+            assert_eq!(
+                kept,
+                Some(&**winner),
+                "seed {seed}: conflict with the wrong winner"
+            );
         }
         Step::Finish(Outcome::Unavailable) if only_attempt => {
-            assert!(!mine, "seed {seed}: done, and said to be not done");
+            assert!(!mine, "seed {seed}: accepted, but reported as unavailable");
         }
         Step::Finish(Outcome::NoSuchBase { .. }) if only_attempt => {
             assert!(
                 !mine,
-                "seed {seed}: accepted over a base that was said not to be there"
+                "seed {seed}: accepted, but its base was reported as missing"
             );
         }
         _ => {}
