--- a/crates/core/src/authority_standby.rs
+++ b/crates/core/src/authority_standby.rs
@@ -264,8 +264,8 @@
             return false;
         }
         match &seen.row {
-            // There has never been a controller. Hosts start together, and the table's compare-and-set
-            // decides between them.
+            // There has never been a controller. Hosts start together, and the table's
+            // compare-and-set decides between them.
             None => true,
             Some(row) => self.may_replace(row, seen.first_seen, now),
         }
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -6,8 +6,8 @@
 //!    out the returned actions, none of which waits for another;
 //! 2. report each outcome: [`Controller::on_row_read`], [`Controller::on_write_outcome`],
 //!    [`Controller::on_promise`], [`Controller::on_released`], [`Controller::on_closed`],
-//!    [`Controller::on_status`], [`Controller::on_promoted`]; an action without an answer in time is
-//!    reported as unknown, or not at all if it has no such outcome;
+//!    [`Controller::on_status`], [`Controller::on_promoted`]; an action without an answer in time
+//!    is reported as unknown, or not at all if it has no such outcome;
 //! 3. answer requests of other processes: [`Controller::on_heartbeat`], [`Controller::release`],
 //!    [`Controller::on_renewal`];
 //! 4. report changes: [`Controller::configure`], [`Controller::set_standby_candidates`].
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -105,7 +105,8 @@
         for server in group.servers.keys().filter(|server| **server != primary) {
             let behind = |status: &Status| status.term < term || status.leads;
             if self.statuses.get(server).is_some_and(behind) {
-                // Ordered again only after the next status, so that one order at a time is in progress.
+                // Ordered again only after the next status, so that one order at a time is in
+                // progress.
                 self.statuses.remove(server);
                 actions.push(Action::Follow {
                     server: *server,
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -190,8 +190,8 @@
 
 /// Servers that receive no new work, with the sources that report them as leaving.
 ///
-/// The newest report of a source replaces its previous one as a whole. A server gets work again once
-/// no source reports it as leaving.
+/// The newest report of a source replaces its previous one as a whole. A server gets work again
+/// once no source reports it as leaving.
 ///
 /// ```
 /// use std::collections::BTreeSet;
--- a/crates/core/tests/leadership/failures.rs
+++ b/crates/core/tests/leadership/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of leadership, two at once, each in its shortest form.
+//! Minimal scenarios of leadership failures, most of them with two faults at once.
 
 use std::time::Duration;
 
@@ -6,13 +6,14 @@
 use flamingopost_core::history::Verdict;
 use flamingopost_core::row::{Loss, Service};
 
+/// Longer than any scenario runs.
 const LONG: Duration = Duration::from_secs(1_000);
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A world in which both services have taken writes for a while.
+/// Returns a world that has run for 8 s and in which writes were acknowledged after 7 s.
 fn warmed_up(seed: u64) -> World {
     let mut world = World::new(seed);
     world.run(Duration::from_secs(8));
@@ -25,7 +26,8 @@
     world.acknowledged.iter().filter(since).count()
 }
 
-/// Time from `since` to the first write that is acknowledged in a term after the present one.
+/// Runs until a write is acknowledged in a term after the present one, and returns how long that
+/// took; `None` if it took longer than `within`.
 fn time_to_new_term(world: &mut World, service: usize, within: Duration) -> Option<Duration> {
     let (since, over) = (world.now, world.opened[service]);
     let end = world.now + within;
@@ -44,7 +46,7 @@
 }
 
 fn service(world: &World, index: usize) -> Service {
-    let host = world.controller_host().expect("nobody controls the shard");
+    let host = world.controller_host().expect("no host controls the shard");
     let row = world.controls[host]
         .1
         .row()
@@ -58,8 +60,9 @@
     world.host(*first)
 }
 
-/// A primary dies while the platform's table is down, and writes stop until it is back. Cause: a
-/// promotion that needs the table. The named standbys keep the row meanwhile.
+/// Guards against writes that stop until the table is available again when a primary fails during
+/// an outage of the table. Cause: a promotion that needs the table. During the outage the named
+/// standbys keep the row.
 #[test]
 fn promotion_while_the_table_is_down() {
     let mut world = warmed_up(1);
@@ -81,13 +84,13 @@
     assert_eq!(
         term_in_table(&world),
         opened,
-        "the table learns of the term when it is back"
+        "the term is written to the table after the outage"
     );
 }
 
-/// After the outage an old term is in use again, and writes of a newer one are gone. Order: the
-/// table goes down, a promotion is kept by the standbys, the controller dies, the table comes
-/// back with the old row. Cause: a successor that believes the table alone.
+/// Guards against a return to an old term after an outage, which loses the writes of a newer term.
+/// Order of events: the table goes down, the standbys keep a promotion, the controller fails, the
+/// table comes back with the old row. Cause: a successor that relies on the table alone.
 #[test]
 fn successor_knows_of_a_promotion_that_the_table_missed() {
     let mut world = warmed_up(2);
@@ -101,15 +104,15 @@
     let controller = world.controller_host().unwrap();
     world.inject(Fault::HostAlone(controller), LONG);
     world.run(world.now + Duration::from_secs(30));
-    let successor = world.controller_host().expect("nobody took over");
+    let successor = world.controller_host().expect("no host took over");
     assert_ne!(successor, controller);
     assert!(service(&world, 0).history.start(opened).is_some());
 }
 
-/// Kept writes are reported as lost, or a healthy primary is replaced. Order: a promotion in an
-/// outage is known to the controller and its standbys; the controller dies, one standby is
-/// restarted, and it is that one which claims when the table is back with the old row. Cause: a
-/// successor that does not ask the other standbys before it begins.
+/// Guards against kept writes that are reported as lost, and against the replacement of a healthy
+/// primary. Order of events: a promotion in an outage is known to the controller and its standbys;
+/// the controller fails, one standby restarts, and that standby claims when the table is back with
+/// the old row. Cause: a successor that does not ask the other standbys before it acts.
 #[test]
 fn a_successor_that_forgot_asks_the_other_standbys() {
     let mut world = warmed_up(11);
@@ -132,10 +135,11 @@
     assert_eq!(service(&world, 0), before);
 }
 
-/// A write is acknowledged by a primary that was replaced, found by schedule 105707. Order: in an
-/// outage a server is promoted that nobody else follows yet; then all hosts are restarted and that
-/// server is away; the old primary comes back, and the table with the old row. Cause: a successor
-/// that nobody can tell what happened, and that does not wait for the one server that could.
+/// Guards against a write that is acknowledged by a replaced primary, found by schedule 105707.
+/// Order of events: in an outage a server is promoted that no other server follows yet; then all
+/// hosts restart and that server goes down; the old primary comes back, and the table with the old
+/// row. Cause: a successor that has no witness and does not wait for the one server that knows the
+/// term.
 #[test]
 fn a_successor_with_no_witness_waits_for_all_servers() {
     let mut world = warmed_up(12);
@@ -151,15 +155,15 @@
 
     world.inject(Fault::ServerDown(second), Duration::from_secs(15));
     world.inject(Fault::RestartAll, millis(1));
-    // Each acknowledgement is checked against the newest term that was opened.
+    // Each acknowledgement is checked against the newest open term.
     world.run(world.now + Duration::from_secs(25));
     assert!(world.opened[0] > opened);
     assert!(acknowledged_since(&world, 0, world.now - millis(500)) > 0);
 }
 
-/// Two controllers act at once, and a write is acknowledged by a primary that one of them has
-/// replaced. Order: the controller is paused in the middle of its work, a standby takes over and
-/// promotes, the old one wakes up and goes on. Cause: authority that is not measured by a clock.
+/// Guards against two controllers that act at once, and a write that is acknowledged by a primary
+/// that one of them has replaced. Order of events: the controller is paused, a standby takes over
+/// and promotes, the old controller resumes. Cause: an authority without a time limit.
 #[test]
 fn controller_paused_across_a_takeover() {
     let mut world = warmed_up(3);
@@ -171,14 +175,14 @@
     let successor = world.controller_host().unwrap();
     assert_ne!(successor, controller);
 
-    // The checks of every step assert that the woken controller does nothing.
+    // Every step checks that at most one controller acts, so the resumed one must not act.
     world.run(world.now + Duration::from_secs(12));
     assert_eq!(world.controller_host(), Some(successor));
 }
 
-/// In an outage of the table one of the named standbys is cut off. It may find the table before
-/// anybody else and claim, so the controller has to stop; writes go on when it is back, and no
-/// longer than an authority lasts are they acknowledged without it.
+/// During an outage of the table one named standby is cut off. It may reach the table first and
+/// claim, so the controller has to stop: writes are acknowledged without that standby for no longer
+/// than an authority lasts, and resume when the standby is reachable again.
 #[test]
 fn standby_cut_off_in_an_outage_stops_writes_safely() {
     let mut world = warmed_up(4);
@@ -197,8 +201,8 @@
     assert!(acknowledged_since(&world, 0, world.now - Duration::from_secs(2)) > 0);
 }
 
-/// A promotion hangs or happens twice, because the table's answers are lost after its writes took
-/// effect. The writer reads back and finds its own row.
+/// Guards against a promotion that hangs or happens twice because the table's answers are lost
+/// after the writes took effect. The controller reads the table and finds its own row.
 #[test]
 fn table_answers_lost_during_a_promotion() {
     for seed in 5..15 {
@@ -210,9 +214,9 @@
     }
 }
 
-/// A zone is cut off with the primary, which goes on believing that it leads; entry hosts of the
-/// zone still reach it. Their leases lapse before the new term opens, so each acknowledged write
-/// is in the new log or known to be lost.
+/// An availability zone is cut off with the primary, which continues to act as one, and which the
+/// zone's entry hosts still reach. Their leases lapse before the new term opens, so each
+/// acknowledged write is in the new log or recorded as lost.
 #[test]
 fn both_sides_of_a_partition_are_alive() {
     let mut world = warmed_up(6);
@@ -227,7 +231,7 @@
     assert!(gap.is_some(), "no promotion within 13 s");
     assert!(
         world.servers[primary].leads,
-        "the old primary still believes"
+        "the old primary still considers itself the primary"
     );
 
     world.run(world.now + Duration::from_secs(45));
@@ -240,10 +244,11 @@
     }
 }
 
-/// A caller reads without its own write, and nobody says so. Order: term 1 ends on one server and
-/// term 2 goes on elsewhere without its last writes; then all servers of term 2 are gone and the
-/// first server is promoted with its old log. Cause, found by schedules 58, 99 and 112: a history
-/// of starts took positions of term 2 for a part of that log.
+/// Guards against a caller that silently reads without its own write. Order of events: term 1 ends
+/// on one server and term 2 continues on another without the last writes of term 1; then all
+/// servers of term 2 are gone and the first server is promoted with its old log. Cause, found by
+/// schedules 58, 99 and 112: a history of term starts treats positions of term 2 as part of that
+/// log.
 #[test]
 fn writes_of_an_abandoned_term_are_reported_as_lost() {
     let mut world = warmed_up(7);
@@ -270,7 +275,7 @@
     }
 }
 
-/// An operator empties a primary, and callers lose writes that had been acknowledged. Cause: a
+/// Guards against the loss of acknowledged writes when an operator drains a primary. Cause: a
 /// switchover that does not wait for the replica.
 #[test]
 fn a_planned_switchover_loses_nothing() {
@@ -284,9 +289,9 @@
     }
 }
 
-/// All hosts are replaced at once while the table is down, and nothing is served until somebody
-/// intervenes. Cause: hosts that remember nothing and wait for each other. Leases come back once
-/// the table does and the promises of before have lapsed.
+/// Guards against a fleet that needs an operator after all hosts restart at once while the table is
+/// down. Cause: hosts without state that wait for each other. Leases are granted again once the
+/// table is back and the earlier promises have lapsed.
 #[test]
 fn a_fleet_that_restarts_in_an_outage_comes_back() {
     let mut world = warmed_up(8);
@@ -297,8 +302,8 @@
     assert!(acknowledged_since(&world, 0, since) > 0);
 }
 
-/// Writes stop although every server is well: a controller dies. The next one is in place within
-/// a few seconds.
+/// Guards against writes that stop when a controller fails although every server is healthy. The
+/// next controller acts within a few seconds.
 #[test]
 fn a_dead_controller_is_replaced() {
     let mut world = warmed_up(9);
@@ -309,9 +314,10 @@
     assert!(acknowledged_since(&world, 0, since) > 0);
 }
 
-/// A service starts anew, and its callers are told that all they wrote is lost. Order: a service
-/// is added, and before the news is everywhere, a host that has not heard it takes over. Cause: a
-/// controller that drops from the row what its own configuration does not name.
+/// Guards against a service that is created a second time, with all its writes reported as lost.
+/// Order of events: a service is added, and before every host has the new configuration, a host
+/// without it takes over. Cause: a controller that removes services from the row that its own
+/// configuration does not contain.
 #[test]
 fn a_successor_with_an_older_configuration_keeps_all_services() {
     let mut world = warmed_up(10);
@@ -337,8 +343,8 @@
     assert!(acknowledged_since(&world, 1, since) > 0);
 }
 
-/// Writes are away for long after a primary died. The gap from its death to the first write that
-/// another one acknowledged, in simulated time, over forty schedules without other faults.
+/// Bounds the failover gap: the time from a primary's failure to the first write that is
+/// acknowledged in a new term. Simulated time, forty schedules without other faults.
 #[test]
 fn failover_gap_after_a_primary_fails() {
     let mut gaps = Vec::new();
@@ -356,8 +362,8 @@
     assert!(gaps[gaps.len() - 1] < millis(4_000));
 }
 
-/// The same where the zone of the primary is cut off with two lease holders, and in a third of
-/// the schedules with the controller too.
+/// Bounds the failover gap when the zone of the primary is cut off together with two lease holders,
+/// and in a third of the schedules also with the controller.
 #[test]
 fn failover_gap_after_a_zone_is_cut_off() {
     let mut gaps = Vec::new();
@@ -372,7 +378,8 @@
     assert!(gaps[gaps.len() - 1] < Duration::from_secs(13));
 }
 
-/// Writes stop for a moment when the controller's host dies, with all servers well.
+/// Bounds the gap in acknowledged writes when the controller's host fails and all servers are
+/// healthy.
 #[test]
 fn write_gap_after_a_controller_fails() {
     let mut gaps = Vec::new();
--- a/crates/core/tests/leadership/main.rs
+++ b/crates/core/tests/leadership/main.rs
@@ -1,4 +1,4 @@
-//! Leadership of a shard: random schedules, and failures in their shortest form.
+//! Leadership of a shard: random fault schedules and minimal failure scenarios.
 
 mod failures;
 mod schedules;
--- a/crates/core/tests/leadership/schedules.rs
+++ b/crates/core/tests/leadership/schedules.rs
@@ -1,4 +1,5 @@
-//! Random schedules over the leadership machines, with invariants checked at every step.
+//! Random fault schedules over the leadership state machines, with invariants checked at every
+//! step.
 //!
 //! `FLAMINGOPOST_SCHEDULES` sets how many schedules run and `FLAMINGOPOST_SEED` the first seed.
 
@@ -12,11 +13,12 @@
 use rand::RngExt;
 
 const SCHEDULES: u64 = 24;
+/// Time for recovery after the end of all faults.
 const SETTLE: Duration = Duration::from_secs(20);
 
-/// A caller is told that its write is done, and it is neither there nor reported as lost; or two
-/// servers, or two controllers, act at once. Any order of cuts, outages, pauses, restarts, lost
-/// and late messages may lead there. Each seed is one such order.
+/// Guards against acknowledged writes that are neither kept nor reported as lost, and against two
+/// primaries or two controllers that act at once. Each seed is one random order of partitions,
+/// outages, pauses, restarts, and lost and late messages.
 #[test]
 fn random_schedules_uphold_the_invariants() {
     let first = env_number("FLAMINGOPOST_SEED").unwrap_or(1);
@@ -62,16 +64,17 @@
         let pause = Duration::from_millis(world.rng.random_range(5..2_500));
         world.run(world.now + pause);
     }
-    // Faults that are still to pass do so within their spans.
+    // Faults that are still active end within their spans.
     world.run(world.now + Duration::from_secs(14));
     world.heal();
     world.run(world.now + SETTLE);
     check_recovery(world);
 }
 
-/// After all faults: every service takes writes, and each acknowledged write is kept or reported.
+/// Checks that after all faults every service takes writes, and that each acknowledged write is
+/// kept or reported as lost.
 fn check_recovery(world: &mut World) {
-    let host = world.controller_host().expect("nobody controls the shard");
+    let host = world.controller_host().expect("no host controls the shard");
     let row = world.controls[host]
         .1
         .row()
@@ -102,7 +105,7 @@
         let kept = log.get(position.log as usize - 1) == Some(&(position.term, *id));
         let verdict = state.history.judge(*position);
         match verdict {
-            Verdict::Kept => assert!(kept, "write {id} at {position} is lost and nobody knows"),
+            Verdict::Kept => assert!(kept, "write {id} at {position} is lost without a record"),
             Verdict::Unknown => panic!("{position} is of a term that the row does not know"),
             Verdict::Lost { ended_by, .. } if !kept => {
                 let known = state.losses.iter().any(|loss| {
--- a/crates/core/tests/leadership/world/control.rs
+++ b/crates/core/tests/leadership/world/control.rs
@@ -1,4 +1,6 @@
-//! A control process: it drives its machine and carries out what that wants.
+//! A control process: drives its [`Controller`] and carries out the actions.
+//!
+//! [`Controller`]: flamingopost_core::leadership::Controller
 
 use std::time::Duration;
 
@@ -148,7 +150,7 @@
         let index = self.server(server);
         let service = self.servers[index].service;
         self.trace(format!(
-            "h{host} orders b{index} to lead {term} from {at_least}"
+            "h{host} orders b{index} to lead {term}, at least from {at_least}"
         ));
         let hop = self.message_delay(host, self.servers[index].zone);
         let answer = move |world: &mut World, order| {
@@ -186,7 +188,7 @@
         });
     }
 
-    /// An order to a server and the way back of its answer; `None` when either is lost.
+    /// Sends an order to a server and passes on its answer, or `None` if either message is lost.
     pub fn call_server<T: 'static>(
         &mut self,
         host: usize,
@@ -219,7 +221,7 @@
         });
     }
 
-    /// A call to another control process and its answer.
+    /// Sends a request to another control process and handles its answer. Either may be lost.
     fn call_control<A: FnOnce(&mut World) + 'static>(
         &mut self,
         host: usize,
--- a/crates/core/tests/leadership/world/entry.rs
+++ b/crates/core/tests/leadership/world/entry.rs
@@ -1,4 +1,5 @@
-//! An entry host: it renews its lease, probes and reports, and writes for its callers.
+//! An entry host: renews its lease, probes servers and reports the results, and sends writes of its
+//! callers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The host stops in good order, with requests still running.
+    /// Starts a graceful stop of the host, with requests still running.
     pub fn stop_entry(&mut self, host: usize) {
         let process = self.process_at(Place::Entry(host));
         if process.paused <= self.now {
--- a/crates/core/tests/leadership/world/fault.rs
+++ b/crates/core/tests/leadership/world/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, and how a random schedule picks them.
+//! Faults and their random selection.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     ServerLeaves(usize),
     ZoneCut(usize),
     ZoneOffPlatform(usize),
-    /// The zone keeps the platform and loses the other zones.
+    /// The zone can reach the platform, but not the other zones.
     ZoneAlone(usize),
     HostAlone(usize),
     TableDown,
@@ -35,7 +35,7 @@
         let zone = world.rng.random_range(0..ZONES);
         let host = world.rng.random_range(0..HOSTS);
         let server = world.rng.random_range(0..SERVICES * ZONES);
-        // Most faults hit where they hurt: the primary, or the host of the controller.
+        // Most faults hit the primary or the controller's host, where they have most effect.
         let server = match world.rng.random_range(0..3) {
             0 => server,
             _ => world.any_primary().unwrap_or(server),
@@ -69,7 +69,7 @@
 }
 
 impl World {
-    /// Lets `fault` happen now and pass after `span`.
+    /// Starts `fault` now and ends it after `span`.
     pub fn inject(&mut self, fault: Fault, span: Duration) {
         self.trace(format!("{fault:?} for {span:?}"));
         self.apply(fault, true, span);
@@ -163,7 +163,7 @@
         self.primary(service)
     }
 
-    /// The server that leads the newest term that was opened.
+    /// Returns the server that leads the newest open term of `service`.
     pub fn primary(&self, service: usize) -> Option<usize> {
         let term = self.opened[service];
         let servers = service * ZONES..(service + 1) * ZONES;
--- a/crates/core/tests/leadership/world/mod.rs
+++ b/crates/core/tests/leadership/world/mod.rs
@@ -1,5 +1,6 @@
-//! A small world around the leadership machines: zones with hosts, each a control and an entry
-//! process; backend servers; one table; links that cut, lose and delay; clocks that drift.
+//! A simulated deployment around the leadership state machines: availability zones with hosts, each
+//! with a control and an entry process; backend servers; one table; links that are cut, lose and
+//! delay messages; clocks that drift.
 
 mod control;
 mod entry;
@@ -26,7 +27,7 @@
 pub const ZONES: usize = 3;
 pub const HOSTS: usize = 6;
 pub const SERVICES: usize = 2;
-/// The platform's place in the matrix of cuts.
+/// The platform's index in the matrix of cuts.
 pub const PLATFORM: usize = ZONES;
 
 type Callback = Box<dyn FnOnce(&mut World)>;
@@ -34,10 +35,11 @@
 /// A process that can be paused and restarted.
 #[derive(Debug, Clone, Copy)]
 pub struct Process {
+    /// Number of starts, from 1; a restart discards callbacks of earlier generations.
     pub generation: u64,
     pub paused: Duration,
     offset: Duration,
-    /// Parts in a thousand by which its clock is fast, plus a thousand.
+    /// Rate of its clock, in thousandths of real time: 1005 is 0.5 % fast.
     rate: u32,
 }
 
@@ -55,8 +57,9 @@
     sequence: u64,
     pub cut: [[bool; ZONES + 1]; ZONES + 1],
     pub isolated: [bool; HOSTS],
-    /// Of a thousand messages, how many are lost, and how many are late.
+    /// Lost messages of a thousand.
     pub loss: u32,
+    /// Late messages of a thousand.
     pub late: u32,
     pub table: Option<Row>,
     pub table_down: bool,
@@ -69,12 +72,13 @@
     pub zones: Vec<ZoneKey>,
     pub services: Vec<ServiceKey>,
     pub server_keys: Vec<ServerKey>,
-    /// Newest term of each service that a controller has opened.
+    /// The newest term that a controller has opened for each service.
     pub opened: Vec<Term>,
     promoted: BTreeMap<(usize, Term), usize>,
-    /// Service, write and position of each write that a caller was report is done.
+    /// Service, write number, position and time of each acknowledged write.
     pub acknowledged: Vec<(usize, u64, Position, Duration)>,
     pub writes: u64,
+    /// The latest trace lines, printed for a failed seed.
     pub trace_lines: VecDeque<String>,
     pub writing: bool,
 }
@@ -193,7 +197,7 @@
             .push_back(format!("{:9.3} {text}", self.now.as_secs_f64()));
     }
 
-    /// Runs until `until`.
+    /// Runs the simulation until `until`.
     pub fn run(&mut self, until: Duration) {
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > until {
@@ -212,7 +216,7 @@
         self.queue.insert(key, Box::new(act));
     }
 
-    /// Runs `act` at a process, when it is not paused and unless it has been restarted.
+    /// Runs `act` at a process after `delay`, or when its pause ends, unless it restarts before.
     fn run_at(
         &mut self,
         place: Place,
@@ -244,7 +248,8 @@
         self.process_at(place).local(self.now)
     }
 
-    /// The delay of a message from a host to a zone or the platform; `None` when it is lost.
+    /// Returns the delay of a message from a host to a zone or the platform, or `None` if it is
+    /// lost.
     pub fn message_delay(&mut self, host: usize, to: usize) -> Option<Duration> {
         let from = host % ZONES;
         if self.cut[from][to] || self.isolated[host] {
@@ -259,7 +264,7 @@
         Some(Duration::from_micros(self.rng.random_range(300..2_500)))
     }
 
-    /// The same between two hosts.
+    /// Returns the delay of a message between two hosts, or `None` if it is lost.
     pub fn host_message_delay(&mut self, from: usize, to: usize) -> Option<Duration> {
         if self.isolated[to] && from != to {
             return None;
@@ -289,7 +294,7 @@
         self.servers[index].replicate(&log, most);
     }
 
-    /// Notes that a caller was report that its write is done.
+    /// Records an acknowledged write and checks that its term has not been replaced.
     pub fn acknowledge(&mut self, service: usize, id: u64, position: Position) {
         let opened = self.opened[service];
         invariant::check(Invariant::ReplacedPrimary, position.term >= opened, || {
--- a/crates/core/tests/leadership/world/server.rs
+++ b/crates/core/tests/leadership/world/server.rs
@@ -1,4 +1,4 @@
-//! A backend server: a log, a term, and the belief that it leads or follows.
+//! A backend server: its log, its term, and its own view of whether it leads or follows.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     pub term: Term,
     pub leads: bool,
     pub follows: Option<usize>,
-    /// Term and number of each write.
+    /// The term and the number of each write.
     pub log: Vec<(Term, u64)>,
 }
 
@@ -68,7 +68,8 @@
         (self.term, self.leads, self.follows) = (term, false, Some(primary));
     }
 
-    /// Takes over at most `limit` entries of a primary's log, after dropping what diverges.
+    /// Drops the entries that diverge from a primary's `log`, then appends at most `limit` entries
+    /// of it.
     pub fn replicate(&mut self, log: &[(Term, u64)], limit: usize) {
         let mut common = self.log.len().min(log.len());
         while common > 0 && self.log[common - 1] != log[common - 1] {
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -171,8 +171,8 @@
     assert_eq!(done, Acknowledge::Done);
 }
 
-/// Guards against a write to the old primary that is acknowledged as one of the new term. Cause: the
-/// term of the backend server's position is ignored.
+/// Guards against a write to the old primary that is acknowledged as one of the new term. Cause:
+/// the term of the backend server's position is ignored.
 #[test]
 fn a_position_of_another_term_is_not_acknowledged() {
     let fixture = fixture();
--- a/crates/core/tests/promotion.rs
+++ b/crates/core/tests/promotion.rs
@@ -200,8 +200,8 @@
     assert_eq!(scenario.step(), [order]);
 }
 
-/// Guards against the loss of all writes of a term. A server that missed that term has a longer log,
-/// because it led the term before and went on writing on its side of a partition.
+/// Guards against the loss of all writes of a term. A server that missed that term has a longer
+/// log, because it led the term before and went on writing on its side of a partition.
 #[test]
 fn a_longer_log_of_an_older_term_is_not_taken() {
     let mut scenario = scenario(Reason::Unreachable);
--- a/crates/core/tests/submission.rs
+++ b/crates/core/tests/submission.rs
@@ -61,8 +61,8 @@
     assert_eq!(step, Step::Finish(Outcome::Unavailable));
 }
 
-/// The store accepts the body, but every answer is lost. Reading the body back is enough to continue;
-/// putting it again would end in "unavailable" although the platform works.
+/// The store accepts the body, but every answer is lost. Reading the body back is enough to
+/// continue; putting it again would end in "unavailable" although the platform works.
 #[test]
 fn a_body_whose_answer_is_lost_is_read_back() {
     let (mut submission, _) = Submission::new(record(0, "mine"));
