--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -358,12 +358,10 @@
     ///
     /// Returns what the successor has to wait for and what this process knows of the shard.
     pub fn release(&mut self, epoch: u32, now: Duration) -> Released {
-        let leases = self.ledger.longest_remaining(now);
-        let leases = leases.max(self.inherited_until.saturating_sub(now));
+        let wait = self.ledger.longest_remaining(now);
+        let wait = wait.max(self.inherited_until.saturating_sub(now));
         match &mut self.role {
-            Role::Lead(lead) if lead.authority.epoch() < epoch => {
-                lead.authority.release(leases, now)
-            }
+            Role::Lead(lead) if lead.authority.epoch() < epoch => lead.authority.release(wait, now),
             Role::Lead(lead) => Released {
                 incarnation: self.incarnation,
                 leases: timing::AUTHORITY,
@@ -377,8 +375,8 @@
                     // A claim of this process may have succeeded without its knowledge, and the
                     // authority that it replaced may not be over yet.
                     leases: match self.last_claim_sent {
-                        Some(sent) => leases.max((sent + timing::AUTHORITY).saturating_sub(now)),
-                        None => leases,
+                        Some(sent) => wait.max((sent + timing::AUTHORITY).saturating_sub(now)),
+                        None => wait,
                     },
                     witnessed_epoch: standby.witnessed_epoch(),
                     row: standby.known_row().cloned(),
--- a/crates/core/src/leadership_promote.rs
+++ b/crates/core/src/leadership_promote.rs
@@ -71,9 +71,7 @@
         actions: &mut Vec<Action>,
     ) {
         match next {
-            PromotionAction::Commit(service) => {
-                self.commit_service(key, running, service, ledger, now)
-            }
+            PromotionAction::Commit(service) => self.commit(key, running, service, ledger, now),
             PromotionAction::Revoke(to) => actions.push(Action::Close {
                 to,
                 view: self.view.clone(),
@@ -94,7 +92,7 @@
         }
     }
 
-    fn commit_service(
+    fn commit(
         &mut self,
         key: ServiceKey,
         running: &mut RunningPromotion,
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -271,9 +271,7 @@
         // The lease may have lapsed, or the term may have been closed, while the statement ran
         // or while this process was paused. Only a check after the answer detects that.
         match self.leader(service, now) {
-            Leader::Open { term: open, .. } if open == term => {
-                self.record_acknowledged(service, position)
-            }
+            Leader::Open { term: open, .. } if open == term => self.record(service, position),
             _ => Acknowledge::Unknown,
         }
     }
@@ -312,7 +310,7 @@
         self.acknowledged.get(&service).copied()
     }
 
-    fn record_acknowledged(&mut self, service: ServiceKey, position: Position) -> Acknowledge {
+    fn record(&mut self, service: ServiceKey, position: Position) -> Acknowledge {
         let highest = self.acknowledged.entry(service).or_insert(position);
         let earlier = *highest;
         *highest = earlier.max(position);
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -401,18 +401,14 @@
             .into_iter()
             .all(|s| self.statuses.contains_key(s));
         let gathered = all_answered || waited >= self.answer_timeout();
-        let known_complete = self.acknowledged_complete && self.acknowledged.is_some();
+        let complete = self.acknowledged_complete && self.acknowledged.is_some();
         // All candidates have answered, the old primary is gone, and replication has stopped:
         // waiting longer gains nothing.
         let gone = replaced.is_none_or(|server| !self.statuses.contains_key(&server));
         let stalled = now >= self.progress.1.max(since) + timing::STILL;
         let is_final = all_answered && gone && stalled;
         match best {
-            Some((_, status))
-                if self.has_all_acknowledged(status) && (gathered || known_complete) =>
-            {
-                best
-            }
+            Some((_, status)) if self.has_all_writes(status) && (gathered || complete) => best,
             _ if waited < self.catch_up_timeout() && !is_final => None,
             // No other server has everything, or no other server is reachable: the replaced
             // primary is chosen if it is reachable and has the highest position.
@@ -456,7 +452,7 @@
             .map(|(server, status)| (*server, *status))
     }
 
-    fn has_all_acknowledged(&self, status: Status) -> bool {
+    fn has_all_writes(&self, status: Status) -> bool {
         let history = self.service.lineage(status.position);
         let reaches = |wanted| history.covers(status.position, wanted);
         let planned = self.reason == Reason::Leaving;
--- a/crates/core/tests/leadership/world/control.rs
+++ b/crates/core/tests/leadership/world/control.rs
@@ -22,21 +22,21 @@
 const RPC_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl World {
-    pub fn control_tick(&mut self, host: usize, generation: u64) {
+    pub fn control_tick(&mut self, host: usize, boot: u64) {
         let jitter = Duration::from_millis(self.rng.random_range(0..10));
         let place = Place::Control(host);
-        self.run_at(place, generation, STEP + jitter, move |world| {
+        self.at(place, boot, STEP + jitter, move |world| {
             world.step(host);
-            world.control_tick(host, generation);
+            world.control_tick(host, boot);
         });
     }
 
     pub fn step(&mut self, host: usize) {
         let local = self.local(Place::Control(host));
         let actions = self.controls[host].1.step(local);
-        let generation = self.controls[host].0.generation;
+        let boot = self.controls[host].0.boot;
         for action in actions {
-            self.carry_out(host, generation, action);
+            self.carry_out(host, boot, action);
         }
         self.check_authority();
     }
@@ -67,17 +67,17 @@
         }
     }
 
-    fn carry_out(&mut self, host: usize, generation: u64, action: Action) {
+    fn carry_out(&mut self, host: usize, boot: u64, action: Action) {
         match action {
-            Action::Read => self.read(host, generation),
-            Action::Write { row, replaces } => self.write_row(host, generation, row, replaces),
+            Action::Read => self.read(host, boot),
+            Action::Write { row, replaces } => self.write_row(host, boot, row, replaces),
             Action::Heartbeat {
                 host: to,
                 heartbeat,
             } => {
                 let to = self.host(to);
                 let sent = self.local(Place::Control(host));
-                self.call_control(host, generation, to, move |world| {
+                self.call_control(host, boot, to, move |world| {
                     let local = world.local(Place::Control(to));
                     let promise = world.controls[to].1.on_heartbeat(&heartbeat, local);
                     move |world: &mut World| {
@@ -89,7 +89,7 @@
             }
             Action::Release { host: to, epoch } => {
                 let to = self.host(to);
-                self.call_control(host, generation, to, move |world| {
+                self.call_control(host, boot, to, move |world| {
                     let local = world.local(Place::Control(to));
                     let released: Released = world.controls[to].1.release(epoch, local);
                     move |world: &mut World| {
@@ -101,7 +101,7 @@
             }
             Action::Close { to, view } => {
                 for holder in to {
-                    self.send_close(host, generation, holder, view.clone());
+                    self.send_close(host, boot, holder, view.clone());
                 }
             }
             Action::Publish { to, view } => {
@@ -113,7 +113,7 @@
                 let index = self.server(server);
                 let sent = self.local(Place::Control(host));
                 let read = |server: &mut Server| server.status();
-                self.call_server(host, generation, index, read, move |world, status| {
+                self.call_server(host, boot, index, read, move |world, status| {
                     world.controls[host].1.on_status(server, sent, status);
                 });
             }
@@ -121,7 +121,7 @@
                 server,
                 term,
                 at_least,
-            } => self.promote(host, generation, server, term, at_least),
+            } => self.promote(host, boot, server, term, at_least),
             Action::Follow {
                 server,
                 primary,
@@ -129,7 +129,7 @@
             } => {
                 let (index, primary) = (self.server(server), self.server(primary));
                 let follow = move |server: &mut Server| server.follow(primary, term);
-                self.call_server(host, generation, index, follow, |_, _| {});
+                self.call_server(host, boot, index, follow, |_, _| {});
             }
             Action::Note(note) => self.note(host, note),
         }
@@ -142,7 +142,7 @@
     fn promote(
         &mut self,
         host: usize,
-        generation: u64,
+        boot: u64,
         server: ServerKey,
         term: Term,
         at_least: Position,
@@ -162,7 +162,7 @@
         };
         let place = Place::Control(host);
         let Some(delay) = hop else {
-            return self.run_at(place, generation, RPC_TIMEOUT, move |w| {
+            return self.at(place, boot, RPC_TIMEOUT, move |w| {
                 answer(w, OrderOutcome::Unknown)
             });
         };
@@ -180,8 +180,8 @@
                 assert_eq!(primary, index, "two primaries of term {term}");
             }
             match world.message_delay(host, world.servers[index].zone) {
-                Some(delay) => world.run_at(place, generation, delay, move |w| answer(w, order)),
-                None => world.run_at(place, generation, RPC_TIMEOUT, move |w| {
+                Some(delay) => world.at(place, boot, delay, move |w| answer(w, order)),
+                None => world.at(place, boot, RPC_TIMEOUT, move |w| {
                     answer(w, OrderOutcome::Unknown)
                 }),
             }
@@ -192,7 +192,7 @@
     pub fn call_server<T: 'static>(
         &mut self,
         host: usize,
-        generation: u64,
+        boot: u64,
         index: usize,
         order: impl FnOnce(&mut Server) -> T + 'static,
         answer: impl FnOnce(&mut World, Option<T>) + 'static,
@@ -200,23 +200,19 @@
         let place = Place::Control(host);
         let zone = self.servers[index].zone;
         let Some(delay) = self.message_delay(host, zone) else {
-            return self.run_at(place, generation, RPC_TIMEOUT, move |world| {
-                answer(world, None)
-            });
+            return self.at(place, boot, RPC_TIMEOUT, move |world| answer(world, None));
         };
         self.schedule(delay, move |world| {
             if world.servers[index].down {
-                return world.run_at(place, generation, delay, move |world| answer(world, None));
+                return world.at(place, boot, delay, move |world| answer(world, None));
             }
             let result = order(&mut world.servers[index]);
             match world.message_delay(host, zone) {
-                Some(delay) => world.run_at(place, generation, delay, move |world| {
+                Some(delay) => world.at(place, boot, delay, move |world| {
                     answer(world, Some(result));
                     world.step(host);
                 }),
-                None => world.run_at(place, generation, RPC_TIMEOUT, move |world| {
-                    answer(world, None)
-                }),
+                None => world.at(place, boot, RPC_TIMEOUT, move |world| answer(world, None)),
             }
         });
     }
@@ -225,7 +221,7 @@
     fn call_control<A: FnOnce(&mut World) + 'static>(
         &mut self,
         host: usize,
-        generation: u64,
+        boot: u64,
         to: usize,
         act: impl FnOnce(&mut World) -> A + 'static,
     ) {
@@ -233,12 +229,12 @@
             return;
         };
         let there = Place::Control(to);
-        let peer_generation = self.process_at(there).generation;
-        self.run_at(there, peer_generation, delay, move |world| {
+        let peer_boot = self.process_at(there).boot;
+        self.at(there, peer_boot, delay, move |world| {
             let answer = act(world);
             world.step(to);
             if let Some(delay) = world.host_message_delay(to, host) {
-                world.run_at(Place::Control(host), generation, delay, move |world| {
+                world.at(Place::Control(host), boot, delay, move |world| {
                     answer(world);
                     world.step(host);
                 });
@@ -255,7 +251,7 @@
         Some(self.message_delay(host, PLATFORM)? + extra)
     }
 
-    fn read(&mut self, host: usize, generation: u64) {
+    fn read(&mut self, host: usize, boot: u64) {
         let sent = self.local(Place::Control(host));
         let Some(delay) = self.table_delay(host) else {
             return;
@@ -265,7 +261,7 @@
             let Some(delay) = world.table_delay(host) else {
                 return;
             };
-            world.run_at(Place::Control(host), generation, delay, move |world| {
+            world.at(Place::Control(host), boot, delay, move |world| {
                 let local = world.local(Place::Control(host));
                 world.controls[host]
                     .1
@@ -275,7 +271,7 @@
         });
     }
 
-    fn write_row(&mut self, host: usize, generation: u64, row: Row, replaces: Option<u64>) {
+    fn write_row(&mut self, host: usize, boot: u64, row: Row, replaces: Option<u64>) {
         let revision = row.revision;
         let place = Place::Control(host);
         let report = move |world: &mut World, written| {
@@ -286,7 +282,7 @@
             world.step(host);
         };
         let timeout = move |world: &mut World| {
-            world.run_at(place, generation, TABLE_TIMEOUT, move |w| {
+            world.at(place, boot, TABLE_TIMEOUT, move |w| {
                 report(w, WriteOutcome::Unknown)
             });
         };
@@ -304,9 +300,7 @@
             };
             let lost = world.answers_lost && world.rng.random_range(0..2) == 0;
             match world.table_delay(host) {
-                Some(delay) if !lost => {
-                    world.run_at(place, generation, delay, move |w| report(w, written))
-                }
+                Some(delay) if !lost => world.at(place, boot, delay, move |w| report(w, written)),
                 _ => timeout(world),
             }
         });
@@ -315,7 +309,7 @@
     fn send_close(
         &mut self,
         host: usize,
-        generation: u64,
+        boot: u64,
         holder: Instance,
         view: flamingopost_core::view::Shard,
     ) {
@@ -323,13 +317,13 @@
         let Some(delay) = self.host_message_delay(host, to) else {
             return;
         };
-        let peer_generation = self.process_at(Place::Entry(to)).generation;
-        self.run_at(Place::Entry(to), peer_generation, delay, move |world| {
+        let peer_boot = self.process_at(Place::Entry(to)).boot;
+        self.at(Place::Entry(to), peer_boot, delay, move |world| {
             let (incarnation, version, acknowledged) = world.entries[to].1.close(view);
             let Some(delay) = world.host_message_delay(to, host) else {
                 return;
             };
-            world.run_at(Place::Control(host), generation, delay, move |world| {
+            world.at(Place::Control(host), boot, delay, move |world| {
                 let holder = Instance {
                     host: world.hosts[to],
                     incarnation,
@@ -344,8 +338,8 @@
     fn send_view(&mut self, host: usize, holder: Instance, view: flamingopost_core::view::Shard) {
         let to = self.host(holder.host);
         if let Some(delay) = self.host_message_delay(host, to) {
-            let generation = self.process_at(Place::Entry(to)).generation;
-            self.run_at(Place::Entry(to), generation, delay, move |world| {
+            let boot = self.process_at(Place::Entry(to)).boot;
+            self.at(Place::Entry(to), boot, delay, move |world| {
                 world.entries[to].1.adopt(view);
             });
         }
--- a/crates/core/tests/leadership/world/entry.rs
+++ b/crates/core/tests/leadership/world/entry.rs
@@ -39,8 +39,8 @@
 }
 
 impl Entry {
-    pub fn new(host: usize, generation: u64, _now: Duration) -> Entry {
-        let incarnation = generation * 100 + host as u64;
+    pub fn new(host: usize, boot: u64, _now: Duration) -> Entry {
+        let incarnation = boot * 100 + host as u64;
         Entry {
             holder: LeaseHolder::new(incarnation),
             incarnation,
@@ -82,35 +82,30 @@
 }
 
 impl World {
-    pub fn entry_tick(&mut self, host: usize, generation: u64) {
+    pub fn entry_tick(&mut self, host: usize, boot: u64) {
         let jitter = Duration::from_millis(self.rng.random_range(0..10));
-        self.run_at(
-            Place::Entry(host),
-            generation,
-            STEP + jitter,
-            move |world| {
-                world.entry_step(host, generation);
-                world.entry_tick(host, generation);
-            },
-        );
+        self.at(Place::Entry(host), boot, STEP + jitter, move |world| {
+            world.entry_step(host, boot);
+            world.entry_tick(host, boot);
+        });
     }
 
-    fn entry_step(&mut self, host: usize, generation: u64) {
+    fn entry_step(&mut self, host: usize, boot: u64) {
         let now = self.local(Place::Entry(host));
         let entry = &mut self.entries[host].1;
         if entry.renewed.is_none_or(|at| now >= at + timing::RENEWAL) {
-            self.renew(host, generation, false);
+            self.renew(host, boot, false);
         }
         let entry = &mut self.entries[host].1;
         if entry.probed.is_none_or(|at| now >= at + PROBE) {
             entry.probed = Some(now);
             for index in 0..self.servers.len() {
-                self.probe(host, generation, index);
+                self.probe(host, boot, index);
             }
         }
         if self.writing {
             let service = self.rng.random_range(0..SERVICES);
-            self.write(host, generation, service);
+            self.write(host, boot, service);
         }
     }
 
@@ -119,11 +114,11 @@
         let process = self.process_at(Place::Entry(host));
         if process.paused <= self.now {
             self.entries[host].1.holder.give_up(0);
-            self.renew(host, process.generation, true);
+            self.renew(host, process.boot, true);
         }
     }
 
-    fn renew(&mut self, host: usize, generation: u64, stopping: bool) {
+    fn renew(&mut self, host: usize, boot: u64, stopping: bool) {
         let now = self.local(Place::Entry(host));
         let key = self.hosts[host];
         let zone = self.zones[host % ZONES];
@@ -141,27 +136,22 @@
             reports: entry.reports(now),
             stopping,
         };
-        self.run_at(
-            Place::Entry(host),
-            generation,
-            RENEWAL_TIMEOUT,
-            move |world| {
-                let entry = &mut world.entries[host].1;
-                if entry.answered.is_none_or(|at| at < now) && entry.controller == to {
-                    entry.controller = (to + 1) % HOSTS;
-                }
-            },
-        );
+        self.at(Place::Entry(host), boot, RENEWAL_TIMEOUT, move |world| {
+            let entry = &mut world.entries[host].1;
+            if entry.answered.is_none_or(|at| at < now) && entry.controller == to {
+                entry.controller = (to + 1) % HOSTS;
+            }
+        });
         let Some(delay) = self.host_message_delay(host, to) else {
             return;
         };
-        let peer_generation = self.process_at(Place::Control(to)).generation;
-        self.run_at(Place::Control(to), peer_generation, delay, move |world| {
+        let peer_boot = self.process_at(Place::Control(to)).boot;
+        self.at(Place::Control(to), peer_boot, delay, move |world| {
             let local = world.local(Place::Control(to));
             let reply = world.controls[to].1.on_renewal(&renewal, local);
             world.step(to);
             if let Some(delay) = world.host_message_delay(to, host) {
-                world.run_at(Place::Entry(host), generation, delay, move |world| {
+                world.at(Place::Entry(host), boot, delay, move |world| {
                     let now = world.local(Place::Entry(host));
                     let known = match &reply {
                         Reply::Refused { controller } => controller.map(|key| world.host(key)),
@@ -188,7 +178,7 @@
         });
     }
 
-    fn probe(&mut self, host: usize, generation: u64, index: usize) {
+    fn probe(&mut self, host: usize, boot: u64, index: usize) {
         let server = self.server_keys[index];
         let zone = self.servers[index].zone;
         let place = Place::Entry(host);
@@ -206,24 +196,20 @@
                     .renewed
                     .is_none_or(|at| now >= at + timing::RENEWAL / 2)
             {
-                world.renew(host, generation, false);
+                world.renew(host, boot, false);
             }
         };
         let Some(delay) = self.message_delay(host, zone) else {
-            return self.run_at(place, generation, PROBE_TIMEOUT, move |world| {
-                failed(world, 0)
-            });
+            return self.at(place, boot, PROBE_TIMEOUT, move |world| failed(world, 0));
         };
         self.schedule(delay, move |world| {
             let down = world.servers[index].down;
             match world.message_delay(host, zone) {
-                None => world.run_at(place, generation, PROBE_TIMEOUT, move |world| {
-                    failed(world, 0)
-                }),
+                None => world.at(place, boot, PROBE_TIMEOUT, move |world| failed(world, 0)),
                 Some(delay) if down => {
-                    world.run_at(place, generation, delay, move |world| failed(world, 1));
+                    world.at(place, boot, delay, move |world| failed(world, 1));
                 }
-                Some(delay) => world.run_at(place, generation, delay, move |world| {
+                Some(delay) => world.at(place, boot, delay, move |world| {
                     let now = world.local(place);
                     let probes = world.entries[host].1.probes.entry(server).or_default();
                     probes.answered = Some(now);
@@ -233,7 +219,7 @@
         });
     }
 
-    fn write(&mut self, host: usize, generation: u64, service: usize) {
+    fn write(&mut self, host: usize, boot: u64, service: usize) {
         let place = Place::Entry(host);
         let now = self.local(place);
         let key = self.services[service];
@@ -256,7 +242,7 @@
             let (Some(position), Some(delay)) = (answer, world.message_delay(host, zone)) else {
                 return;
             };
-            world.run_at(place, generation, delay, move |world| {
+            world.at(place, boot, delay, move |world| {
                 let now = world.local(place);
                 let holder = &mut world.entries[host].1.holder;
                 if holder.acknowledge(key, term, position, now) == Acknowledge::Done {
--- a/crates/core/tests/leadership/world/mod.rs
+++ b/crates/core/tests/leadership/world/mod.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Process {
     /// Number of starts, from 1; a restart discards callbacks of earlier generations.
-    pub generation: u64,
+    pub boot: u64,
     pub paused: Duration,
     offset: Duration,
     /// Rate of its clock, in thousandths of real time: 1005 is 0.5 % fast.
@@ -135,7 +135,7 @@
             let control = world.controller(host, process);
             world.controls.push((process, control));
             let process = world.process(rng.random_range(0..10_000), rng.random_range(995..=1005));
-            let entry = Entry::new(host, process.generation, process.local(world.now));
+            let entry = Entry::new(host, process.boot, process.local(world.now));
             world.entries.push((process, entry));
         }
         for host in 0..HOSTS {
@@ -148,7 +148,7 @@
 
     fn process(&mut self, offset: u64, rate: u32) -> Process {
         Process {
-            generation: 1,
+            boot: 1,
             paused: Duration::ZERO,
             offset: Duration::from_millis(offset),
             rate,
@@ -157,8 +157,8 @@
 
     fn controller(&self, host: usize, process: Process) -> Controller {
         let local = process.local(self.now);
-        let generation = process.generation * 100 + host as u64;
-        let mut controller = Controller::new(self.hosts[host], generation, local);
+        let boot = process.boot * 100 + host as u64;
+        let mut controller = Controller::new(self.hosts[host], boot, local);
         controller.configure(self.groups());
         let others = (1..HOSTS).map(|step| self.hosts[(host + step) % HOSTS]);
         controller.set_standby_candidates(others.collect());
@@ -217,21 +217,21 @@
     }
 
     /// Runs `act` at a process after `delay`, or when its pause ends, unless it restarts before.
-    fn run_at(
+    fn at(
         &mut self,
         place: Place,
-        generation: u64,
+        boot: u64,
         delay: Duration,
         act: impl FnOnce(&mut World) + 'static,
     ) {
         self.schedule(delay, move |world| {
             let process = world.process_at(place);
-            if process.generation != generation {
+            if process.boot != boot {
                 return;
             }
             if process.paused > world.now {
                 let wait = process.paused - world.now;
-                return world.run_at(place, generation, wait, act);
+                return world.at(place, boot, wait, act);
             }
             act(world);
         });
@@ -308,19 +308,19 @@
         match place {
             Place::Control(host) => {
                 let mut process = self.controls[host].0;
-                process.generation += 1;
+                process.boot += 1;
                 process.paused = self.now + Duration::from_millis(self.rng.random_range(0..800));
                 let controller = self.controller(host, process);
                 self.controls[host] = (process, controller);
-                self.control_tick(host, process.generation);
+                self.control_tick(host, process.boot);
             }
             Place::Entry(host) => {
                 let mut process = self.entries[host].0;
-                process.generation += 1;
+                process.boot += 1;
                 process.paused = self.now + Duration::from_millis(self.rng.random_range(0..800));
-                let entry = Entry::new(host, process.generation, process.local(self.now));
+                let entry = Entry::new(host, process.boot, process.local(self.now));
                 self.entries[host] = (process, entry);
-                self.entry_tick(host, process.generation);
+                self.entry_tick(host, process.boot);
             }
         }
     }
--- a/crates/core/tests/submission.rs
+++ b/crates/core/tests/submission.rs
@@ -222,9 +222,7 @@
     let attempts = attempts.filter(|other| other.submission == record.submission);
     let only_attempt = attempts.count() == 1;
     match &operator.step {
-        Step::Finish(Outcome::Accepted) => {
-            assert!(mine, "seed {seed}: reported as accepted, but not stored")
-        }
+        Step::Finish(Outcome::Accepted) => assert!(mine, "seed {seed}: accepted, but not kept"),
         Step::Finish(Outcome::Conflict(winner)) => {
             assert!(!mine, "seed {seed}: conflict of a submission with itself");
             assert_eq!(
