--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -482,7 +482,7 @@
             row,
             predecessor,
             sent,
-            replaced_epoch: replaced,
+            replaced_epoch,
             witnessed,
         } = outcome
         else {
@@ -492,7 +492,12 @@
         self.last_claim_sent = None;
         let authority = ShardAuthority::new(row, predecessor, sent, now);
         self.inherited_until = authority.settled_at();
-        self.role = Role::Lead(Box::new(Lead::new(authority, replaced, witnessed, now)));
+        self.role = Role::Lead(Box::new(Lead::new(
+            authority,
+            replaced_epoch,
+            witnessed,
+            now,
+        )));
     }
 
     fn step_down(&mut self, now: Duration, actions: &mut Vec<Action>) {
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -60,7 +60,7 @@
 
 /// What a heartbeat reveals about its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeartbeatEffect {
+pub enum Presence {
     /// The process is new: its host was never seen before, or was restarted.
     New,
     /// The process is known.
@@ -74,7 +74,7 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::key::{HostKey, ZoneKey};
-/// use flamingopost_core::membership::{HeartbeatEffect, Member, Membership, Process, State};
+/// use flamingopost_core::membership::{Presence, Member, Membership, Process, State};
 ///
 /// let mut membership = Membership::default();
 /// let process = Process { host: HostKey::default(), incarnation: 7 };
@@ -84,7 +84,7 @@
 ///     config: 4,
 ///     stopping: false,
 /// };
-/// assert_eq!(membership.heartbeat(process, heartbeat), HeartbeatEffect::New);
+/// assert_eq!(membership.heartbeat(process, heartbeat), Presence::New);
 /// assert_eq!(membership.state(process, Duration::from_secs(2)), State::Live);
 /// assert_eq!(membership.state(process, Duration::from_secs(4)), State::Suspect);
 /// assert_eq!(membership.state(process, Duration::from_secs(30)), State::Gone);
@@ -106,14 +106,12 @@
 
 impl Membership {
     /// Records a heartbeat of `process`.
-    pub fn heartbeat(&mut self, process: Process, member: Member) -> HeartbeatEffect {
-        let before = self.members.insert(process, member);
-        match before {
-            None => HeartbeatEffect::New,
-            Some(before) if silence(&before, member.last_heartbeat) >= GONE_AFTER => {
-                HeartbeatEffect::Returned
-            }
-            Some(_) => HeartbeatEffect::Known,
+    pub fn heartbeat(&mut self, process: Process, member: Member) -> Presence {
+        let old = self.members.insert(process, member);
+        match old {
+            None => Presence::New,
+            Some(old) if silence(&old, member.last_heartbeat) >= GONE_AFTER => Presence::Returned,
+            Some(_) => Presence::Known,
         }
     }
 
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -6,7 +6,7 @@
 use flamingopost_core::directory::Directory;
 use flamingopost_core::key::{HostKey, ZoneKey};
 use flamingopost_core::membership::{
-    GONE_AFTER, HeartbeatEffect, Hint, LeavingServers, Member, Membership, Process, Reason, State,
+    GONE_AFTER, Hint, LeavingServers, Member, Membership, Presence, Process, Reason, State,
 };
 use flamingopost_core::timing;
 
@@ -57,15 +57,15 @@
     let mut membership = Membership::default();
     assert_eq!(
         membership.heartbeat(process(host, 1), heartbeat(1)),
-        HeartbeatEffect::New
+        Presence::New
     );
     assert_eq!(
         membership.heartbeat(process(host, 2), heartbeat(2)),
-        HeartbeatEffect::New
+        Presence::New
     );
     assert_eq!(
         membership.heartbeat(process(host, 2), heartbeat(3)),
-        HeartbeatEffect::Known
+        Presence::Known
     );
     let now = Duration::from_secs(4);
     assert_eq!(membership.state(process(host, 1), now), State::Suspect);
@@ -81,10 +81,7 @@
     let mut membership = Membership::default();
     membership.heartbeat(process, heartbeat(1));
     let late = heartbeat(1 + GONE_AFTER.as_secs());
-    assert_eq!(
-        membership.heartbeat(process, late),
-        HeartbeatEffect::Returned
-    );
+    assert_eq!(membership.heartbeat(process, late), Presence::Returned);
     assert_eq!(membership.state(process, late.last_heartbeat), State::Live);
 }
 
