--- a/crates/core/src/authority_holder.rs
+++ b/crates/core/src/authority_holder.rs
@@ -18,12 +18,16 @@
     confirmed: Confirmed,
     /// Writes of unknown outcome, which may yet take effect, with the standbys that they name.
     unsettled: Vec<SentWrite>,
+    /// The write whose answer is awaited.
     writing: Option<SentWrite>,
+    /// When the last read or write was sent that showed this process as the controller.
     last_read_sent: Duration,
+    /// State of each host that was sent a heartbeat.
     standbys: BTreeMap<HostKey, Peer>,
     /// Time from which leases may be granted and promotions ordered.
     settled_at: Duration,
     predecessor: Option<(HostKey, u64)>,
+    /// Whether this process gave up the authority or is known to have lost it.
     replaced: bool,
 }
 
@@ -54,6 +58,7 @@
     /// When the last answered heartbeat was sent.
     last_answered: Option<Duration>,
     promised_until: Duration,
+    /// The newest revision of this authority's row that the host has.
     revision: u64,
 }
 
@@ -319,7 +324,7 @@
         heartbeats
     }
 
-    /// Chooses standbys from `candidates`, best first, to fill or replace missing and silent ones.
+    /// Chooses standbys where some are missing or silent. `candidates` are ordered best first.
     ///
     /// Only hosts that answer are chosen: a host that receives no heartbeats would claim at once.
     pub fn choose_standbys(&mut self, candidates: &[HostKey], now: Duration) {
@@ -383,6 +388,7 @@
         answered.is_some_and(|answered| now < answered + within)
     }
 
+    /// Returns the time until which every possible standby has promised not to claim.
     fn valid_until_by_promises(&self) -> Duration {
         // With no standby named there is no promise to rely on.
         if self.confirmed.standbys.is_empty() {
@@ -441,10 +447,13 @@
         self.unsettled.retain(|write| write.replaces >= revision);
     }
 
+    /// Reports whether reads of the table are overdue, so that promises are needed.
     fn needs_promises(&self, now: Duration) -> bool {
         now >= self.last_read_sent + timing::READ_OVERDUE
     }
 
+    /// Reports whether writes or reads of the table are overdue, so that standbys have to keep the
+    /// row instead.
     fn needs_standby_copies(&self, now: Duration) -> bool {
         let writing = self.writing.as_ref();
         let slow = writing.is_some_and(|writing| now >= writing.sent + timing::WRITE_OVERDUE);
@@ -458,6 +467,7 @@
         }
     }
 
+    /// Increments the revision of an unchanged row, so that a write of it is due.
     fn touch(&mut self) {
         if self.row.revision == self.confirmed.revision {
             self.row.revision += 1;
--- a/crates/core/src/leadership_lead.rs
+++ b/crates/core/src/leadership_lead.rs
@@ -36,6 +36,7 @@
     /// The position that each open service's primary last reported.
     primary_positions: BTreeMap<ServiceKey, PrimaryPosition>,
     last_status_query: Option<Duration>,
+    /// Whether the claim has been logged.
     claim_announced: bool,
     last_write_sent: Option<Duration>,
     notes: Vec<Note>,
@@ -45,7 +46,9 @@
 enum Phase {
     /// Asking the hosts and servers that may know of promotions that the row does not show.
     Survey {
+        /// When the survey began.
         since: Duration,
+        /// When the hosts and servers were last asked.
         asked: Option<Duration>,
         /// Hosts that have not answered the release request.
         unreleased: BTreeSet<HostKey>,
@@ -263,6 +266,7 @@
         }
     }
 
+    /// Records a server's status, and the position if the server is the primary of the open term.
     fn record_status(
         &mut self,
         key: ServiceKey,
@@ -352,6 +356,7 @@
         self.advance_view();
     }
 
+    /// Adds a service to the view, and starts a promotion if it is new or its term is closed.
     fn adopt_service(&mut self, key: ServiceKey, group: &Group, now: Duration) {
         let service = self.authority.row().services.get(&key).cloned();
         let reason = match &service {
@@ -389,6 +394,7 @@
         }
     }
 
+    /// Sends the row to the table, and heartbeats to standbys and candidates.
     fn maintain_row(
         &mut self,
         groups: &BTreeMap<ServiceKey, Group>,
@@ -417,6 +423,7 @@
         self.view.services.get(&key).map(|service| service.state)
     }
 
+    /// Gives the changed view a new version, to be published.
     fn advance_view(&mut self) {
         self.view.version.change += 1;
         self.view_changed = true;
--- a/crates/core/src/leadership_promote.rs
+++ b/crates/core/src/leadership_promote.rs
@@ -92,6 +92,8 @@
         }
     }
 
+    /// Sets the service's new state in the row, to be committed. A closed term is shown in the view
+    /// at once, an open one only after the commit.
     fn commit(
         &mut self,
         key: ServiceKey,
@@ -147,6 +149,7 @@
             .set_known_written(written.position, complete);
     }
 
+    /// Publishes the new term after its commit, and orders the other servers to follow its primary.
     fn finish_promotion(
         &mut self,
         key: ServiceKey,
--- a/crates/core/src/leadership_reconcile.rs
+++ b/crates/core/src/leadership_reconcile.rs
@@ -72,6 +72,8 @@
         }
     }
 
+    /// Reports whether a server knows a greater term than the row, or the primary does not lead the
+    /// row's term.
     fn has_rival(&self, group: &Group, term: Term, primary: ServerKey) -> bool {
         group.servers.keys().any(|server| {
             let Some(status) = self.statuses.get(server) else {
@@ -90,11 +92,13 @@
         !stays || self.leaving_servers.contains(&server)
     }
 
+    /// Reports whether another server has reported its status and is not leaving.
     fn has_replacement(&self, group: &Group, primary: ServerKey) -> bool {
         let mut others = group.servers.keys().filter(|server| **server != primary);
         others.any(|s| !self.is_leaving(group, *s) && self.statuses.contains_key(s))
     }
 
+    /// Orders servers that are behind the row's term, or still lead one, to follow the primary.
     fn order_followers(
         &mut self,
         group: &Group,
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -54,15 +54,18 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
+    /// Waiting until a replica is close behind the primary.
     Preparing,
+    /// The term is to be closed.
     Start,
-    Closing {
-        revision: u64,
-    },
+    /// Waiting for the commit of the closed term and for the lease holders.
+    Closing { revision: u64 },
+    /// Waiting for a server that can be promoted.
     Choosing {
         since: Duration,
         not_before: Duration,
     },
+    /// Waiting until `server` reports that it leads `term`.
     Promoting {
         server: ServerKey,
         term: Term,
@@ -70,14 +73,14 @@
         since: Duration,
         ordered: Option<Duration>,
     },
+    /// `server` leads `term`, which is to be opened.
     Ready {
         server: ServerKey,
         term: Term,
         start: Position,
     },
-    Opening {
-        revision: u64,
-    },
+    /// Waiting for the commit of the open term.
+    Opening { revision: u64 },
 }
 
 impl Promotion {
@@ -141,6 +144,8 @@
     }
 
     /// Turns a planned switchover into a failover, because the old primary is unreachable.
+    ///
+    /// Has no effect on other promotions.
     pub fn on_primary_unreachable(&mut self) {
         if self.reason == Reason::Leaving {
             self.reason = Reason::Unreachable;
@@ -287,6 +292,7 @@
         ))
     }
 
+    /// Reports whether a replica that is not leaving is close behind the primary.
     fn is_prepared(&self) -> bool {
         let primary = self.service.primary.and_then(|p| self.statuses.get(&p));
         let is_near = |status: &Status| {
@@ -431,6 +437,7 @@
         }
     }
 
+    /// Reports whether the replaced primary is chosen only if no other server qualifies.
     fn avoids_replaced(&self) -> bool {
         !matches!(self.reason, Reason::Rival | Reason::Created(_))
     }
@@ -452,6 +459,8 @@
             .map(|(server, status)| (*server, *status))
     }
 
+    /// Reports whether a log contains every position known to have been acknowledged. For a planned
+    /// switchover it must also reach the position that the old primary last reported.
     fn has_all_writes(&self, status: Status) -> bool {
         let history = self.service.lineage(status.position);
         let reaches = |wanted| history.covers(status.position, wanted);
@@ -461,6 +470,8 @@
         self.acknowledged.is_none_or(reaches) && written.is_none_or(reaches)
     }
 
+    /// Returns the service with `term` open, and with a record of what the promotion lost or may
+    /// have lost.
     fn opened_service(&self, server: ServerKey, term: Term, start: Position) -> Service {
         let mut service = self.service.clone();
         service.open(term, server, start);
