--- a/crates/core/src/authority_holder.rs
+++ b/crates/core/src/authority_holder.rs
@@ -168,7 +168,7 @@
         // The row still named this process after these standbys had answered, so none of them
         // had claimed.
         for peer in self.standbys.values_mut() {
-            peer.verified |= peer.first_answer.is_some_and(|met| met <= sent);
+            peer.verified |= peer.first_answer.is_some_and(|answered| answered <= sent);
         }
         self.confirm_revision(row.revision);
     }
--- a/crates/core/src/leadership_promote.rs
+++ b/crates/core/src/leadership_promote.rs
@@ -142,8 +142,8 @@
                 .set_known_written(Position::default(), false);
             return;
         };
-        let since = |lapse| lapse >= written.sent;
-        let complete = !ledger.last_lapse(now).is_some_and(since);
+        let after_query = |lapse| lapse >= written.sent;
+        let complete = !ledger.last_lapse(now).is_some_and(after_query);
         running
             .promotion
             .set_known_written(written.position, complete);
