--- a/crates/core/src/authority.rs
+++ b/crates/core/src/authority.rs
@@ -18,6 +18,10 @@
 //! [`timing::ORPHAN`], which is also the longest time that a controller relies on promises alone.
 //!
 //! A *witness* of an epoch is a process that knows every decision made under that epoch.
+//!
+//! [`timing::AUTHORITY`]: crate::timing::AUTHORITY
+//! [`timing::ORPHAN`]: crate::timing::ORPHAN
+//! [`timing::PROMISE`]: crate::timing::PROMISE
 
 #[path = "authority_holder.rs"]
 mod holder;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -74,7 +74,7 @@
 /// ```
 /// use std::time::Duration;
 /// use flamingopost_core::key::{HostKey, ZoneKey};
-/// use flamingopost_core::membership::{Presence, Member, Membership, Process, State};
+/// use flamingopost_core::membership::{Member, Membership, Presence, Process, State};
 ///
 /// let mut membership = Membership::default();
 /// let process = Process { host: HostKey::default(), incarnation: 7 };
--- a/crates/core/src/promotion_next.rs
+++ b/crates/core/src/promotion_next.rs
@@ -52,6 +52,9 @@
 pub enum PromotionAction {
     /// Write this state to the row, and call [`Promotion::begin_closing`] or
     /// [`Promotion::begin_opening`].
+    ///
+    /// [`Promotion::begin_closing`]: super::Promotion::begin_closing
+    /// [`Promotion::begin_opening`]: super::Promotion::begin_opening
     Commit(Service),
     /// Send the view, in which the term is closed, to these lease holders.
     Revoke(Vec<Instance>),
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -7,7 +7,7 @@
 
 use crate::digest::Digest;
 
-/// Retry budget of a submission: the number of failed steps that are retried before it fails.
+/// Retry budget of a submission: how often a step is repeated before the submission fails.
 const MAX_RETRIES: u8 = 4;
 
 /// The record of an accepted version.
--- a/crates/core/tests/leadership/world/control.rs
+++ b/crates/core/tests/leadership/world/control.rs
@@ -1,6 +1,4 @@
-//! A control process: drives its [`Controller`] and carries out the actions.
-//!
-//! [`Controller`]: flamingopost_core::leadership::Controller
+//! A control process: drives its state machine and carries out the actions.
 
 use std::time::Duration;
 
