--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -6,8 +6,8 @@
 //!    out the returned actions, none of which waits for another;
 //! 2. report each outcome: [`Controller::on_row_read`], [`Controller::on_write_outcome`],
 //!    [`Controller::on_promise`], [`Controller::on_released`], [`Controller::on_closed`],
-//!    [`Controller::on_status`], [`Controller::on_promoted`]; an action without an answer in time is
-//!    reported as unknown, or not at all if it has no such outcome;
+//!    [`Controller::on_status`], [`Controller::on_promoted`]; an action without an answer in time
+//!    is reported as unknown, or not at all if it has no such outcome;
 //! 3. answer requests of other processes: [`Controller::on_heartbeat`], [`Controller::release`],
 //!    [`Controller::on_renewal`];
 //! 4. report changes: [`Controller::configure`], [`Controller::set_standby_candidates`].
@@ -358,12 +358,10 @@
     ///
     /// Returns what the successor has to wait for and what this process knows of the shard.
     pub fn release(&mut self, epoch: u32, now: Duration) -> Released {
-        let leases = self.ledger.longest_remaining(now);
-        let leases = leases.max(self.inherited_until.saturating_sub(now));
+        let wait = self.ledger.longest_remaining(now);
+        let wait = wait.max(self.inherited_until.saturating_sub(now));
         match &mut self.role {
-            Role::Lead(lead) if lead.authority.epoch() < epoch => {
-                lead.authority.release(leases, now)
-            }
+            Role::Lead(lead) if lead.authority.epoch() < epoch => lead.authority.release(wait, now),
             Role::Lead(lead) => Released {
                 incarnation: self.incarnation,
                 leases: timing::AUTHORITY_DURATION,
@@ -378,9 +376,9 @@
                     // authority that it replaced may not be over yet.
                     leases: match self.last_claim_sent {
                         Some(sent) => {
-                            leases.max((sent + timing::AUTHORITY_DURATION).saturating_sub(now))
+                            wait.max((sent + timing::AUTHORITY_DURATION).saturating_sub(now))
                         }
-                        None => leases,
+                        None => wait,
                     },
                     witnessed_epoch: standby.witnessed_epoch(),
                     row: standby.known_row().cloned(),
@@ -486,7 +484,7 @@
             row,
             predecessor,
             sent,
-            replaced_epoch: replaced,
+            replaced_epoch,
             witnessed,
         } = outcome
         else {
@@ -496,7 +494,12 @@
         self.last_claim_sent = None;
         let authority = ShardAuthority::new(row, predecessor, sent, now);
         self.inherited_until = authority.settled_at();
-        self.role = Role::Lead(Box::new(Lead::new(authority, replaced, witnessed, now)));
+        self.role = Role::Lead(Box::new(Lead::new(
+            authority,
+            replaced_epoch,
+            witnessed,
+            now,
+        )));
     }
 
     fn step_down(&mut self, now: Duration, actions: &mut Vec<Action>) {
--- a/crates/core/src/leadership_promote.rs
+++ b/crates/core/src/leadership_promote.rs
@@ -71,9 +71,7 @@
         actions: &mut Vec<Action>,
     ) {
         match next {
-            PromotionAction::Commit(service) => {
-                self.commit_service(key, running, service, ledger, now)
-            }
+            PromotionAction::Commit(service) => self.commit(key, running, service, ledger, now),
             PromotionAction::Revoke(to) => actions.push(Action::Close {
                 to,
                 view: self.view.clone(),
@@ -94,7 +92,9 @@
         }
     }
 
-    fn commit_service(
+    /// Sets the service's new state in the row, to be committed. A closed term is shown in the view
+    /// at once, an open one only after the commit.
+    fn commit(
         &mut self,
         key: ServiceKey,
         running: &mut RunningPromotion,
@@ -142,13 +142,14 @@
                 .set_known_written(Position::default(), false);
             return;
         };
-        let since = |lapse| lapse >= written.sent;
-        let complete = !ledger.last_lapse(now).is_some_and(since);
+        let after_query = |lapse| lapse >= written.sent;
+        let complete = !ledger.last_lapse(now).is_some_and(after_query);
         running
             .promotion
             .set_known_written(written.position, complete);
     }
 
+    /// Publishes the new term after its commit, and orders the other servers to follow its primary.
     fn finish_promotion(
         &mut self,
         key: ServiceKey,
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! For each shard, an entry host does the following:
 //!
-//! 1. every [`timing::RENEWAL`](crate::timing::RENEWAL), take a [`Ticket`] with
+//! 1. every [`timing::RENEWAL`], take a [`Ticket`] with
 //!    [`LeaseHolder::renewal_sent`] *before* the renewal is sent;
 //! 2. pass the controller's answer to [`LeaseHolder::on_granted`] with that ticket;
 //! 3. pass a revocation to [`LeaseHolder::close`] and send back what it returns;
@@ -271,9 +271,7 @@
         // The lease may have lapsed, or the term may have been closed, while the statement ran
         // or while this process was paused. Only a check after the answer detects that.
         match self.leader(service, now) {
-            Leader::Open { term: open, .. } if open == term => {
-                self.record_acknowledged(service, position)
-            }
+            Leader::Open { term: open, .. } if open == term => self.record(service, position),
             _ => Acknowledge::Unknown,
         }
     }
@@ -312,7 +310,7 @@
         self.acknowledged.get(&service).copied()
     }
 
-    fn record_acknowledged(&mut self, service: ServiceKey, position: Position) -> Acknowledge {
+    fn record(&mut self, service: ServiceKey, position: Position) -> Acknowledge {
         let highest = self.acknowledged.entry(service).or_insert(position);
         let earlier = *highest;
         *highest = earlier.max(position);
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -54,15 +54,18 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
+    /// Waiting until a replica is close behind the primary.
     Preparing,
+    /// The term is to be closed.
     Start,
-    Closing {
-        revision: u64,
-    },
+    /// Waiting for the commit of the closed term and for the lease holders.
+    Closing { revision: u64 },
+    /// Waiting for a server that can be promoted.
     Choosing {
         since: Duration,
         not_before: Duration,
     },
+    /// Waiting until `server` reports that it leads `term`.
     Promoting {
         server: ServerKey,
         term: Term,
@@ -70,14 +73,14 @@
         since: Duration,
         ordered: Option<Duration>,
     },
+    /// `server` leads `term`, which is to be opened.
     Ready {
         server: ServerKey,
         term: Term,
         start: Position,
     },
-    Opening {
-        revision: u64,
-    },
+    /// Waiting for the commit of the open term.
+    Opening { revision: u64 },
 }
 
 impl Promotion {
@@ -141,6 +144,8 @@
     }
 
     /// Turns a planned switchover into a failover, because the old primary is unreachable.
+    ///
+    /// Has no effect on other promotions.
     pub fn on_primary_unreachable(&mut self) {
         if self.reason == Reason::Leaving {
             self.reason = Reason::Unreachable;
@@ -287,6 +292,7 @@
         ))
     }
 
+    /// Reports whether a replica that is not leaving is close behind the primary.
     fn is_prepared(&self) -> bool {
         let primary = self.service.primary.and_then(|p| self.statuses.get(&p));
         let is_near = |status: &Status| {
@@ -401,18 +407,14 @@
             .into_iter()
             .all(|s| self.statuses.contains_key(s));
         let gathered = all_answered || waited >= self.answer_timeout();
-        let known_complete = self.acknowledged_complete && self.acknowledged.is_some();
+        let complete = self.acknowledged_complete && self.acknowledged.is_some();
         // All candidates have answered, the old primary is gone, and replication has stopped:
         // waiting longer gains nothing.
         let gone = replaced.is_none_or(|server| !self.statuses.contains_key(&server));
         let stalled = now >= self.progress.1.max(since) + timing::REPLICATION_IDLE;
         let is_final = all_answered && gone && stalled;
         match best {
-            Some((_, status))
-                if self.has_all_acknowledged(status) && (gathered || known_complete) =>
-            {
-                best
-            }
+            Some((_, status)) if self.has_all_writes(status) && (gathered || complete) => best,
             _ if waited < self.catch_up_timeout() && !is_final => None,
             // No other server has everything, or no other server is reachable: the replaced
             // primary is chosen if it is reachable and has the highest position.
@@ -435,6 +437,7 @@
         }
     }
 
+    /// Reports whether the replaced primary is chosen only if no other server qualifies.
     fn avoids_replaced(&self) -> bool {
         !matches!(self.reason, Reason::Rival | Reason::Created(_))
     }
@@ -456,7 +459,9 @@
             .map(|(server, status)| (*server, *status))
     }
 
-    fn has_all_acknowledged(&self, status: Status) -> bool {
+    /// Reports whether a log contains every position known to have been acknowledged. For a planned
+    /// switchover it must also reach the position that the old primary last reported.
+    fn has_all_writes(&self, status: Status) -> bool {
         let history = self.service.lineage(status.position);
         let reaches = |wanted| history.covers(status.position, wanted);
         let planned = self.reason == Reason::Leaving;
@@ -465,6 +470,8 @@
         self.acknowledged.is_none_or(reaches) && written.is_none_or(reaches)
     }
 
+    /// Returns the service with `term` open, and with a record of what the promotion lost or may
+    /// have lost.
     fn opened_service(&self, server: ServerKey, term: Term, start: Position) -> Service {
         let mut service = self.service.clone();
         service.open(term, server, start);
--- a/crates/core/tests/leadership/world/mod.rs
+++ b/crates/core/tests/leadership/world/mod.rs
@@ -1,5 +1,6 @@
-//! A small world around the leadership machines: zones with hosts, each a control and an entry
-//! process; backend servers; one table; links that cut, lose and delay; clocks that drift.
+//! A simulated deployment around the leadership state machines: availability zones with hosts, each
+//! with a control and an entry process; backend servers; one table; links that are cut, lose and
+//! delay messages; clocks that drift.
 
 mod control;
 mod entry;
@@ -26,7 +27,7 @@
 pub const ZONES: usize = 3;
 pub const HOSTS: usize = 6;
 pub const SERVICES: usize = 2;
-/// The platform's place in the matrix of cuts.
+/// The platform's index in the matrix of cuts.
 pub const PLATFORM: usize = ZONES;
 
 type Callback = Box<dyn FnOnce(&mut World)>;
@@ -34,10 +35,11 @@
 /// A process that can be paused and restarted.
 #[derive(Debug, Clone, Copy)]
 pub struct Process {
-    pub generation: u64,
+    /// Number of starts, from 1; a restart discards callbacks of earlier generations.
+    pub boot: u64,
     pub paused: Duration,
     offset: Duration,
-    /// Parts in a thousand by which its clock is fast, plus a thousand.
+    /// Rate of its clock, in thousandths of real time: 1005 is 0.5 % fast.
     rate: u32,
 }
 
@@ -55,8 +57,9 @@
     sequence: u64,
     pub cut: [[bool; ZONES + 1]; ZONES + 1],
     pub isolated: [bool; HOSTS],
-    /// Of a thousand messages, how many are lost, and how many are late.
+    /// Lost messages of a thousand.
     pub loss: u32,
+    /// Late messages of a thousand.
     pub late: u32,
     pub table: Option<Row>,
     pub table_down: bool,
@@ -69,12 +72,13 @@
     pub zones: Vec<ZoneKey>,
     pub services: Vec<ServiceKey>,
     pub server_keys: Vec<ServerKey>,
-    /// Newest term of each service that a controller has opened.
+    /// The newest term that a controller has opened for each service.
     pub opened: Vec<Term>,
     promoted: BTreeMap<(usize, Term), usize>,
-    /// Service, write and position of each write that a caller was report is done.
+    /// Service, write number, position and time of each acknowledged write.
     pub acknowledged: Vec<(usize, u64, Position, Duration)>,
     pub writes: u64,
+    /// The latest trace lines, printed for a failed seed.
     pub trace_lines: VecDeque<String>,
     pub writing: bool,
 }
@@ -131,7 +135,7 @@
             let control = world.controller(host, process);
             world.controls.push((process, control));
             let process = world.process(rng.random_range(0..10_000), rng.random_range(995..=1005));
-            let entry = Entry::new(host, process.generation, process.local(world.now));
+            let entry = Entry::new(host, process.boot, process.local(world.now));
             world.entries.push((process, entry));
         }
         for host in 0..HOSTS {
@@ -144,7 +148,7 @@
 
     fn process(&mut self, offset: u64, rate: u32) -> Process {
         Process {
-            generation: 1,
+            boot: 1,
             paused: Duration::ZERO,
             offset: Duration::from_millis(offset),
             rate,
@@ -153,8 +157,8 @@
 
     fn controller(&self, host: usize, process: Process) -> Controller {
         let local = process.local(self.now);
-        let generation = process.generation * 100 + host as u64;
-        let mut controller = Controller::new(self.hosts[host], generation, local);
+        let boot = process.boot * 100 + host as u64;
+        let mut controller = Controller::new(self.hosts[host], boot, local);
         controller.configure(self.groups());
         let others = (1..HOSTS).map(|step| self.hosts[(host + step) % HOSTS]);
         controller.set_standby_candidates(others.collect());
@@ -193,7 +197,7 @@
             .push_back(format!("{:9.3} {text}", self.now.as_secs_f64()));
     }
 
-    /// Runs until `until`.
+    /// Runs the simulation until `until`.
     pub fn run(&mut self, until: Duration) {
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > until {
@@ -212,22 +216,22 @@
         self.queue.insert(key, Box::new(act));
     }
 
-    /// Runs `act` at a process, when it is not paused and unless it has been restarted.
-    fn run_at(
+    /// Runs `act` at a process after `delay`, or when its pause ends, unless it restarts before.
+    fn at(
         &mut self,
         place: Place,
-        generation: u64,
+        boot: u64,
         delay: Duration,
         act: impl FnOnce(&mut World) + 'static,
     ) {
         self.schedule(delay, move |world| {
             let process = world.process_at(place);
-            if process.generation != generation {
+            if process.boot != boot {
                 return;
             }
             if process.paused > world.now {
                 let wait = process.paused - world.now;
-                return world.run_at(place, generation, wait, act);
+                return world.at(place, boot, wait, act);
             }
             act(world);
         });
@@ -244,7 +248,8 @@
         self.process_at(place).local(self.now)
     }
 
-    /// The delay of a message from a host to a zone or the platform; `None` when it is lost.
+    /// Returns the delay of a message from a host to a zone or the platform, or `None` if it is
+    /// lost.
     pub fn message_delay(&mut self, host: usize, to: usize) -> Option<Duration> {
         let from = host % ZONES;
         if self.cut[from][to] || self.isolated[host] {
@@ -259,7 +264,7 @@
         Some(Duration::from_micros(self.rng.random_range(300..2_500)))
     }
 
-    /// The same between two hosts.
+    /// Returns the delay of a message between two hosts, or `None` if it is lost.
     pub fn host_message_delay(&mut self, from: usize, to: usize) -> Option<Duration> {
         if self.isolated[to] && from != to {
             return None;
@@ -289,7 +294,7 @@
         self.servers[index].replicate(&log, most);
     }
 
-    /// Notes that a caller was report that its write is done.
+    /// Records an acknowledged write and checks that its term has not been replaced.
     pub fn acknowledge(&mut self, service: usize, id: u64, position: Position) {
         let opened = self.opened[service];
         invariant::check(Invariant::ReplacedPrimary, position.term >= opened, || {
@@ -303,19 +308,19 @@
         match place {
             Place::Control(host) => {
                 let mut process = self.controls[host].0;
-                process.generation += 1;
+                process.boot += 1;
                 process.paused = self.now + Duration::from_millis(self.rng.random_range(0..800));
                 let controller = self.controller(host, process);
                 self.controls[host] = (process, controller);
-                self.control_tick(host, process.generation);
+                self.control_tick(host, process.boot);
             }
             Place::Entry(host) => {
                 let mut process = self.entries[host].0;
-                process.generation += 1;
+                process.boot += 1;
                 process.paused = self.now + Duration::from_millis(self.rng.random_range(0..800));
-                let entry = Entry::new(host, process.generation, process.local(self.now));
+                let entry = Entry::new(host, process.boot, process.local(self.now));
                 self.entries[host] = (process, entry);
-                self.entry_tick(host, process.generation);
+                self.entry_tick(host, process.boot);
             }
         }
     }
