--- a/crates/core/tests/adoption.rs
+++ b/crates/core/tests/adoption.rs
@@ -41,13 +41,13 @@
     let mut adoption = Adoption::starting(0);
     adoption.record_head(1, digest(1));
     let whole = body(1);
-    let cut = &whole[..whole.len() - 1];
+    let truncated = &whole[..whole.len() - 1];
     assert_eq!(
-        adoption.check_body(1, digest(1), cut),
+        adoption.check_body(1, digest(1), truncated),
         Err(Error::Damaged(1))
     );
     assert_eq!(
-        adoption.check_body(1, Digest::of(cut), cut),
+        adoption.check_body(1, Digest::of(truncated), truncated),
         Err(Error::Forked(1))
     );
     assert_eq!(
@@ -87,14 +87,14 @@
 }
 
 impl Host {
-    fn fresh(peers: usize, before: u64) -> Host {
+    fn starting(peers: usize, before: u64) -> Host {
         Host {
             adoption: Adoption::starting(peers),
             before,
         }
     }
 
-    fn take(&mut self, version: u64) {
+    fn accept(&mut self, version: u64) {
         let offered = self
             .adoption
             .check_body(version, digest(version), &body(version));
@@ -106,61 +106,61 @@
 
 /// Hosts hear of versions from the platform, which has outages, and from each other over links
 /// that lose messages; some restart with empty memory.
-fn schedule(seed: u64) {
+fn run_schedule(seed: u64) {
     const HOSTS: usize = 7;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut hosts: Vec<Host> = (0..HOSTS).map(|_| Host::fresh(HOSTS - 1, 0)).collect();
-    let (mut newest, mut down) = (0, false);
+    let mut hosts: Vec<Host> = (0..HOSTS).map(|_| Host::starting(HOSTS - 1, 0)).collect();
+    let (mut newest, mut outage) = (0, false);
     for _ in 0..300 {
         let chosen = random.random_range(0..HOSTS);
         match random.random_range(0..10) {
-            0 if !down => newest += 1,
-            1 => down = !down,
-            2 => restart(&mut hosts, chosen, down, newest, &mut random),
-            3 | 4 => poll(&mut hosts[chosen], down, newest),
+            0 if !outage => newest += 1,
+            1 => outage = !outage,
+            2 => restart(&mut hosts, chosen, outage, newest, &mut random),
+            3 | 4 => poll_platform(&mut hosts[chosen], outage, newest),
             _ => {
                 let peer = random.random_range(0..HOSTS);
-                tell(&mut hosts, peer, chosen);
+                exchange(&mut hosts, peer, chosen);
             }
         }
     }
     for host in &mut hosts {
-        poll(host, false, newest);
+        poll_platform(host, false, newest);
         assert_eq!(host.adoption.in_force(), newest, "seed {seed}");
     }
 }
 
-fn poll(host: &mut Host, down: bool, newest: u64) {
-    let next = match (down, newest) {
+fn poll_platform(host: &mut Host, outage: bool, newest: u64) {
+    let next = match (outage, newest) {
         (true, _) => host.adoption.record_platform_failure(),
         (false, 0) => host.adoption.record_empty_head(),
         (false, newest) => host.adoption.record_head(newest, digest(newest)),
     };
     if let AdoptionStep::Fetch { version } = next {
-        host.take(version);
+        host.accept(version);
     }
 }
 
-fn tell(hosts: &mut [Host], from: usize, to: usize) {
+fn exchange(hosts: &mut [Host], from: usize, to: usize) {
     let version = hosts[from].adoption.in_force();
     if let AdoptionStep::Fetch { version: wanted } = hosts[to].adoption.record_version(version) {
         // The body of what was heard of before may be nowhere but at the platform.
         if wanted == version {
-            hosts[to].take(version);
+            hosts[to].accept(version);
         }
     }
 }
 
-fn restart(hosts: &mut [Host], chosen: usize, down: bool, newest: u64, random: &mut ChaCha8Rng) {
+fn restart(hosts: &mut [Host], chosen: usize, outage: bool, newest: u64, random: &mut ChaCha8Rng) {
     let before = hosts[chosen].adoption.in_force().max(hosts[chosen].before);
-    hosts[chosen] = Host::fresh(hosts.len() - 1, before);
+    hosts[chosen] = Host::starting(hosts.len() - 1, before);
     // What was in force nowhere else is out of reach while the platform is gone.
     let elsewhere = hosts.iter().map(|host| host.adoption.in_force()).max();
-    let reachable = match down {
+    let reachable = match outage {
         true => before.min(elsewhere.unwrap_or(0)),
         false => before,
     };
-    poll(&mut hosts[chosen], down, newest);
+    poll_platform(&mut hosts[chosen], outage, newest);
     let mut others: Vec<usize> = (0..hosts.len()).filter(|other| *other != chosen).collect();
     let first = random.random_range(0..others.len());
     others.rotate_left(first);
@@ -171,7 +171,7 @@
         let answer = (!lost).then_some(version);
         let next = hosts[chosen].adoption.record_peer_answer(answer);
         if let AdoptionStep::Fetch { version: wanted } = next {
-            hosts[chosen].take(wanted);
+            hosts[chosen].accept(wanted);
         }
         let now = hosts[chosen].adoption.in_force();
         let reverts = now != 0 && now < reachable;
@@ -186,7 +186,7 @@
         Err(_) => 500,
     };
     for seed in 0..schedules {
-        schedule(seed);
+        run_schedule(seed);
     }
 }
 
--- a/crates/core/tests/epoch.rs
+++ b/crates/core/tests/epoch.rs
@@ -126,7 +126,7 @@
     }
 
     /// Host `number` hears that the store was restored.
-    fn restore(&mut self, number: usize, now: Duration) {
+    fn observe_restore(&mut self, number: usize, now: Duration) {
         let host = &mut self.hosts[number];
         let before = Epoch(0);
         assert_eq!(
@@ -137,7 +137,7 @@
     }
 
     /// Host `number` is told by `from` which epoch that one knows.
-    fn tell(&mut self, from: usize, number: usize) {
+    fn report_epoch(&mut self, from: usize, number: usize) {
         let (key, epoch) = (self.keys[from], self.hosts[from].epochs.newest_epoch());
         self.hosts[number]
             .epochs
@@ -152,21 +152,21 @@
 fn a_lost_claim_causes_no_order(hosts: usize) {
     let (first, second) = (0, hosts - 1);
     let mut fleet = Fleet::new(hosts);
-    let (leases, restore_at, heard) = (ms(950), ms(700), ms(1_300));
+    let (leases, restore_at, others_informed_at) = (ms(950), ms(700), ms(1_300));
     let mut now = ms(400);
     while now < ms(6_000) {
         if now == restore_at {
-            fleet.restore(second, now);
+            fleet.observe_restore(second, now);
         }
-        if now == heard {
+        if now == others_informed_at {
             (0..hosts)
                 .filter(|host| *host != second)
-                .for_each(|host| fleet.restore(host, now));
-            let told = (0..hosts).take(ELECTORS).filter(|host| *host != second);
-            told.for_each(|host| fleet.tell(host, second));
+                .for_each(|host| fleet.observe_restore(host, now));
+            let electors = (0..hosts).take(ELECTORS).filter(|host| *host != second);
+            electors.for_each(|host| fleet.report_epoch(host, second));
         }
         let claims = fleet.hosts[first].claims;
-        if now < heard || claims < 2 {
+        if now < others_informed_at || claims < 2 {
             fleet.step(first, leases, BEFORE, now);
         }
         if now >= restore_at {
@@ -178,7 +178,7 @@
     let orders = &fleet.hosts[second].orders;
     let (at, grant) = orders.first().copied().expect("an order");
     assert_eq!(grant, AFTER);
-    assert!(at >= heard, "{at:?}");
+    assert!(at >= others_informed_at, "{at:?}");
     assert!(
         at <= restore_at + CLAIM_HOLDER_TIMEOUT + STEP,
         "{at:?}: nobody is waited for"
@@ -206,8 +206,8 @@
         now += STEP;
     }
     assert_eq!(fleet.hosts[0].claims, 1);
-    (0..6).for_each(|host| fleet.restore(host, now));
-    (1..6).for_each(|host| fleet.tell(host, 0));
+    (0..6).for_each(|host| fleet.observe_restore(host, now));
+    (1..6).for_each(|host| fleet.report_epoch(host, 0));
     while now < ms(1_600) {
         fleet.step(0, ms(900), AFTER, now);
         now += STEP;
--- a/crates/core/tests/quorum.rs
+++ b/crates/core/tests/quorum.rs
@@ -149,7 +149,7 @@
             _ => (true, true),
         };
         let mut ordered = None;
-        let mut told_of_it = vec![false; count];
+        let mut informed = vec![false; count];
         let mut now = ms(0);
         while now < ms(8_000) {
             for from in 0..count {
@@ -165,27 +165,27 @@
                     if !blocked(!asks_in) {
                         quorums[from].record_reply(keys[to], now);
                         quorums[from].record_message(keys[to], now + ms(4));
-                        told_of_it[from] |= ordered.is_some() && to < count - cut;
+                        informed[from] |= ordered.is_some() && to < count - cut;
                     }
                 }
             }
             now += HEARTBEAT_INTERVAL;
             // The first host orders a promotion, with the word of all that are not cut off.
             let told: BTreeSet<HostKey> = keys[..count - cut].iter().copied().collect();
-            let quiet = now >= quorums[0].leases_end(&told, now);
-            if now >= cut_at && quiet {
+            let leases_ended = now >= quorums[0].leases_end(&told, now);
+            if now >= cut_at && leases_ended {
                 ordered.get_or_insert(now);
             }
-            let late = quiet && now >= cut_at + LEASE_DURATION + CLOCK_MARGIN + ms(10);
-            let leads = ordered.is_some_and(|at| now >= at + PROMOTION);
-            for (writer, told) in quorums.iter().zip(&told_of_it).skip(count - cut) {
-                let alone = cut * 2 < count;
+            let late = leases_ended && now >= cut_at + LEASE_DURATION + CLOCK_MARGIN + ms(10);
+            let successor_leads = ordered.is_some_and(|at| now >= at + PROMOTION);
+            for (writer, told) in quorums.iter().zip(&informed).skip(count - cut) {
+                let is_minority = cut * 2 < count;
                 assert!(
-                    !(leads && alone && !told && writer.holds_lease(now)),
+                    !(successor_leads && is_minority && !told && writer.holds_lease(now)),
                     "seed {seed}: a write at {now:?} while the successor leads"
                 );
                 assert!(
-                    !(late && alone && writer.holds_lease(now)),
+                    !(late && is_minority && writer.holds_lease(now)),
                     "seed {seed}: a write at {now:?} after the order"
                 );
             }
