--- a/crates/core/tests/adoption.rs
+++ b/crates/core/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption of configuration versions by many hosts over lossy links.
+//! Tests of the adoption of configuration versions, also by many hosts over lossy links.
 
 use flamingopost_core::adoption::{Adoption, AdoptionStep, Error};
 use flamingopost_core::digest::Digest;
@@ -13,8 +13,8 @@
     Digest::of(&body(version))
 }
 
-/// A host restarts while the platform is down. The first peer that answers was cut off for an
-/// hour and has an old version; adopting it would revert what the host did before its restart.
+/// A host restarts while the platform is unavailable. The first peer that answers was cut off for
+/// an hour and has an old version; adopting it would revert what was in force before the restart.
 #[test]
 fn a_starting_host_waits_for_all_sources() {
     let mut adoption = Adoption::starting(2);
@@ -35,7 +35,7 @@
     );
 }
 
-/// An answer is cut short on its way. Half a configuration must not come into force.
+/// An answer is truncated in transit. Half a configuration must not be put in force.
 #[test]
 fn a_damaged_body_is_rejected() {
     let mut adoption = Adoption::starting(0);
@@ -56,8 +56,9 @@
     );
 }
 
-/// A newer program's configuration reaches an older program, which cannot read it. It keeps the
-/// version in force, does not fetch the same body every half second, and takes the next version.
+/// A configuration for a newer program reaches an older one, which cannot read it. The older
+/// program keeps the version in force, does not fetch the same body every half second, and takes
+/// the next version.
 #[test]
 fn a_version_that_cannot_be_read_is_not_fetched_again() {
     let mut adoption = Adoption::starting(0);
@@ -70,8 +71,8 @@
     );
 }
 
-/// A version is older than the one in force: the guard that the daemon relies on is broken here
-/// on purpose, and the program itself has to notice.
+/// Adopts a version older than the one in force, past the check that the daemon relies on: the
+/// program itself has to detect it.
 #[test]
 #[should_panic(expected = "upward_configuration")]
 fn a_version_that_goes_back_violates_the_invariant() {
@@ -82,7 +83,7 @@
 
 struct Host {
     adoption: Adoption,
-    /// What was in force before the last restart.
+    /// The version in force before the last restart.
     before: u64,
 }
 
@@ -104,8 +105,8 @@
     }
 }
 
-/// Hosts hear of versions from the platform, which has outages, and from each other over links
-/// that lose messages; some restart with empty memory.
+/// Runs a random schedule: hosts learn of versions from the platform, which has outages, and from
+/// each other over links that lose messages; some restart with empty memory.
 fn run_schedule(seed: u64) {
     const HOSTS: usize = 7;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -144,7 +145,7 @@
 fn exchange(hosts: &mut [Host], from: usize, to: usize) {
     let version = hosts[from].adoption.in_force();
     if let AdoptionStep::Fetch { version: wanted } = hosts[to].adoption.record_version(version) {
-        // The body of what was heard of before may be nowhere but at the platform.
+        // The body of a version announced before may exist only at the platform.
         if wanted == version {
             hosts[to].accept(version);
         }
@@ -154,7 +155,7 @@
 fn restart(hosts: &mut [Host], chosen: usize, outage: bool, newest: u64, random: &mut ChaCha8Rng) {
     let before = hosts[chosen].adoption.in_force().max(hosts[chosen].before);
     hosts[chosen] = Host::starting(hosts.len() - 1, before);
-    // What was in force nowhere else is out of reach while the platform is gone.
+    // A version that was in force nowhere else cannot be reached while the platform is unavailable.
     let elsewhere = hosts.iter().map(|host| host.adoption.in_force()).max();
     let reachable = match outage {
         true => before.min(elsewhere.unwrap_or(0)),
@@ -190,8 +191,8 @@
     }
 }
 
-/// A host cut off from the platform is offered the body that it has, or an older one, by a peer
-/// that is behind. Taking it again would bring back routes that operators have removed.
+/// A host that is cut off from the platform is offered the body that it has, or an older one, by a
+/// peer that is behind. Adopting it again would bring back routes that operators have removed.
 #[test]
 fn a_body_that_is_not_newer_is_not_adopted() {
     let mut adoption = Adoption::starting(0);
--- a/crates/core/tests/epoch.rs
+++ b/crates/core/tests/epoch.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from a copy, and hosts that replace a primary around that moment.
+//! Tests of hosts that replace a primary while the store is restored from a copy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,12 +13,12 @@
 };
 use flamingopost_core::term::Term;
 
-/// Hosts beyond this number are not asked; they hear of an epoch by themselves.
+/// Number of hosts that are asked. The others learn of an epoch by themselves.
 const ELECTORS: usize = 7;
 
 const STEP: Duration = ms(20);
 
-/// Claims of the epoch before the drill and of the one after it.
+/// Tokens of claims in the epoch before the restore and in the one after it.
 const BEFORE: FencingToken = FencingToken(900);
 const AFTER: FencingToken = FencingToken((1 << 40) + 3);
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// What host `number` sees at `now`, with leases of others that last until `leases`.
+    /// Returns the view of host `number`, with leases of other hosts that last until `leases`.
     fn view(&self, number: usize, leases: Duration) -> View {
         let host = &self.hosts[number];
         let electors = self.keys.iter().take(ELECTORS).copied();
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Host `number` takes a step; what it asks is answered at once, a claim is won with `grant`.
+    /// Host `number` takes a step. Its requests are answered at once, and a claim is won with
+    /// `grant`.
     fn step(&mut self, number: usize, leases: Duration, grant: FencingToken, now: Duration) {
         let view = self.view(number, leases);
         let servers = self.servers.clone();
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Host `number` hears that the store was restored.
+    /// Host `number` learns that the store was restored.
     fn observe_restore(&mut self, number: usize, now: Duration) {
         let host = &mut self.hosts[number];
         let before = Epoch(0);
@@ -136,7 +137,7 @@
         host.succession.invalidate_claim(now);
     }
 
-    /// Host `number` is told by `from` which epoch that one knows.
+    /// Host `from` reports the epoch that it knows to host `number`.
     fn report_epoch(&mut self, from: usize, number: usize) {
         let (key, epoch) = (self.keys[from], self.hosts[from].epochs.newest_epoch());
         self.hosts[number]
@@ -145,10 +146,10 @@
     }
 }
 
-/// A host has claimed to replace a silent primary and waits for the leases of others. The store comes
-/// back from a copy without that claim, and another host wins it anew. Both ordered a successor, each
-/// its own, and what the first one had acknowledged was rolled back: the second waits until the first
-/// has heard of the drill, and the first claims anew.
+/// A host has claimed to replace a silent primary and waits for the leases of other hosts. The
+/// store is restored from a copy without that claim, and another host wins it again. Both ordered a
+/// successor of their own, and what the first one had acknowledged was rolled back. The second host
+/// has to wait until the first has learned of the restore, and the first has to claim again.
 fn a_lost_claim_causes_no_order(hosts: usize) {
     let (first, second) = (0, hosts - 1);
     let mut fleet = Fleet::new(hosts);
@@ -174,14 +175,15 @@
         }
         now += STEP;
     }
-    // The first would have ordered once the leases were over, 0.35 s before it heard.
+    // Without the restore, the first host would have given its order when the leases ended, 0.35 s
+    // before it learned of the restore.
     let orders = &fleet.hosts[second].orders;
     let (at, grant) = orders.first().copied().expect("an order");
     assert_eq!(grant, AFTER);
     assert!(at >= others_informed_at, "{at:?}");
     assert!(
         at <= restore_at + CLAIM_HOLDER_TIMEOUT + STEP,
-        "{at:?}: nobody is waited for"
+        "{at:?}: no host has to be waited for"
     );
 }
 
@@ -195,8 +197,8 @@
     a_lost_claim_causes_no_order(74);
 }
 
-/// A host that waits for leases under a claim hears of a drill: it gives no order under that claim,
-/// and claims anew at once, without asking all others again.
+/// A host that waits for leases under a claim learns of a restore. It gives no order under that
+/// claim and claims again at once, without another inquiry.
 #[test]
 fn a_claim_is_made_again_after_a_restore() {
     let mut fleet = Fleet::new(6);
@@ -217,8 +219,8 @@
     assert_eq!(grants, [AFTER]);
 }
 
-/// A host that starts after a drill hears the new epoch first and takes it for the only one: another
-/// host, which knows the one before, tells it that claims may be missing.
+/// A host that starts after a restore sees the new epoch first and takes it for the only one.
+/// Another host, which knows the previous epoch, reports that claims may be missing.
 #[test]
 fn a_host_that_has_just_started_learns_of_a_restore() {
     let mut fleet = Fleet::new(6);
@@ -228,7 +230,7 @@
     epochs.record_store_epoch(Epoch(1), ms(2_000));
     assert_eq!(epochs.orders_allowed_from(&others), ms(0));
     epochs.record_restore(Epoch(0), ms(1_000));
-    assert_eq!(epochs.restored_at(), None, "an epoch that is over");
+    assert_eq!(epochs.restored_at(), None, "an epoch that has ended");
     epochs.record_restore(Epoch(1), ms(1_500));
     assert_eq!(
         epochs.orders_allowed_from(&others),
@@ -238,8 +240,9 @@
     assert!(!epochs.are_claims_complete(ms(2_000)));
 }
 
-/// A stranger at an address that a host had before tells of an epoch that the store never had. Hosts took
-/// its word, passed over all that the store told, and asked it again at once, 6,000 times a second each.
+/// A host of another fleet, at an address that a host had before, reports an epoch that the store
+/// never had. Hosts trusted it, ignored every answer of the store, and asked it again at once,
+/// 6,000 times a second each.
 #[test]
 fn an_epoch_reported_by_a_host_does_not_outdate_the_store() {
     let fleet = Fleet::new(6);
@@ -247,7 +250,7 @@
     epochs.record_store_epoch(Epoch(2), ms(0));
     assert!(
         epochs.record_peer_epoch(fleet.keys[1], Epoch(9), ms(500)),
-        "worth asking"
+        "the store has to be asked again"
     );
     assert_eq!(
         epochs.record_store_epoch(Epoch(2), ms(510)),
@@ -256,7 +259,7 @@
     assert_eq!(epochs.store_epoch(), Epoch(2));
     assert!(
         !epochs.record_peer_epoch(fleet.keys[2], Epoch(9), ms(520)),
-        "asked already"
+        "the store was already asked"
     );
     assert_eq!(
         epochs.orders_allowed_from(&fleet.hosts[0].others),
--- a/crates/core/tests/extent.rs
+++ b/crates/core/tests/extent.rs
@@ -1,4 +1,4 @@
-//! How far a service's log was seen to reach, and which server cannot lead for that.
+//! Tests of the observed extent of a service's log, and of servers that have lost theirs.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// A primary starts again without its log, in the term that it led. On the first connection to it,
-/// it shows the start of that term, while a replica had shown an entry of it.
+/// A primary restarts without its log, in the term that it led. On the first connection it reports
+/// the start of that term, while a replica had reported an entry of it.
 #[test]
 fn a_primary_with_less_than_an_earlier_position_has_lost_its_log() {
     let mut extent = LogExtent::default();
@@ -33,8 +33,9 @@
     assert!(!extent.lacks(position(4, 0), ms(200)), "a newer term leads");
 }
 
-/// Answers overtake each other. What was asked before the log had got that far was answered in
-/// good faith: a primary was taken for an empty one whenever two callers wrote at once.
+/// Answers arrive out of order. A request sent before the log had reached a position may be
+/// answered with less: a primary was taken for an empty one whenever two callers wrote at the same
+/// time.
 #[test]
 fn a_request_sent_before_a_position_was_seen_proves_nothing() {
     let mut extent = LogExtent::default();
@@ -42,8 +43,9 @@
     assert!(!extent.lacks(position(3, 39), ms(99)));
 }
 
-/// An empty log shows the start of the newest term. It is past each entry of older terms, so right
-/// after a change of primary an empty server would count as the one with most.
+/// An empty log reports the start of the newest term, which compares greater than each entry of
+/// older terms. Right after a change of primary, an empty server would count as the one with the
+/// longest log.
 #[test]
 fn the_start_of_a_term_does_not_extend_the_log() {
     let mut extent = LogExtent::default();
@@ -52,8 +54,8 @@
     assert_eq!(extent.furthest(), position(3, 40));
 }
 
-/// The list says that the primary has started again. It had been promoted just before, in a term
-/// that this host had not heard of; its empty log showed the start of that one, and was taken for the
+/// The list reports that the primary has restarted. It had been promoted just before, in a term
+/// that this host did not know. Its empty log reported the start of that term and was taken for the
 /// log of a server that had been promoted since.
 #[test]
 fn a_restarted_server_has_to_prove_its_log() {
@@ -69,9 +71,9 @@
     );
 }
 
-/// A host looks at an empty primary again and again while it hears from a replica. The replica's
-/// word came between a question and its answer; the empty one was believed for a moment, and took
-/// the bids that had waited.
+/// A host keeps probing an empty primary while it also gets answers of a replica. A replica's
+/// answer came between a request and its answer, so the empty primary was trusted for a moment and
+/// accepted the waiting writes.
 #[test]
 fn a_distrusted_server_gets_no_allowance_for_requests_in_flight() {
     let mut extent = LogExtent::default();
@@ -80,8 +82,9 @@
     assert!(!extent.proves(position(3, 39)));
 }
 
-/// A primary starts again without its log. A read is sent there, and while it is on its way another
-/// server shows a write more. That the primary lacked nearly all of the log was known long before.
+/// A primary restarts without its log. A read is sent there, and while it is in transit another
+/// server reports one more write. That the primary lacked nearly all of the log was known long
+/// before.
 #[test]
 fn a_log_that_has_just_grown_does_not_hide_a_loss() {
     let mut extent = LogExtent::default();
@@ -96,9 +99,9 @@
     assert!(!extent.lacks(position(3, 600), ms(7_000)));
 }
 
-/// All hosts have started anew, and the only server that is left shows an empty log. That something was
-/// written they know by a record alone: the server proves nothing, and its log lacks nothing either that
-/// anybody could name.
+/// All hosts have restarted, and the only remaining server reports an empty log. The hosts know
+/// from a record alone that something was written. The server proves nothing, and no host knows a
+/// position that its log lacks.
 #[test]
 fn an_empty_log_proves_nothing_where_a_write_is_recorded() {
     let mut extent = LogExtent::default();
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How fresh a server's data must be, by positions at which a primary was seen to lead.
+//! Tests of the position that a server's log must contain for a read, from samples of the primary.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
     }
 }
 
-/// A buyer reads a lot on a host that was frozen for three seconds. The only samples are from
-/// before the freeze, so no replica can be shown to be fresh enough; a guess would show the lot
-/// as open although it was sold during the freeze.
+/// A caller reads on a host that was paused for three seconds. The only samples are from before the
+/// pause, so no replica can be shown to be fresh enough; a guess could return data that changed
+/// during the pause.
 #[test]
 fn samples_from_before_a_pause_prove_no_freshness() {
     let mut tracker = FreshnessTracker::default();
@@ -30,8 +30,9 @@
     assert_eq!(tracker.required_position(arrived - ms(1_500)), None);
 }
 
-/// A member's bid is at 1.57 when its primary dies; the successor starts term 2 from 1.55. The
-/// session would ask for 1.57 for ever and be refused everywhere. The start of term 2 stands in.
+/// A session's write is at 1.57 when its primary dies, and the successor starts term 2 from 1.55.
+/// The session would wait for 1.57 for ever and be refused everywhere. The start of term 2 replaces
+/// that position.
 #[test]
 fn a_position_dropped_by_a_promotion_does_not_block_its_session() {
     let mut tracker = FreshnessTracker::default();
@@ -41,8 +42,8 @@
     assert_eq!(tracker.required_position(ms(50)), Some(position(2, 0)));
 }
 
-/// A primary was replaced while an answer of its was on the way. The answer arrives after those
-/// of the successor and must not vouch for anything.
+/// A primary was replaced while one of its answers was in transit. The answer arrives after those
+/// of the successor and must not count as a sample.
 #[test]
 fn an_answer_of_an_ended_term_is_no_sample() {
     let mut tracker = FreshnessTracker::default();
@@ -59,7 +60,7 @@
     assert_eq!(tracker.required_position(ms(0)), Some(position(1, 9)));
 }
 
-/// Whatever the order in which answers arrive: the floor covers everything that was acknowledged
+/// In whatever order answers arrive, the required position covers everything that was acknowledged
 /// before the moment that a read names.
 #[test]
 fn required_positions_cover_all_acknowledged_writes() {
@@ -77,14 +78,14 @@
                     log += 1;
                     acknowledged.push((now, position(term, log)));
                 }
-                // A successor keeps nothing of what was acknowledged last: the worst case that a
-                // promotion may bring.
+                // The successor keeps none of the last acknowledged writes: the worst case of a
+                // promotion.
                 4 if rng.random_bool(0.1) => {
                     term += 1;
                     acknowledged.clear();
                 }
                 _ => {
-                    // Asked some time ago, answered now.
+                    // The request was sent some time ago and is answered now.
                     let asked = now.saturating_sub(ms(rng.random_range(0..30)));
                     tracker.add_sample(position(term, log), asked);
                 }
@@ -97,7 +98,7 @@
             for (at, position) in earlier {
                 assert!(
                     required >= *position,
-                    "seed {seed}: floor {required} since {since:?} lacks {position} of {at:?}"
+                    "seed {seed}: required position {required} since {since:?} lacks {position} of {at:?}"
                 );
             }
         }
--- a/crates/core/tests/quorum.rs
+++ b/crates/core/tests/quorum.rs
@@ -1,4 +1,4 @@
-//! Whether a host may acknowledge writes, by its contact with most of the others.
+//! Tests of host leases, which allow a host to rely on a primary.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,8 +22,8 @@
         .collect()
 }
 
-/// Two hosts of six are cut off together with a primary. They would go on telling clerks that
-/// sales are recorded, which the successor of that primary does not have.
+/// Two hosts of six are cut off together with a primary. Without the lease they would keep
+/// acknowledging writes that the successor of that primary does not have.
 #[test]
 fn a_minority_partition_loses_its_lease() {
     let others = hosts(5);
@@ -36,12 +36,12 @@
     quorum.record_reply(others[0], ms(1_500));
     assert!(
         !quorum.holds_lease(ms(1_000) + LEASE_DURATION),
-        "two of six are not most"
+        "two of six are no majority"
     );
 }
 
-/// A host has started, and the store has not told it yet which others there are. It took itself for
-/// the whole fleet: it wrote to a primary that most hosts had had replaced.
+/// A host has started, and has not learned from the store yet which other hosts there are. It took
+/// itself for the whole fleet and wrote to a primary that most hosts had replaced.
 #[test]
 fn a_host_that_does_not_know_the_others_holds_no_lease() {
     let mut quorum = Quorum::default();
@@ -49,11 +49,11 @@
     assert!(!quorum.holds_lease(ms(1_000)));
     quorum.set_hosts(BTreeSet::new(), ms(1_000));
     assert!(quorum.knows_hosts());
-    assert!(quorum.holds_lease(ms(1_000)), "it is the only one");
+    assert!(quorum.holds_lease(ms(1_000)), "it is the only host");
 }
 
-/// In a large fleet a few hosts are asked by all. One that is not among them counts only those:
-/// its own opinion is no part of a majority.
+/// In a large fleet all hosts ask the same few electors. A host that is none of them counts only
+/// those: its own opinion is no part of a majority.
 #[test]
 fn a_host_that_is_no_elector_counts_only_electors() {
     let others = hosts(3);
@@ -66,8 +66,8 @@
     assert!(quorum.holds_lease(ms(1_100)));
 }
 
-/// Most hosts are killed at once. The one that is left has nobody to ask, but the platform's
-/// store says that nobody replaces the primary: writes go on.
+/// Most hosts are killed at once. The one that is left has no host to ask, but the platform's store
+/// confirms that no host replaces the primary, so writes continue.
 #[test]
 fn a_store_lease_replaces_the_majority() {
     let mut quorum = Quorum::default();
@@ -81,7 +81,7 @@
 }
 
 /// A host was removed for good without notice and stays in the list. It must not count for ever:
-/// with one more lost, half of the list would be no majority any more.
+/// with one more host lost, half of the list would be no majority any more.
 #[test]
 fn a_host_that_is_gone_for_good_does_not_count() {
     let others = hosts(3);
@@ -91,12 +91,16 @@
     quorum.record_message(others[0], now);
     quorum.record_message(others[1], now);
     quorum.record_reply(others[0], now);
-    assert!(quorum.holds_lease(now), "two of three that are there");
+    assert!(
+        quorum.holds_lease(now),
+        "two of three hosts that are running"
+    );
     assert_eq!(quorum.gone_hosts(now), BTreeSet::from([others[2]]));
 }
 
-/// A host alone in its fleet, or one that all others have answered, waits for nobody: with the
-/// moment of the question as the answer, a step that had begun before it never found it quiet.
+/// A host that is alone in its fleet, or that all others have answered, waits for no lease. When
+/// the time of the request was returned instead of zero, a step that had begun earlier never found
+/// all leases ended.
 #[test]
 fn no_lease_is_waited_for_when_all_hosts_have_answered() {
     let others = hosts(2);
@@ -107,7 +111,7 @@
     assert_eq!(quorum.leases_end(&told, ms(5_000)), ms(0));
 }
 
-/// Where nobody is heard, it is this host that is cut off, however long it lasts.
+/// A host that gets messages from no other host is itself cut off, however long that lasts.
 #[test]
 fn an_isolated_host_counts_no_host_as_gone() {
     let mut quorum = Quorum::default();
@@ -116,16 +120,17 @@
     assert!(!quorum.holds_lease(GONE_TIMEOUT * 4));
 }
 
-/// A promotion takes no less than this from its order, on any of the users' deployments.
+/// Minimum duration of a promotion from its order, in every known deployment.
 const PROMOTION: Duration = Duration::from_millis(300);
 
-/// Hosts exchange heartbeats over links that lose, delay and cut, one way too. As soon as one part
-/// may order a promotion, it does, and its heartbeats tell of it. When the successor leads, no host
-/// that was cut off and has not been told may rely on the primary before.
+/// Hosts exchange heartbeats over links that lose, delay and cut messages, also in one direction.
+/// As soon as one part may order a promotion, it does, and its heartbeats announce it. When the
+/// successor leads, no host that was cut off and has not been notified may rely on the previous
+/// primary.
 ///
-/// Cut one way, a host that nobody hears may still be answered, and one that is heard may not: both
-/// sides of a contact have to be looked at, which is why the order waits from when a host was last
-/// heard and the lease runs from when the question was sent.
+/// In a one-way partition, a host whose messages do not arrive may still receive answers, and one
+/// whose messages arrive may not. So both directions of a contact count: the order waits from the
+/// last message of a host, and the lease runs from when the request was sent.
 #[test]
 fn no_host_relies_on_a_primary_whose_successor_leads() {
     for seed in 0..300 {
@@ -140,7 +145,8 @@
                 quorum
             })
             .collect();
-        // From some moment on, the last hosts hear nothing of the others or are not heard.
+        // From some moment on, the last hosts receive nothing from the others, or their messages do
+        // not arrive.
         let cut = rng.random_range(1..=count / 2);
         let cut_at = ms(rng.random_range(500..3_000));
         let (inward, outward) = match rng.random_range(0..3) {
@@ -170,7 +176,7 @@
                 }
             }
             now += HEARTBEAT_INTERVAL;
-            // The first host orders a promotion, with the word of all that are not cut off.
+            // The first host orders a promotion, with answers from all hosts that are not cut off.
             let told: BTreeSet<HostKey> = keys[..count - cut].iter().copied().collect();
             let leases_ended = now >= quorums[0].leases_end(&told, now);
             if now >= cut_at && leases_ended {
--- a/crates/core/tests/suspicion.rs
+++ b/crates/core/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! When reports of entry hosts are enough to replace a primary.
+//! Tests of failure detection: when the reports of entry hosts are enough to replace a primary.
 
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// A primary dies and nobody does anything.
+/// Guards against a dead primary that is not detected.
 #[test]
 fn a_primary_refused_by_hosts_of_all_zones_is_unreachable() {
     let mut fleet = fleet();
@@ -75,7 +75,8 @@
     assert_eq!(fleet.verdict(secs(10)), Reachability::Unreachable);
 }
 
-/// A healthy primary is replaced because one zone has lost its way to it.
+/// Guards against the replacement of a healthy primary because one zone has lost its network path
+/// to it.
 #[test]
 fn hosts_of_one_zone_are_not_enough() {
     let mut fleet = fleet();
@@ -86,7 +87,8 @@
     assert_eq!(fleet.verdict(secs(10)), Reachability::Reachable);
 }
 
-/// A healthy primary is replaced because one host in each of two zones has lost its way to it.
+/// Guards against the replacement of a healthy primary because one host in each of two zones has
+/// lost its network path to it.
 #[test]
 fn a_minority_is_not_enough() {
     let mut fleet = fleet();
@@ -97,20 +99,22 @@
     assert_eq!(fleet.verdict(secs(10)), Reachability::Reachable);
 }
 
-/// A busy primary that answers after one and a half seconds is replaced, which makes all worse.
+/// Guards against the replacement of a busy primary that answers after one and a half seconds,
+/// which would make the load worse.
 #[test]
 fn a_slow_primary_is_reachable() {
     let mut fleet = fleet();
     for step in 0..20 {
         let now = secs(10) + Duration::from_millis(500) * step;
-        // Probes time out again and again; each late answer ends the silence.
+        // Probes keep timing out, and each late answer ends the silence.
         let millis = 500 * u64::from(step % 4);
         (0..6).for_each(|host| fleet.report(host, silent(millis), now));
         assert_eq!(fleet.verdict(now), Reachability::Reachable, "step {step}");
     }
 }
 
-/// A primary behind a cut that swallows packets is never replaced, as nothing refuses.
+/// Guards against a primary that is never replaced because it is behind a partition that drops
+/// packets, so that no connection is refused.
 #[test]
 fn a_primary_that_is_silent_for_long_is_unreachable() {
     let mut fleet = fleet();
@@ -118,8 +122,8 @@
     assert_eq!(fleet.verdict(secs(10)), Reachability::Unreachable);
 }
 
-/// The hosts that are left are those of one zone. They have to wait until the others would have
-/// been heard again.
+/// Only the hosts of one zone are left. They have to wait for the time in which the others would
+/// have reported again.
 #[test]
 fn hosts_of_the_only_zone_left_are_enough_after_a_while() {
     let mut fleet = fleet();
@@ -138,7 +142,7 @@
     assert_eq!(fleet.verdict(later), Reachability::Unreachable);
 }
 
-/// Old reports replace a primary that has long been back.
+/// Guards against the replacement of a primary that has long recovered, on outdated reports.
 #[test]
 fn old_reports_do_not_count() {
     let mut fleet = fleet();
@@ -149,7 +153,8 @@
     );
 }
 
-/// Two servers that fail in turn are promoted back and forth, and no write gets through.
+/// Guards against two servers that fail in turn being promoted back and forth, so that no write
+/// succeeds.
 #[test]
 fn the_pause_doubles_with_each_promotion_in_a_row() {
     let mut detector = FailureDetector::default();
