--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -93,8 +93,8 @@
     }
 
     /// Sets whether this host is one of those whose majority counts, which is the default.
-    pub fn set_elector(&mut self, takes_part: bool) {
-        self.non_elector = !takes_part;
+    pub fn set_elector(&mut self, is_elector: bool) {
+        self.non_elector = !is_elector;
     }
 
     /// Reports whether this host is one of those whose majority counts.
@@ -163,8 +163,8 @@
     /// Returns the other hosts that have sent a message within two heartbeats, so that a
     /// notification probably reaches them.
     pub fn recently_heard(&self, now: Duration) -> BTreeSet<HostKey> {
-        let heard = |contact: &Contact| now < contact.heard_at + HEARTBEAT_INTERVAL * 2;
-        let others = self.others.iter().filter(|(_, contact)| heard(contact));
+        let recent = |contact: &Contact| now < contact.heard_at + HEARTBEAT_INTERVAL * 2;
+        let others = self.others.iter().filter(|(_, contact)| recent(contact));
         others.map(|(host, _)| *host).collect()
     }
 
--- a/crates/core/src/succession/contact.rs
+++ b/crates/core/src/succession/contact.rs
@@ -83,8 +83,8 @@
     /// Reports whether a request sent at `sent` has been outstanding for so long that the server
     /// should be probed on another connection.
     pub fn is_overdue(&self, sent: Duration, now: Duration) -> bool {
-        let heard = self.answered_at.is_some_and(|answered| answered > sent);
-        !heard && now >= sent + PROBE_DELAY
+        let answered_since = self.answered_at.is_some_and(|answered| answered > sent);
+        !answered_since && now >= sent + PROBE_DELAY
     }
 
     /// Returns the time since the server's last answer.
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -92,7 +92,7 @@
     /// Removes hosts that have long been silent.
     pub fn expire(&mut self, now: Duration) {
         let gone = |at: Duration| now >= at + timing::COOL_DOWN_MAX;
-        self.hosts.retain(|_, heard| !gone(heard.at));
+        self.hosts.retain(|_, contact| !gone(contact.at));
         for hosts in self.servers.values_mut() {
             hosts.retain(|_, entry| !gone(entry.at));
         }
@@ -134,7 +134,7 @@
             .filter(|(_, entry)| now < entry.at + timing::REPORT && entry.seen.is_unreachable())
             .map(|(host, _)| *host)
             .collect();
-        let zone = |host: &HostKey| self.hosts.get(host).map(|heard| heard.zone);
+        let zone = |host: &HostKey| self.hosts.get(host).map(|contact| contact.zone);
         let zones: BTreeSet<ZoneKey> = against.iter().filter_map(zone).collect();
         let unreachable = match zones.len() {
             0 => false,
@@ -170,8 +170,8 @@
     }
 
     fn is_host_fresh(&self, host: HostKey, now: Duration) -> bool {
-        let heard = self.hosts.get(&host);
-        heard.is_some_and(|heard| now < heard.at + timing::REPORT)
+        let contact = self.hosts.get(&host);
+        contact.is_some_and(|contact| now < contact.at + timing::REPORT)
     }
 
     /// Reports whether no host of another zone has sent a message for a while. The time is longer
@@ -182,7 +182,7 @@
             None => timing::REPORT,
         };
         let others = self.hosts.values().filter(|h| !zones.contains(&h.zone));
-        let last = others.map(|heard| heard.at).max();
+        let last = others.map(|contact| contact.at).max();
         last.is_none_or(|last| now >= last + patience)
     }
 }
--- a/crates/core/tests/quorum.rs
+++ b/crates/core/tests/quorum.rs
@@ -107,8 +107,8 @@
     let mut quorum = Quorum::default();
     assert_eq!(quorum.leases_end(&BTreeSet::new(), ms(5_000)), ms(0));
     quorum.set_hosts(others.iter().copied().collect(), ms(0));
-    let told = others.into_iter().collect();
-    assert_eq!(quorum.leases_end(&told, ms(5_000)), ms(0));
+    let answered = others.into_iter().collect();
+    assert_eq!(quorum.leases_end(&answered, ms(5_000)), ms(0));
 }
 
 /// A host that gets messages from no other host is itself cut off, however long that lasts.
@@ -177,17 +177,17 @@
             }
             now += HEARTBEAT_INTERVAL;
             // The first host orders a promotion, with answers from all hosts that are not cut off.
-            let told: BTreeSet<HostKey> = keys[..count - cut].iter().copied().collect();
-            let leases_ended = now >= quorums[0].leases_end(&told, now);
+            let answered: BTreeSet<HostKey> = keys[..count - cut].iter().copied().collect();
+            let leases_ended = now >= quorums[0].leases_end(&answered, now);
             if now >= cut_at && leases_ended {
                 ordered.get_or_insert(now);
             }
             let late = leases_ended && now >= cut_at + LEASE_DURATION + CLOCK_MARGIN + ms(10);
             let successor_leads = ordered.is_some_and(|at| now >= at + PROMOTION);
-            for (writer, told) in quorums.iter().zip(&informed).skip(count - cut) {
+            for (writer, informed) in quorums.iter().zip(&informed).skip(count - cut) {
                 let is_minority = cut * 2 < count;
                 assert!(
-                    !(successor_leads && is_minority && !told && writer.holds_lease(now)),
+                    !(successor_leads && is_minority && !informed && writer.holds_lease(now)),
                     "seed {seed}: a write at {now:?} while the successor leads"
                 );
                 assert!(
