--- a/crates/core/src/epoch.rs
+++ b/crates/core/src/epoch.rs
@@ -1,9 +1,10 @@
-//! Epochs of the platform's store: what holds after it has come back from a copy.
+//! Epochs of the platform's store: what can be trusted after the store was restored from a copy.
 //!
-//! The store may lose the last seconds of what it has acknowledged. Its counts go back then and are
-//! given out again, so nothing that one epoch has counted is compared with what another has. What is
-//! lost and still matters is written anew, by those who know it: servers their entries, hosts theirs
-//! and the claims that they have heard of. Until that is done, what the store lacks proves nothing.
+//! A restored store may lack the last seconds of what it has acknowledged. Its counters go back and
+//! are issued again, so a count of one epoch is never compared with a count of another. Lost
+//! entries that still matter are written again by those who know them: servers write their own
+//! entries, hosts write theirs and the claims that they know. Until that is done, the absence of an
+//! entry proves nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -50,7 +51,7 @@
 /// ```
 /// use std::collections::BTreeSet;
 /// use std::time::Duration;
-/// use flamingopost_core::epoch::{CLAIM_REWRITE_TIME, Epoch, EpochTracker, EpochStatus};
+/// use flamingopost_core::epoch::{CLAIM_REWRITE_TIME, Epoch, EpochStatus, EpochTracker};
 /// use flamingopost_core::key::HostKey;
 /// use flamingopost_core::succession::CLAIM_HOLDER_TIMEOUT;
 ///
@@ -59,12 +60,14 @@
 /// let mut epochs = EpochTracker::default();
 /// assert_eq!(epochs.record_store_epoch(Epoch(4), at(1)), EpochStatus::Current);
 /// assert_eq!(epochs.orders_allowed_from(&others), Duration::ZERO);
-/// assert_eq!(epochs.record_store_epoch(Epoch(5), at(60)), EpochStatus::Restored { before: Epoch(4) });
+/// let status = epochs.record_store_epoch(Epoch(5), at(60));
+/// assert_eq!(status, EpochStatus::Restored { before: Epoch(4) });
 /// assert!(!epochs.are_claims_complete(at(60)));
 /// assert!(epochs.are_claims_complete(at(60) + CLAIM_REWRITE_TIME));
 /// assert_eq!(epochs.orders_allowed_from(&others), at(60) + CLAIM_HOLDER_TIMEOUT);
 /// epochs.record_peer_epoch(HostKey::default(), Epoch(5), at(61));
-/// assert_eq!(epochs.orders_allowed_from(&others), Duration::ZERO, "no host acts on a claim that the copy lacks");
+/// let from = epochs.orders_allowed_from(&others);
+/// assert_eq!(from, Duration::ZERO, "no host acts on a claim that the copy lacks");
 /// ```
 #[derive(Debug, Default)]
 pub struct EpochTracker {
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -14,7 +14,7 @@
 /// The role of a server, as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// The server accepts writes.
+    /// The server is the primary, which accepts writes.
     Primary,
     /// The server replicates from the primary.
     Replica,
@@ -62,7 +62,7 @@
     /// The server is not accepted as primary even when no other server claims to lead.
     excluded: bool,
     listed_version: u64,
-    /// The version of the server's row that first listed it as primary.
+    /// The version of the row since which the list has the server as primary.
     claim_version: u64,
 }
 
--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -168,8 +168,8 @@
         others.map(|(host, _)| *host).collect()
     }
 
-    /// Returns when the last lease ends that a host not in `answered` may hold from an earlier answer
-    /// of this host.
+    /// Returns when the last lease ends that a host not in `answered` may hold from an earlier
+    /// answer of this host.
     pub fn leases_end(&self, answered: &BTreeSet<HostKey>, now: Duration) -> Duration {
         let gone = self.gone_hosts(now);
         let unanswered = self.others.iter();
--- a/crates/core/src/succession.rs
+++ b/crates/core/src/succession.rs
@@ -122,7 +122,7 @@
         inquiry: Inquiry,
     },
     /// An order to promote `server` was sent. The server has reported the replication position
-    /// `had`.
+    /// `position`.
     Ordering {
         token: FencingToken,
         server: ServerKey,
