--- a/crates/core/src/epoch.rs
+++ b/crates/core/src/epoch.rs
@@ -179,7 +179,7 @@
 
     /// Reports whether the store may still return the contents of the copy. Such an answer
     /// overrides nothing that was known before.
-    pub fn may_list_be_stale(&self, now: Duration) -> bool {
+    pub fn may_store_be_stale(&self, now: Duration) -> bool {
         self.restored_at
             .is_some_and(|at| now < at + SERVER_REWRITE_TIME)
     }
--- a/crates/core/tests/epoch.rs
+++ b/crates/core/tests/epoch.rs
@@ -236,7 +236,7 @@
         epochs.orders_allowed_from(&others),
         ms(1_500) + CLAIM_HOLDER_TIMEOUT
     );
-    assert!(epochs.may_list_be_stale(ms(2_000)));
+    assert!(epochs.may_store_be_stale(ms(2_000)));
     assert!(!epochs.are_claims_complete(ms(2_000)));
 }
 
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -137,7 +137,7 @@
     /// A successor may be one whose entry cannot be read, or is missing in the copy from which the store was
     /// restored.
     pub fn knows_all_servers(&self) -> bool {
-        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
+        let copied = self.epochs.borrow().may_store_be_stale(self.site.now());
         let unreadable = !self.servers.borrow().unreadable.is_empty();
         !copied && !unreadable && self.unnamed.borrow().is_empty()
     }
@@ -149,7 +149,7 @@
     /// not know what operators have changed lately.
     pub fn has_copied_configuration(&self) -> bool {
         let now = self.site.now();
-        self.feeds.configuration.is_behind() && self.epochs.borrow().may_list_be_stale(now)
+        self.feeds.configuration.is_behind() && self.epochs.borrow().may_store_be_stale(now)
     }
 
     /// The route of a database and the service that it leads to.
@@ -217,7 +217,7 @@
         for id in missing {
             self.change(Change::Gone(id));
         }
-        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
+        let copied = self.epochs.borrow().may_store_be_stale(self.site.now());
         for entry in entries {
             match Change::from(entry) {
                 Change::Put(backend) if copied => self.put_copied(backend),
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -22,7 +22,7 @@
     /// copy was taken, and do so again. Guards against majorities that are counted without them.
     pub fn list_peers(&self, entries: Vec<Entry<Peer>>) {
         let named: BTreeSet<&str> = entries.iter().map(peer_id).collect();
-        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
+        let copied = self.epochs.borrow().may_store_be_stale(self.site.now());
         let missing: Vec<String> = {
             let peers = self.peers.borrow();
             let known = peers.by_host.keys().filter(|_| !copied);
