--- a/crates/core/src/succession/promotion_timer.rs
+++ b/crates/core/src/succession/promotion_timer.rs
@@ -14,9 +14,9 @@
 /// use flamingopost_core::succession::PromotionTimer;
 ///
 /// let at = Duration::from_millis;
-/// let mut effect = PromotionTimer::start(at(1_000));
-/// effect.record_replica(at(1_280));
-/// assert_eq!(effect.min_duration(at(1_310)), Some(at(280)), "no less than that");
+/// let mut timer = PromotionTimer::start(at(1_000));
+/// timer.record_replica(at(1_280));
+/// assert_eq!(timer.min_duration(at(1_310)), Some(at(280)), "no less than that");
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct PromotionTimer {
