--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -142,7 +142,7 @@
     /// The entry of a successor may be unreadable, or missing in the backup from which the store
     /// was restored.
     pub fn knows_all_servers(&self) -> bool {
-        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
+        let copied = self.epochs.borrow().may_store_be_stale(self.site.now());
         let unreadable = !self.servers.borrow().unreadable.is_empty();
         !copied && !unreadable && self.unconfigured.borrow().is_empty()
     }
@@ -154,7 +154,7 @@
     /// the operators' latest changes.
     pub fn has_outdated_configuration(&self) -> bool {
         let now = self.site.now();
-        self.feeds.configuration.is_behind() && self.epochs.borrow().may_list_be_stale(now)
+        self.feeds.configuration.is_behind() && self.epochs.borrow().may_store_be_stale(now)
     }
 
     /// Returns the route of a database and the service that it leads to.
@@ -222,7 +222,7 @@
         for id in missing {
             self.apply_server_change(Change::Removed(id));
         }
-        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
+        let copied = self.epochs.borrow().may_store_be_stale(self.site.now());
         for entry in entries {
             match Change::from(entry) {
                 Change::Put(backend) if copied => self.put_restored(backend),
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -24,7 +24,7 @@
     /// counted without it.
     pub fn apply_host_list(&self, entries: Vec<Entry<Peer>>) {
         let named: BTreeSet<&str> = entries.iter().map(peer_id).collect();
-        let copied = self.epochs.borrow().may_list_be_stale(self.site.now());
+        let copied = self.epochs.borrow().may_store_be_stale(self.site.now());
         let missing: Vec<String> = {
             let peers = self.peers.borrow();
             let known = peers.by_host.keys().filter(|_| !copied);
