--- a/crates/core/src/config/builder.rs
+++ b/crates/core/src/config/builder.rs
@@ -214,7 +214,7 @@
         };
         if own.is_empty() {
             let service = section.name.clone();
-            reader.note(section.line, Fault::NoServers { service });
+            reader.report(section.line, Fault::NoServers { service });
         }
         Limits::check_defaults(&mut reader);
         let servers = own.iter().map(|name| self.directory.servers.intern(name));
@@ -236,7 +236,7 @@
         if let Some(entry) = verifier
             && let Err(fault) = verifier::check(&entry.value)
         {
-            reader.note(entry.line, fault);
+            reader.report(entry.line, fault);
         }
         let customer = reader.required("customer");
         let customer = customer.and_then(|entry| reader.reference(entry, Kind::Customer));
@@ -293,7 +293,7 @@
         server: name.to_owned(),
         own: own.iter().map(|name| (*name).to_owned()).collect(),
     };
-    reader.note(entry.line, fault);
+    reader.report(entry.line, fault);
     None
 }
 
@@ -320,7 +320,7 @@
         if limits.slots > limits.connections {
             let (slots, connections) = (limits.slots, limits.connections);
             let line = reader.section.line;
-            reader.note(line, Fault::SlotsBeyondConnections { slots, connections });
+            reader.report(line, Fault::SlotsBeyondConnections { slots, connections });
         }
         Some(limits)
     }
--- a/crates/core/src/config/reader.rs
+++ b/crates/core/src/config/reader.rs
@@ -37,12 +37,12 @@
             (true, false) if !value::is_name(&name) => return Err(Fault::BadName { kind, name }),
             _ => {}
         }
-        let place = (kind, section.name.as_str());
-        if let Some(first) = self.sections.get(&place) {
+        let id = (kind, section.name.as_str());
+        if let Some(first) = self.sections.get(&id) {
             let first = first.line;
             return Err(Fault::DuplicateSection { kind, name, first });
         }
-        self.sections.insert(place, section);
+        self.sections.insert(id, section);
         self.in_order.entry(kind).or_default().push(section);
         Ok(())
     }
@@ -134,7 +134,7 @@
     }
 
     /// Reports a problem on `line`.
-    pub(super) fn note(&mut self, line: usize, fault: Fault) {
+    pub(super) fn report(&mut self, line: usize, fault: Fault) {
         self.problems.push(Problem { line, fault });
     }
 
@@ -150,7 +150,7 @@
             };
             seen.entry(entry.key.as_str()).or_insert(entry.line);
             if let Some(fault) = fault {
-                self.note(entry.line, fault);
+                self.report(entry.line, fault);
             }
         }
     }
@@ -185,7 +185,7 @@
                 name: self.name().to_owned(),
                 key,
             };
-            self.note(self.section.line, fault);
+            self.report(self.section.line, fault);
         }
         self.entry(key)
     }
@@ -217,18 +217,18 @@
     ) -> Option<T> {
         let value = read(&entry.value);
         if value.is_none() {
-            self.note_value(entry, expected);
+            self.report_value(entry, expected);
         }
         value
     }
 
-    fn note_value(&mut self, entry: &Entry, expected: Expected) {
+    fn report_value(&mut self, entry: &Entry, expected: Expected) {
         let fault = Fault::BadValue {
             key: entry.key.clone(),
             value: entry.value.clone(),
             expected,
         };
-        self.note(entry.line, fault);
+        self.report(entry.line, fault);
     }
 
     fn positive<T: Copy + Default + PartialEq>(
@@ -240,7 +240,7 @@
         let value = self.decode(entry, expected.clone(), read)?;
         if value == T::default() {
             let key = entry.key.clone();
-            self.note(entry.line, Fault::Zero { key, expected });
+            self.report(entry.line, Fault::Zero { key, expected });
             return None;
         }
         Some(value)
@@ -276,7 +276,7 @@
         let expected = Expected::OneOf(words.iter().map(|(word, _)| *word).collect());
         let read = |text: &str| {
             let mut words = words.iter();
-            words.find(|(word, _)| *word == text).map(|(_, it)| *it)
+            words.find(|(word, _)| *word == text).map(|(_, v)| *v)
         };
         self.decode(entry, expected, read)
     }
@@ -308,7 +308,7 @@
             name: name.to_owned(),
             nearest: value::nearest(name, self.declared.names(kind)),
         };
-        self.note(entry.line, fault);
+        self.report(entry.line, fault);
         None
     }
 
@@ -328,7 +328,7 @@
     pub(super) fn words(&mut self, entry: &'a Entry) -> BTreeSet<&'a str> {
         let words: BTreeSet<&'a str> = value::list_items(&entry.value).collect();
         if words.is_empty() {
-            self.note_value(entry, Expected::List);
+            self.report_value(entry, Expected::List);
         }
         words
     }
--- a/crates/core/src/config/render.rs
+++ b/crates/core/src/config/render.rs
@@ -65,25 +65,20 @@
 
 fn write_service(
     out: &mut String,
-    own: &str,
+    id: &str,
     service: &Service,
     directory: &Directory,
 ) -> fmt::Result {
     let customer = name(&directory.customers, service.customer);
     let primary = name(&directory.servers, service.first_primary);
-    writeln!(out, "\n[service {own}]\ncustomer = {customer}")?;
+    writeln!(out, "\n[service {id}]\ncustomer = {customer}")?;
     writeln!(out, "primary = {primary}")
 }
 
-fn write_server(
-    out: &mut String,
-    own: &str,
-    server: &Server,
-    directory: &Directory,
-) -> fmt::Result {
+fn write_server(out: &mut String, id: &str, server: &Server, directory: &Directory) -> fmt::Result {
     let service = name(&directory.services, server.service);
     let zone = name(&directory.zones, server.zone);
-    writeln!(out, "\n[server {own}]\nservice = {service}\nzone = {zone}")?;
+    writeln!(out, "\n[server {id}]\nservice = {service}\nzone = {zone}")?;
     writeln!(out, "address = {}", server.address)?;
     writeln!(out, "slots = {}", server.slots)?;
     writeln!(out, "connections = {}", server.connections)?;
@@ -94,14 +89,9 @@
     Ok(())
 }
 
-fn write_caller(
-    out: &mut String,
-    own: &str,
-    caller: &Caller,
-    directory: &Directory,
-) -> fmt::Result {
+fn write_caller(out: &mut String, id: &str, caller: &Caller, directory: &Directory) -> fmt::Result {
     let customer = name(&directory.customers, caller.customer);
-    writeln!(out, "\n[caller {own}]\nverifier = {}", caller.verifier)?;
+    writeln!(out, "\n[caller {id}]\nverifier = {}", caller.verifier)?;
     writeln!(out, "customer = {customer}\nrole = {}", caller.role)?;
     write_names(out, "services", &directory.services, &caller.services)
 }
--- a/crates/core/src/config/report.rs
+++ b/crates/core/src/config/report.rs
@@ -19,9 +19,9 @@
         let mut problems: Vec<Problem> = Vec::new();
         for problem in found {
             let line = problem.line;
-            let mut beside = problems.iter().rev().take_while(|other| other.line == line);
+            let mut on_same_line = problems.iter().rev().take_while(|other| other.line == line);
             // An invalid default that several servers inherit is found once for each of them.
-            if !beside.any(|other| *other == problem) {
+            if !on_same_line.any(|other| *other == problem) {
                 problems.push(problem);
             }
         }
--- a/crates/core/src/config/rules.rs
+++ b/crates/core/src/config/rules.rs
@@ -92,7 +92,7 @@
             role: role.clone(),
             nearest: value::nearest(role, known.iter().copied()),
         };
-        reader.note(line, fault);
+        reader.report(line, fault);
     }
 }
 
@@ -180,7 +180,7 @@
         time: format_time(hedge),
         deadline: format_time(then.deadline),
     };
-    reader.note(line, fault);
+    reader.report(line, fault);
 }
 
 fn format_time(time: Duration) -> String {
@@ -206,7 +206,7 @@
             setting: setting(entry),
             needs: needs.to_owned(),
         };
-        reader.note(entry.line, fault);
+        reader.report(entry.line, fault);
     }
 }
 
@@ -217,7 +217,7 @@
             setting: setting(entry),
             other: other.to_owned(),
         };
-        reader.note(entry.line, fault);
+        reader.report(entry.line, fault);
     }
 }
 
--- a/crates/core/src/config/shadow.rs
+++ b/crates/core/src/config/shadow.rs
@@ -5,8 +5,8 @@
 
 /// Reports every rule whose requests are all matched by one earlier rule.
 pub(super) fn check(rules: &[Rule], problems: &mut Vec<Problem>) {
-    for (place, rule) in rules.iter().enumerate() {
-        let mut earlier = rules[..place].iter();
+    for (index, rule) in rules.iter().enumerate() {
+        let mut earlier = rules[..index].iter();
         if let Some(by) = earlier.find(|earlier| earlier.when.covers(&rule.when)) {
             let fault = Fault::Unreachable {
                 rule: rule.name.clone(),
--- a/crates/core/src/once/keyed.rs
+++ b/crates/core/src/once/keyed.rs
@@ -173,7 +173,7 @@
                 self.send(State::Committing { tag }, Step::Internal(commit))
             }
             State::Committing { tag: request_tag } => self.commit_answered(request_tag, &tag),
-            State::RollingBack(why) => self.rolled_back(why),
+            State::RollingBack(reason) => self.rolled_back(reason),
             State::LookingUp | State::Ended => Directive::Refuse(self.key_busy()),
         }
     }
@@ -191,19 +191,19 @@
     fn failed(&mut self, state: State, sqlstate: &str) -> Directive {
         // The server has answered, so nothing of this transaction is committed.
         self.commit_sent = false;
-        let why = match (&state, sqlstate) {
+        let reason = match (&state, sqlstate) {
             (State::Recording, sql::UNIQUE_VIOLATION) => Rollback::KeyRecorded,
             (State::Recording, sql::UNDEFINED_TABLE) if !self.table_created => Rollback::NoTable,
             (State::Running | State::Committing { .. }, _) => Rollback::StatementFailed,
-            (State::RollingBack(why), _) => return self.rolled_back(*why),
+            (State::RollingBack(reason), _) => return self.rolled_back(*reason),
             _ => Rollback::InternalFailed,
         };
         let rollback = Step::Internal(sql::ROLLBACK.to_owned());
-        self.send(State::RollingBack(why), rollback)
+        self.send(State::RollingBack(reason), rollback)
     }
 
-    fn rolled_back(&mut self, why: Rollback) -> Directive {
-        match why {
+    fn rolled_back(&mut self, reason: Rollback) -> Directive {
+        match reason {
             Rollback::KeyRecorded => {
                 let look_up = sql::look_up(&self.key);
                 self.send(State::LookingUp, Step::Internal(look_up))
--- a/crates/core/src/rule/index.rs
+++ b/crates/core/src/rule/index.rs
@@ -103,7 +103,7 @@
 impl AnyService {
     fn new(fleet: &Fleet, access: Access) -> AnyService {
         let applies =
-            |rule: &Rule| rule.when.services.is_empty() && accesses(rule).any(|it| it == access);
+            |rule: &Rule| rule.when.services.is_empty() && accesses(rule).any(|own| own == access);
         let rules = fleet.rules.iter().enumerate();
         AnyService {
             rules: rules
--- a/crates/core/src/session/state.rs
+++ b/crates/core/src/session/state.rs
@@ -209,7 +209,7 @@
     /// Returns the statements that bring a connection with the parameters `connection` to the
     /// state of this session.
     pub fn replay(&self, connection: &ConnectionParameters) -> Vec<Replay> {
-        let stale = connection
+        let leftover = connection
             .parameters
             .keys()
             .filter(|name| !self.parameters.contains_key(*name))
@@ -222,7 +222,7 @@
                 name: name.clone(),
                 text: text.clone(),
             });
-        stale.chain(missing).collect()
+        leftover.chain(missing).collect()
     }
 
     /// Returns the parameters that are set on a connection used by this session.
--- a/crates/core/src/statement/normalized.rs
+++ b/crates/core/src/statement/normalized.rs
@@ -42,15 +42,15 @@
     let mut first = None;
     let mut quotes = 0;
     let mut previous = b' ';
-    for (place, byte) in text.bytes().enumerate() {
+    for (position, byte) in text.bytes().enumerate() {
         match (previous, byte) {
             (_, b'"' | b'\\' | b'`' | b';') | (b'-', b'-') | (b'/', b'*') => return None,
             (b'$', next) if !next.is_ascii_digit() => return None,
             (_, b'\'') => {
                 quotes += 1;
-                first = first.or(Some(place));
+                first = first.or(Some(position));
             }
-            (_, b'0'..=b'9') if !is_word_byte(previous) => first = first.or(Some(place)),
+            (_, b'0'..=b'9') if !is_word_byte(previous) => first = first.or(Some(position)),
             _ => {}
         }
         previous = byte;
--- a/crates/core/src/statement/visit.rs
+++ b/crates/core/src/statement/visit.rs
@@ -34,7 +34,7 @@
     relations: BTreeSet<String>,
     other_names: BTreeSet<String>,
     writes: bool,
-    pins: bool,
+    keeps_state: bool,
     temporary: bool,
 }
 
@@ -49,7 +49,7 @@
             Effect::Writes => self.writes = true,
             Effect::KeepsState => {
                 self.writes = true;
-                self.pins = true;
+                self.keeps_state = true;
             }
         }
     }
@@ -175,7 +175,7 @@
         Action::CreateTemporary | Action::Listen { .. } | Action::DeclareCursor { hold: true } => {
             SessionState::Pinned
         }
-        _ if walk.pins || walk.temporary => SessionState::Pinned,
+        _ if walk.keeps_state || walk.temporary => SessionState::Pinned,
         Action::Set { local: false, .. }
         | Action::Reset { .. }
         | Action::Prepare { .. }
