--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -365,7 +365,7 @@
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     let schedules = number("FLAMINGOPOST_SCHEDULES").unwrap_or(CI_SCHEDULES);
     let first = number("FLAMINGOPOST_SEED").unwrap_or(1);
-    let (mut before, mut unknown, mut not_run) = (0, 0, 0);
+    let (mut already_done, mut unknown, mut not_run) = (0, 0, 0);
     for seed in first..first + schedules {
         let mut service = Service::new(seed);
         for number in 0..20 {
@@ -382,7 +382,7 @@
                             effects, 1,
                             "seed {seed}: {key} is reported as done and is not there"
                         );
-                        before += 1;
+                        already_done += 1;
                         break;
                     }
                     Directive::Retry(refusal) if refusal.ran() == Ran::Unknown => unknown += 1,
@@ -400,7 +400,7 @@
         }
     }
     println!(
-        "{schedules} schedules from {first}: {before} done before, {unknown} unknown, {not_run} not run"
+        "{schedules} schedules from {first}: {already_done} done before, {unknown} unknown, {not_run} not run"
     );
-    assert!(before > 0 && unknown > 0 && not_run > 0);
+    assert!(already_done > 0 && unknown > 0 && not_run > 0);
 }
--- a/crates/core/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -36,7 +36,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-fn some(words: &'static [&'static str]) -> impl Strategy<Value = BTreeSet<&'static str>> {
+fn subset_of(words: &'static [&'static str]) -> impl Strategy<Value = BTreeSet<&'static str>> {
     prop_oneof![
         Just(BTreeSet::new()),
         prop::collection::btree_set(prop::sample::select(words), 0..3),
@@ -66,15 +66,15 @@
     words.into_iter().map(str::to_owned).collect()
 }
 
-fn whens() -> impl Strategy<Value = When> {
+fn conditions() -> impl Strategy<Value = When> {
     let access = prop::sample::select(&[None, Some(Access::Read), Some(Access::Write)][..]);
     let parts = (
-        some(&SERVICES),
-        some(&CALLERS),
-        some(&ROLES),
+        subset_of(&SERVICES),
+        subset_of(&CALLERS),
+        subset_of(&ROLES),
         access,
-        some(&["bid", "view"]),
-        some(&["lots", "bids"]),
+        subset_of(&["bid", "view"]),
+        subset_of(&["lots", "bids"]),
     );
     parts.prop_map(|(services, callers, roles, access, tags, tables)| When {
         services: services.into_iter().map(service).collect(),
@@ -128,7 +128,7 @@
 fn the_index_chooses_the_same_rule_as_a_linear_search() {
     let statements = TEXTS.map(statement::classify);
     let all = requests(&statements);
-    let strategy = prop::collection::vec(whens(), 0..12);
+    let strategy = prop::collection::vec(conditions(), 0..12);
     runner()
         .run(&strategy, |whens| {
             let rules = whens.into_iter().enumerate();
@@ -152,7 +152,7 @@
     let statements = TEXTS.map(statement::classify);
     let all = requests(&statements);
     runner()
-        .run(&(whens(), whens()), |(wide, narrow)| {
+        .run(&(conditions(), conditions()), |(wide, narrow)| {
             if wide.covers(&narrow) {
                 for request in &all {
                     prop_assert!(!narrow.matches(request) || wide.matches(request));
