--- a/crates/core/src/config/builder.rs
+++ b/crates/core/src/config/builder.rs
@@ -9,10 +9,15 @@
 use crate::fleet::{Caller, Class, Customer, Fleet, Server, Service, Zone};
 use crate::key::{ClassKey, ServerKey, ServiceKey};
 
+/// Number of shards of a fleet that does not set it.
 const DEFAULT_SHARDS: u16 = 16;
+/// Greatest number of shards.
 const MAX_SHARDS: u16 = 1024;
+/// Greatest weight of a customer or class.
 const MAX_WEIGHT: u32 = 1_000_000;
+/// Weight of a customer that does not set it.
 const DEFAULT_CUSTOMER_WEIGHT: u32 = 1;
+/// Name of the class that is the default class if the fleet does not name one.
 const DEFAULT_CLASS: &str = "default";
 
 /// Builds the fleet of `document`. The fleet is complete only if nothing was added to `problems`.
--- a/crates/core/src/config/rules.rs
+++ b/crates/core/src/config/rules.rs
@@ -10,7 +10,9 @@
 use crate::fleet::Fleet;
 use crate::rule::{Access, Ack, Rule, Target, Then, When};
 
+/// Greatest number of retries of a request.
 const MAX_RETRIES: u16 = 10;
+/// Greatest rate limit, in requests a second.
 const MAX_RATE: u32 = 1_000_000;
 
 /// Keys that have no effect if the rule refuses requests.
--- a/crates/core/src/once/keyed.rs
+++ b/crates/core/src/once/keyed.rs
@@ -100,7 +100,7 @@
 /// State machine of one attempt at a request with a key.
 ///
 /// ```
-/// use flamingopost_core::once::keyed::{Event, Keyed, Directive, Step};
+/// use flamingopost_core::once::keyed::{Directive, Event, Keyed, Step};
 ///
 /// let (mut keyed, first) = Keyed::start("bid-77", "9f2c");
 /// assert!(matches!(first, Step::Internal(_)));
--- a/crates/core/src/statement/marker.rs
+++ b/crates/core/src/statement/marker.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+/// Start of a marker's text, after the opening of the comment.
 const PREFIX: &str = "flamingopost:";
 
 /// Contents of a comment `/* flamingopost: tag=bid key=abc123 deadline_ms=200 max_age_ms=500 */` at
--- a/crates/core/src/statement/shape.rs
+++ b/crates/core/src/statement/shape.rs
@@ -76,7 +76,9 @@
     }
 }
 
+/// First words of queries and changes of rows.
 const PLAIN_VERBS: [&str; 6] = ["select", "insert", "update", "delete", "with", "table"];
+/// Substrings of functions and clauses that leave state on a connection.
 const STATE_KEYWORDS: [&str; 4] = ["advisory", "set_config", "temp", "into"];
 
 /// Returns a name with its schema, folded to lower case as the server does.
--- a/crates/core/src/statement/visit.rs
+++ b/crates/core/src/statement/visit.rs
@@ -31,10 +31,15 @@
 /// What a walk over the whole syntax tree finds.
 #[derive(Debug, Default)]
 struct Walk {
+    /// Names in the position of a table.
     relations: BTreeSet<String>,
+    /// Names among these that are a common table expression or a function.
     other_names: BTreeSet<String>,
+    /// Whether anything in the tree may write.
     writes: bool,
+    /// Whether a function in the tree leaves state on its connection.
     keeps_state: bool,
+    /// Whether the statement uses or creates a temporary table.
     temporary: bool,
 }
 
