--- a/crates/core/src/once/single.rs
+++ b/crates/core/src/once/single.rs
@@ -29,8 +29,8 @@
 }
 
 impl Single {
-    /// Records that the request is about to be written to the socket. From now on it counts as sent,
-    /// even if the kernel accepts only a part: how much of it reached the server is unknown.
+    /// Records that the request is about to be written to the socket. From now on it counts as
+    /// sent, even if the kernel accepts only a part: how much of it reached the server is unknown.
     pub fn mark_sent(&mut self) {
         invariant::check(Invariant::AtMostOnce, self.state == State::Unsent, || {
             format!(
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -165,8 +165,8 @@
     /// lease that was valid when the answer arrived. Returns whether [`POSITION`] has to be
     /// reported to the caller.
     ///
-    /// If the request was sent after the session began, the position bounds all earlier writes of
-    /// the session: they were acknowledged before, so the primary had them.
+    /// If the request was sent at or after the start of the session, the position bounds all
+    /// earlier writes of the session: they were acknowledged before, so the primary had them.
     pub fn observe_primary(&mut self, position: Position, sent: Duration) -> bool {
         match self.writes {
             Writes::UnknownBefore(began) if sent >= began => self.advance(position),
@@ -178,8 +178,8 @@
     /// `max_age` and the age that the caller `stated` with the statement.
     ///
     /// # Errors
-    /// Returns [`Refusal::PositionLost`] once for each lost write. The session then continues
-    /// without the write.
+    /// Returns [`Refusal::PositionLost`] once for each loss. The session then continues without the
+    /// lost writes.
     pub fn need(
         &mut self,
         target: Target,
--- a/crates/core/src/session/state.rs
+++ b/crates/core/src/session/state.rs
@@ -240,9 +240,9 @@
 
     /// Pins the session if it changes a parameter after a savepoint.
     ///
-    /// A rollback to a savepoint reverts every later `SET`, and which ones those are is not tracked.
-    /// If they were replayed on another connection, a statement would run under a setting that the
-    /// caller had reverted.
+    /// A rollback to a savepoint reverts every later `SET`, and which ones those are is not
+    /// tracked. If they were replayed on another connection, a statement would run under a setting
+    /// that the caller had reverted.
     fn pin_after_savepoint(&mut self) {
         if self.has_savepoint {
             self.pins.insert(Pin::Untracked);
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -144,8 +144,8 @@
     assert_eq!(keyed.handle(done("ROLLBACK")), Directive::Failed);
 }
 
-/// Two hosts record one key at the same time. Only the primary key of the table makes the second one
-/// wait and fail. The fake service below relies on it without checking the SQL.
+/// Two hosts record one key at the same time. Only the primary key of the table makes the second
+/// one wait and fail. The fake service below relies on it without checking the SQL.
 #[test]
 fn the_key_table_has_the_key_as_its_primary_key() {
     assert!(sql::CREATE_TABLE.contains("(key text PRIMARY KEY,"));
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Lets time pass: at random, the replica catches up, pending commits finish, or the primary fails
-    /// over to the replica.
+    /// Lets time pass: at random, the replica catches up, pending commits finish, or the primary
+    /// fails over to the replica.
     fn advance(&mut self) {
         if self.random.random_ratio(1, 4) {
             self.replica = self.primary.clone();
@@ -322,8 +322,8 @@
         done("ROLLBACK")
     }
 
-    /// Ends the open transaction. A commit whose answer is lost may still be pending when the caller
-    /// retries.
+    /// Ends the open transaction. A commit whose answer is lost may still be pending when the
+    /// caller retries.
     fn end(&mut self, open: &mut Transaction, lost: bool) -> Event {
         let mut transaction = std::mem::take(open);
         if transaction.failed {
@@ -358,8 +358,8 @@
 }
 
 /// Requests are resubmitted until an answer says that they ran, while answers are lost, commits
-/// finish late and the primary fails over to a lagging replica. In the surviving data no request ever
-/// took effect twice, and each one that is reported as already done is there.
+/// finish late and the primary fails over to a lagging replica. In the surviving data no request
+/// ever took effect twice, and each one that is reported as already done is there.
 #[test]
 fn randomised_resubmissions_never_run_twice() {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
