--- a/crates/core/src/config/rules.rs
+++ b/crates/core/src/config/rules.rs
@@ -10,7 +10,9 @@
 use crate::fleet::Fleet;
 use crate::rule::{Access, Ack, Rule, Target, Then, When};
 
+/// Greatest number of retries of a request.
 const MAX_RETRIES: u16 = 10;
+/// Greatest rate limit, in requests a second.
 const MAX_RATE: u32 = 1_000_000;
 
 /// Keys that have no effect if the rule refuses requests.
@@ -92,7 +94,7 @@
             role: role.clone(),
             nearest: value::nearest(role, known.iter().copied()),
         };
-        reader.note(line, fault);
+        reader.report(line, fault);
     }
 }
 
@@ -180,7 +182,7 @@
         time: format_time(hedge),
         deadline: format_time(then.deadline),
     };
-    reader.note(line, fault);
+    reader.report(line, fault);
 }
 
 fn format_time(time: Duration) -> String {
@@ -206,7 +208,7 @@
             setting: setting(entry),
             needs: needs.to_owned(),
         };
-        reader.note(entry.line, fault);
+        reader.report(entry.line, fault);
     }
 }
 
@@ -217,7 +219,7 @@
             setting: setting(entry),
             other: other.to_owned(),
         };
-        reader.note(entry.line, fault);
+        reader.report(entry.line, fault);
     }
 }
 
--- a/crates/core/src/statement/visit.rs
+++ b/crates/core/src/statement/visit.rs
@@ -31,10 +31,15 @@
 /// What a walk over the whole syntax tree finds.
 #[derive(Debug, Default)]
 struct Walk {
+    /// Names in the position of a table.
     relations: BTreeSet<String>,
+    /// Names among these that are a common table expression or a function.
     other_names: BTreeSet<String>,
+    /// Whether anything in the tree may write.
     writes: bool,
-    pins: bool,
+    /// Whether a function in the tree leaves state on its connection.
+    keeps_state: bool,
+    /// Whether the statement uses or creates a temporary table.
     temporary: bool,
 }
 
@@ -49,7 +54,7 @@
             Effect::Writes => self.writes = true,
             Effect::KeepsState => {
                 self.writes = true;
-                self.pins = true;
+                self.keeps_state = true;
             }
         }
     }
@@ -175,7 +180,7 @@
         Action::CreateTemporary | Action::Listen { .. } | Action::DeclareCursor { hold: true } => {
             SessionState::Pinned
         }
-        _ if walk.pins || walk.temporary => SessionState::Pinned,
+        _ if walk.keeps_state || walk.temporary => SessionState::Pinned,
         Action::Set { local: false, .. }
         | Action::Reset { .. }
         | Action::Prepare { .. }
