--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -7,11 +7,11 @@
     Entry, LogEvent, Order, Rollback, Run, is_proved, is_same_statement,
 };
 
-use crate::ledger::{Fate, Ledger, Seen, Sent, Write};
+use crate::history::{History, Outcome, Read, Statement, Write};
 use crate::problem::{Kind, Problem};
 
 /// Most problems of one kind that are told.
-const TOLD: usize = 5;
+const MAX_PROBLEMS_PER_KIND: usize = 5;
 
 /// What servers and platform saw.
 #[derive(Debug, Clone, Default)]
@@ -36,7 +36,7 @@
 
     /// Whether a read that began at `since` and was answered at `until` may miss `data`, which is committed
     /// in the end: a promotion had rolled it back, and another one brought it back later.
-    fn excuses(&self, data: &str, since: Instant, until: Instant) -> bool {
+    fn may_miss(&self, data: &str, since: Instant, until: Instant) -> bool {
         let mut rollbacks = self.rollbacks.iter().filter(|it| it.entry.data == data);
         rollbacks.any(|it| it.excuses(since, until))
     }
@@ -56,59 +56,64 @@
     /// Commits.
     pub commits: usize,
     /// Commits that promotions rolled back.
-    pub dropped: usize,
+    pub rolled_back: usize,
     /// Orders to change a primary that were carried out.
     pub promotions: usize,
 }
 
 /// Judges a run.
-pub fn judge(ledger: &Ledger, record: &Record) -> Verdict {
-    let state = ledger.lock();
+pub fn verify(history: &History, record: &Record) -> Verdict {
+    let state = history.lock();
     let mut problems: Vec<Problem> = state.problems.clone();
-    let places = places(&record.log);
-    problems.extend(commits(&state.writes, record, &places));
-    problems.extend(runs(&state.sent, &record.runs));
-    problems.extend(proofs(&state.sent, &state.proofs, &record.runs));
-    problems.extend(pins(&state.sent, &record.runs));
-    problems.extend(reads(&state.seen, &state.writes, record, &places));
-    problems.extend(orders(&record.orders));
+    let positions = log_positions(&record.log);
+    problems.extend(check_commits(&state.writes, record, &positions));
+    problems.extend(check_runs(&state.statements, &record.runs));
+    problems.extend(check_proofs(&state.statements, &state.proofs, &record.runs));
+    problems.extend(check_transactions(&state.statements, &record.runs));
+    problems.extend(check_reads(&state.reads, &state.writes, record, &positions));
+    problems.extend(check_orders(&record.orders));
     Verdict {
-        problems: shorten(problems),
+        problems: limit_per_kind(problems),
         done: state.done,
         refused: state.refused,
         unknown: state.unknown,
         commits: record.log.len(),
-        dropped: record.rollbacks.len(),
+        rolled_back: record.rollbacks.len(),
         promotions: record.orders.iter().filter(|it| it.accepted).count(),
     }
 }
 
 /// Where each write stands in the log.
-fn places(log: &[Entry]) -> BTreeMap<&str, usize> {
-    let places = log.iter().enumerate();
-    places
-        .map(|(place, entry)| (entry.data.as_str(), place))
+fn log_positions(log: &[Entry]) -> BTreeMap<&str, usize> {
+    let positions = log.iter().enumerate();
+    positions
+        .map(|(position, entry)| (entry.data.as_str(), position))
         .collect()
 }
 
 /// Every acknowledged write is there, once; no other that its caller knows to be gone.
-fn commits(writes: &[Write], record: &Record, places: &BTreeMap<&str, usize>) -> Vec<Problem> {
+fn check_commits(
+    writes: &[Write],
+    record: &Record,
+    positions: &BTreeMap<&str, usize>,
+) -> Vec<Problem> {
     let mut problems = Vec::new();
-    let known: BTreeMap<&str, &Write> = writes.iter().map(|it| (it.data.as_str(), it)).collect();
-    for (place, entry) in record.log.iter().enumerate() {
-        if places[entry.data.as_str()] != place {
+    let writes_by_data: BTreeMap<&str, &Write> =
+        writes.iter().map(|it| (it.data.as_str(), it)).collect();
+    for (position, entry) in record.log.iter().enumerate() {
+        if positions[entry.data.as_str()] != position {
             problems.push(Problem::new(
-                Kind::Doubled,
+                Kind::Duplicated,
                 format!("{} is committed twice", entry.data),
             ));
         }
-        match known.get(entry.data.as_str()) {
+        match writes_by_data.get(entry.data.as_str()) {
             None => problems.push(Problem::new(
                 Kind::Unsent,
                 format!("{} was never sent", entry.data),
             )),
-            Some(write) if write.fate == Fate::Dropped => problems.push(Problem::new(
-                Kind::KeptThoughRefused,
+            Some(write) if write.outcome == Outcome::Discarded => problems.push(Problem::new(
+                Kind::FalselyRefused,
                 format!(
                     "{} of {} is committed, though its caller was told that it is not",
                     write.data, write.item
@@ -117,15 +122,18 @@
             Some(_) => {}
         }
     }
-    for write in writes.iter().filter(|it| it.fate == Fate::Kept) {
+    for write in writes
+        .iter()
+        .filter(|it| it.outcome == Outcome::Acknowledged)
+    {
         let rolled_back = record.is_rolled_back(&write.data);
-        if !places.contains_key(write.data.as_str()) && !rolled_back {
+        if !positions.contains_key(write.data.as_str()) && !rolled_back {
             let Write { data, item, .. } = write;
             problems.push(Problem::new(
                 Kind::Lost,
                 format!(
                     "{data} of {item} was acknowledged by {} and is gone",
-                    ran(record, data)
+                    server_that_ran(record, data)
                 ),
             ));
         }
@@ -134,19 +142,19 @@
 }
 
 /// The server that ran a write.
-fn ran<'a>(record: &'a Record, data: &str) -> &'a str {
+fn server_that_ran<'a>(record: &'a Record, data: &str) -> &'a str {
     let ends = |run: &&Run| run.text.ends_with(data);
     let run = record.runs.iter().find(ends);
     run.map_or("nobody", |run| run.server.as_str())
 }
 
 /// Servers run only what callers sent, as they sent it.
-fn runs(sent: &BTreeMap<String, Sent>, runs: &[Run]) -> Vec<Problem> {
+fn check_runs(statements: &BTreeMap<String, Statement>, runs: &[Run]) -> Vec<Problem> {
     let mut problems = Vec::new();
     for run in runs {
-        let fits = sent
+        let fits = statements
             .get(&run.id)
-            .is_some_and(|sent| is_same_statement(&sent.text, &run.text));
+            .is_some_and(|statement| is_same_statement(&statement.text, &run.text));
         if !fits {
             let Run {
                 id, text, server, ..
@@ -161,22 +169,24 @@
 }
 
 /// What counts as run carries the proof of the server that ran it.
-fn proofs(
-    sent: &BTreeMap<String, Sent>,
+fn check_proofs(
+    statements: &BTreeMap<String, Statement>,
     proofs: &BTreeMap<String, String>,
     runs: &[Run],
 ) -> Vec<Problem> {
-    let mut ran: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+    let mut proofs_by_id: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for run in runs {
-        ran.entry(&run.id).or_default().push(&run.proof);
+        proofs_by_id.entry(&run.id).or_default().push(&run.proof);
     }
     let mut problems = Vec::new();
     for (id, proof) in proofs {
-        let text = sent.get(id).map_or("", |sent| sent.text.as_str());
+        let text = statements
+            .get(id)
+            .map_or("", |statement| statement.text.as_str());
         if !is_proved(text) {
             continue;
         }
-        let proven = ran.get(id.as_str());
+        let proven = proofs_by_id.get(id.as_str());
         if !proven.is_some_and(|proven| proven.contains(&proof.as_str())) {
             problems.push(Problem::new(
                 Kind::Unproved,
@@ -188,26 +198,30 @@
 }
 
 /// A transaction stays on one connection, and nobody else's statements run on it meanwhile.
-fn pins(sent: &BTreeMap<String, Sent>, runs: &[Run]) -> Vec<Problem> {
-    let transaction = |run: &Run| sent.get(&run.id).and_then(|sent| sent.transaction);
+fn check_transactions(statements: &BTreeMap<String, Statement>, runs: &[Run]) -> Vec<Problem> {
+    let transaction = |run: &Run| {
+        statements
+            .get(&run.id)
+            .and_then(|statement| statement.transaction)
+    };
     // A first statement whose answer was lost may run again elsewhere: its last run counts.
     let mut last: BTreeMap<&str, usize> = BTreeMap::new();
-    for (place, run) in runs.iter().enumerate() {
-        last.insert(&run.id, place);
+    for (position, run) in runs.iter().enumerate() {
+        last.insert(&run.id, position);
     }
-    let mut spans: BTreeMap<u64, (u64, usize, usize)> = BTreeMap::new();
+    let mut transactions: BTreeMap<u64, (u64, usize, usize)> = BTreeMap::new();
     let mut problems = Vec::new();
-    for (place, run) in runs.iter().enumerate() {
+    for (position, run) in runs.iter().enumerate() {
         let Some(number) = transaction(run) else {
             continue;
         };
-        if last[run.id.as_str()] != place {
+        if last[run.id.as_str()] != position {
             continue;
         }
-        let span = spans
+        let span = transactions
             .entry(number)
-            .or_insert((run.connection, place, place));
-        span.2 = place;
+            .or_insert((run.connection, position, position));
+        span.2 = position;
         if span.0 != run.connection {
             let Run { id, text, .. } = run;
             problems.push(Problem::new(
@@ -216,11 +230,11 @@
             ));
         }
     }
-    for (number, (connection, first, end)) in spans {
-        let stranger = runs[first..=end]
+    for (number, (connection, first, end)) in transactions {
+        let foreign = runs[first..=end]
             .iter()
             .find(|run| run.connection == connection && transaction(run) != Some(number));
-        if let Some(Run { id, text, .. }) = stranger {
+        if let Some(Run { id, text, .. }) = foreign {
             problems.push(Problem::new(
                 Kind::Unpinned,
                 format!("{id} `{text}` ran inside another's transaction"),
@@ -232,34 +246,37 @@
 
 /// Reads see what was acknowledged before, as far as their route says, and nothing that is
 /// committed nowhere.
-fn reads(
-    seen: &[Seen],
+fn check_reads(
+    reads: &[Read],
     writes: &[Write],
     record: &Record,
-    places: &BTreeMap<&str, usize>,
+    positions: &BTreeMap<&str, usize>,
 ) -> Vec<Problem> {
     let mut by_item: BTreeMap<&str, Vec<(&Write, usize)>> = BTreeMap::new();
-    for write in writes.iter().filter(|it| it.fate == Fate::Kept) {
-        if let Some(place) = places.get(write.data.as_str()) {
+    for write in writes
+        .iter()
+        .filter(|it| it.outcome == Outcome::Acknowledged)
+    {
+        if let Some(position) = positions.get(write.data.as_str()) {
             let of_item = by_item.entry(&write.item).or_default();
-            of_item.push((write, *place));
+            of_item.push((write, *position));
         }
     }
     let mut problems = Vec::new();
-    for Seen {
+    for Read {
         id,
         item,
         since,
         until,
-        age,
-        own,
+        max_staleness,
+        own_write,
         data,
-    } in seen
+    } in reads
     {
         let saw = match data {
             None => None,
-            Some(data) => match places.get(data.as_str()) {
-                Some(place) => Some(*place),
+            Some(data) => match positions.get(data.as_str()) {
+                Some(position) => Some(*position),
                 None => {
                     // What a promotion rolled back may have been seen before.
                     if !record.is_rolled_back(data) {
@@ -274,19 +291,24 @@
         };
         let acknowledged = by_item.get(item.as_str()).into_iter().flatten();
         let before = acknowledged
-            .filter(|(write, _)| write.at.checked_add(*age).is_some_and(|at| at < *since))
-            .filter(|(write, _)| !record.excuses(&write.data, *since, *until))
-            .map(|(_, place)| *place);
-        let own = own
+            .filter(|(write, _)| {
+                write
+                    .at
+                    .checked_add(*max_staleness)
+                    .is_some_and(|at| at < *since)
+            })
+            .filter(|(write, _)| !record.may_miss(&write.data, *since, *until))
+            .map(|(_, position)| *position);
+        let own_write = own_write
             .as_ref()
-            .filter(|own| !record.excuses(own, *since, *until))
-            .and_then(|own| places.get(own.as_str()).copied());
-        let needed = before.chain(own).max();
+            .filter(|own| !record.may_miss(own, *since, *until))
+            .and_then(|own| positions.get(own.as_str()).copied());
+        let needed = before.chain(own_write).max();
         if saw < needed {
             problems.push(Problem::new(
                 Kind::Stale,
                 format!(
-                    "{id} saw place {saw:?} of {item}, {needed:?} had been acknowledged {age:?} \
+                    "{id} saw place {saw:?} of {item}, {needed:?} had been acknowledged {max_staleness:?} \
                  before"
                 ),
             ));
@@ -296,7 +318,7 @@
 }
 
 /// No two hosts give orders under one token.
-fn orders(orders: &[Order]) -> Vec<Problem> {
+fn check_orders(orders: &[Order]) -> Vec<Problem> {
     let mut holders: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     let mut problems = Vec::new();
     for order in orders {
@@ -315,13 +337,13 @@
 }
 
 /// The first problems of each kind, by kind, and how many more there are.
-fn shorten(mut problems: Vec<Problem>) -> Vec<Problem> {
+fn limit_per_kind(mut problems: Vec<Problem>) -> Vec<Problem> {
     problems.sort_by_key(|problem| problem.kind);
     let mut short = Vec::new();
     for same in problems.chunk_by(|one, other| one.kind == other.kind) {
-        short.extend(same.iter().take(TOLD).cloned());
-        if same.len() > TOLD {
-            let more = format!("{} more", same.len() - TOLD);
+        short.extend(same.iter().take(MAX_PROBLEMS_PER_KIND).cloned());
+        if same.len() > MAX_PROBLEMS_PER_KIND {
+            let more = format!("{} more", same.len() - MAX_PROBLEMS_PER_KIND);
             short.push(Problem::new(same[0].kind, more));
         }
     }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -4,7 +4,7 @@
 
 use flamingopost_standin::pooled::{Garbage, Remains};
 
-use crate::net::End;
+use crate::net::Endpoint;
 
 /// Something that goes wrong, and for how long where it ends by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -98,7 +98,7 @@
     /// The store misbehaves.
     Store {
         /// How.
-        how: Storage,
+        how: StoreFault,
         /// For how long.
         lasts: Duration,
     },
@@ -118,18 +118,18 @@
     /// What goes one way between two ends is held back.
     Cut {
         /// From where.
-        from: End,
+        from: Endpoint,
         /// To where.
-        to: End,
+        to: Endpoint,
         /// For how long.
         lasts: Duration,
     },
     /// What goes between two ends takes longer.
     Delay {
         /// One end.
-        from: End,
+        from: Endpoint,
         /// The other.
-        to: End,
+        to: Endpoint,
         /// How much longer.
         by: Duration,
         /// For how long.
@@ -138,9 +138,9 @@
     /// All connections from one end to another are reset.
     Reset {
         /// From where.
-        from: End,
+        from: Endpoint,
         /// To where.
-        to: End,
+        to: Endpoint,
     },
     /// A host is cut off from everything but its callers.
     Isolate {
@@ -162,7 +162,7 @@
 
 /// How the store misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Storage {
+pub enum StoreFault {
     /// It refuses everything.
     Busy,
     /// It answers nothing.
--- a/crates/soak/src/gap.rs
+++ b/crates/soak/src/gap.rs
@@ -11,45 +11,50 @@
 
 use crate::plan::Plan;
 use crate::session::Session;
-use crate::stage::Stage;
+use crate::testbed::Testbed;
 
 /// Hosts, as on the smaller of the users' deployments.
 const HOSTS: usize = 6;
 
 /// How long a promotion takes on the users' platform.
-const PROMOTION: Duration = Duration::from_millis(1_000);
+const PROMOTION_TIME: Duration = Duration::from_millis(1_000);
 
 /// Writers at work all the while.
 const WRITERS: usize = 24;
 
 /// Pause of a writer between two writes: together they write every millisecond or two.
-const PAUSE: Duration = Duration::from_millis(30);
+const WRITE_PAUSE: Duration = Duration::from_millis(30);
 
 /// How long one write may take.
-const PATIENCE: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long a change is watched.
-const WATCH: Duration = Duration::from_secs(5);
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
 /// How long everything has to settle before the next one.
-const REST: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// How a primary goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
-pub enum Way {
+pub enum Cause {
     /// its process dies
-    Dies,
+    Crashes,
     /// it answers nothing any more
     Silent,
     /// it says that it leaves
     Leaves,
     /// its process dies while the store is away
-    DiesWithoutStore,
+    CrashesWithoutStore,
 }
 
-impl Way {
+impl Cause {
     /// All of them.
-    pub const ALL: [Way; 4] = [Way::Dies, Way::Silent, Way::Leaves, Way::DiesWithoutStore];
+    pub const ALL: [Cause; 4] = [
+        Cause::Crashes,
+        Cause::Silent,
+        Cause::Leaves,
+        Cause::CrashesWithoutStore,
+    ];
 }
 
 /// Measures the gap of `way` `count` times with `program`; settings and logs go to `folder`. With
@@ -58,31 +63,31 @@
 /// # Errors
 /// Processes or relays cannot be started.
 pub async fn measure(
-    way: Way,
+    cause: Cause,
     count: usize,
     lax: bool,
     program: &Path,
     folder: &Path,
 ) -> io::Result<Vec<Duration>> {
     let sizes = Sizes {
-        promotion: PROMOTION,
+        promotion: PROMOTION_TIME,
         ..Sizes::default()
     };
     let plan = Plan {
         lax,
-        ..Plan::calm(HOSTS, sizes)
+        ..Plan::without_faults(HOSTS, sizes)
     };
-    let stage = Stage::set(plan, program, folder).await?;
-    stage.started().await;
+    let testbed = Testbed::start(plan, program, folder).await?;
+    testbed.wait_until_ready().await;
     let stop = Arc::new(AtomicBool::new(false));
     let acknowledged: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let mut writers = JoinSet::new();
     for number in 0..WRITERS {
-        let host = stage.host(number % HOSTS);
+        let host = testbed.caller_address(number % HOSTS);
         let (stop, acknowledged) = (Arc::clone(&stop), Arc::clone(&acknowledged));
         writers.spawn(write(number, host, stop, acknowledged));
     }
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let mut gaps = Vec::new();
     for _ in 0..count {
         acknowledged
@@ -90,48 +95,48 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clear();
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let primary = stage.primary();
-        strike(&stage, way, &primary);
-        tokio::time::sleep(WATCH).await;
-        gaps.extend(longest(&acknowledged));
-        mend(&stage, way, &primary).await;
-        tokio::time::sleep(REST).await;
+        let primary = testbed.primary();
+        inject(&testbed, cause, &primary);
+        tokio::time::sleep(OBSERVATION_TIME).await;
+        gaps.extend(longest_gap(&acknowledged));
+        undo(&testbed, cause, &primary).await;
+        tokio::time::sleep(SETTLE_TIME).await;
     }
     stop.store(true, Ordering::Relaxed);
     writers.join_all().await;
     Ok(gaps)
 }
 
-fn strike(stage: &Stage, way: Way, primary: &str) {
+fn inject(testbed: &Testbed, cause: Cause, primary: &str) {
     let silent = Faults {
         silent: true,
         ..Faults::default()
     };
-    match way {
-        Way::Dies => stage.site.crash(primary),
-        Way::Silent => stage.site.set_faults(primary, silent),
-        Way::Leaves => stage.site.leave(primary),
-        Way::DiesWithoutStore => {
-            stage.site.store.set_mode(Mode::Busy);
-            stage.site.crash(primary);
+    match cause {
+        Cause::Crashes => testbed.site.crash(primary),
+        Cause::Silent => testbed.site.set_faults(primary, silent),
+        Cause::Leaves => testbed.site.leave(primary),
+        Cause::CrashesWithoutStore => {
+            testbed.site.store.set_mode(Mode::Busy);
+            testbed.site.crash(primary);
         }
     }
 }
 
-async fn mend(stage: &Stage, way: Way, primary: &str) {
-    match way {
-        Way::Dies => stage.revive(primary).await,
-        Way::Silent => stage.site.set_faults(primary, Faults::default()),
-        Way::Leaves => stage.site.stay(primary),
-        Way::DiesWithoutStore => {
-            stage.site.store.set_mode(Mode::Up);
-            stage.revive(primary).await;
+async fn undo(testbed: &Testbed, cause: Cause, primary: &str) {
+    match cause {
+        Cause::Crashes => testbed.revive(primary).await,
+        Cause::Silent => testbed.site.set_faults(primary, Faults::default()),
+        Cause::Leaves => testbed.site.stay(primary),
+        Cause::CrashesWithoutStore => {
+            testbed.site.store.set_mode(Mode::Up);
+            testbed.revive(primary).await;
         }
     }
 }
 
 /// The longest time between two neighbours, or to now if it goes on.
-fn longest(acknowledged: &Mutex<Vec<Instant>>) -> Option<Duration> {
+fn longest_gap(acknowledged: &Mutex<Vec<Instant>>) -> Option<Duration> {
     let acknowledged = acknowledged.lock();
     let mut times = acknowledged.unwrap_or_else(PoisonError::into_inner).clone();
     times.push(Instant::now());
@@ -149,7 +154,7 @@
     let mut count = 0;
     while !stop.load(Ordering::Relaxed) {
         let Ok(mut session) = Session::open(host, "bids").await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(WRITE_PAUSE).await;
             continue;
         };
         while !stop.load(Ordering::Relaxed) {
@@ -158,14 +163,14 @@
                 format!("{number:08x}{count:08x}"),
                 format!("STORE item-{number} d{count}"),
             );
-            let Ok(reply) = session.run(&id, &text, PATIENCE).await else {
+            let Ok(reply) = session.run(&id, &text, WRITE_TIMEOUT).await else {
                 break;
             };
             if reply.is_done() {
                 let mut acknowledged = acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
                 acknowledged.push(Instant::now());
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(WRITE_PAUSE).await;
         }
     }
 }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/history.rs
@@ -14,25 +14,25 @@
     /// What was written: no two writes write the same.
     pub data: String,
     /// How it ended.
-    pub fate: Fate,
+    pub outcome: Outcome,
     /// When that was known.
     pub at: Instant,
 }
 
 /// How a write ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     /// It was acknowledged.
-    Kept,
+    Acknowledged,
     /// Its caller was promised that nothing of it is kept, or rolled it back.
-    Dropped,
+    Discarded,
     /// Its caller was promised nothing.
-    Open,
+    Unknown,
 }
 
 /// A statement as a caller sent it.
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct Statement {
     /// The text.
     pub text: String,
     /// The transaction that it belongs to, if any.
@@ -41,7 +41,7 @@
 
 /// A read that succeeded.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct Read {
     /// Identifier of the statement.
     pub id: String,
     /// The item.
@@ -51,76 +51,76 @@
     /// When its answer came.
     pub until: Instant,
     /// How old the data may be, by the route.
-    pub age: Duration,
+    pub max_staleness: Duration,
     /// What the session has last had acknowledged for the item, on routes on which sessions see
     /// their own writes.
-    pub own: Option<String>,
+    pub own_write: Option<String>,
     /// What was seen; `None` where nothing had been written.
     pub data: Option<String>,
 }
 
 /// Everything that callers did.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct History {
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub writes: Vec<Write>,
-    pub sent: BTreeMap<String, Sent>,
+    pub statements: BTreeMap<String, Statement>,
     pub proofs: BTreeMap<String, String>,
-    pub seen: Vec<Seen>,
+    pub reads: Vec<Read>,
     pub done: u64,
     pub refused: u64,
     pub unknown: u64,
     pub problems: Vec<Problem>,
-    next: u64,
+    last_number: u64,
 }
 
-impl Ledger {
+impl History {
     /// A number that no other caller gets: for identifiers, transactions and written data.
-    pub fn next(&self) -> u64 {
+    pub fn next_number(&self) -> u64 {
         let mut state = self.lock();
-        state.next += 1;
-        state.next
+        state.last_number += 1;
+        state.last_number
     }
 
     /// Notes that a statement is sent.
-    pub fn send(&self, id: &str, text: &str, transaction: Option<u64>) {
+    pub fn record_statement(&self, id: &str, text: &str, transaction: Option<u64>) {
         let text = text.to_owned();
-        let sent = Sent { text, transaction };
-        self.lock().sent.insert(id.to_owned(), sent);
+        let statement = Statement { text, transaction };
+        self.lock().statements.insert(id.to_owned(), statement);
     }
 
     /// Notes what proved that a statement ran.
-    pub fn prove(&self, id: &str, proof: &str) {
+    pub fn record_proof(&self, id: &str, proof: &str) {
         let mut state = self.lock();
         state.proofs.insert(id.to_owned(), proof.to_owned());
     }
 
     /// Notes how a write ended.
-    pub fn write(&self, write: Write) {
+    pub fn record_write(&self, write: Write) {
         self.lock().writes.push(write);
     }
 
     /// Notes what a read saw.
-    pub fn see(&self, seen: Seen) {
-        self.lock().seen.push(seen);
+    pub fn record_read(&self, read: Read) {
+        self.lock().reads.push(read);
     }
 
     /// Counts an operation by how it ended.
-    pub fn count(&self, fate: Fate) {
+    pub fn count(&self, outcome: Outcome) {
         let mut state = self.lock();
-        match fate {
-            Fate::Kept => state.done += 1,
-            Fate::Dropped => state.refused += 1,
-            Fate::Open => state.unknown += 1,
+        match outcome {
+            Outcome::Acknowledged => state.done += 1,
+            Outcome::Discarded => state.refused += 1,
+            Outcome::Unknown => state.unknown += 1,
         }
     }
 
     /// Notes something that must not be.
-    pub fn object(&self, kind: Kind, text: String) {
+    pub fn report_problem(&self, kind: Kind, text: String) {
         self.lock().problems.push(Problem::new(kind, text));
     }
 
--- a/crates/soak/src/strike.rs
+++ b/crates/soak/src/inject.rs
@@ -5,44 +5,44 @@
 
 use flamingopost_standin::pooled::{Faults, Mode, Remains};
 
-use crate::fault::{Fault, Storage, Victim};
-use crate::net::End;
+use crate::fault::{Fault, StoreFault, Victim};
+use crate::net::Endpoint;
 use crate::problem::Kind;
 use crate::process::Host;
-use crate::stage::{GRACE, GRACE_MARGIN, SERVICE, Stage};
+use crate::testbed::{SERVICE, SHUTDOWN_GRACE, SHUTDOWN_MARGIN, Testbed};
 
 /// An entry of a server that has died lapses after this long.
-const LAPSE: Duration = Duration::from_millis(900);
+const ENTRY_LAPSE: Duration = Duration::from_millis(900);
 
 /// A server that leaves ends this long after it has said so.
-const LEAVING: Duration = Duration::from_millis(2_500);
+const LEAVING_TIME: Duration = Duration::from_millis(2_500);
 
 /// How slow the slow store is.
-const SLOW: Duration = Duration::from_millis(400);
+const SLOW_STORE_DELAY: Duration = Duration::from_millis(400);
 
-impl Stage {
+impl Testbed {
     /// Has `fault` strike, and ends it where it ends by itself.
-    pub(crate) async fn strike(&self, fault: Fault) {
+    pub(crate) async fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Stop { host } => self.stop(&self.hosts[host]).await,
+            Fault::Stop { host } => self.stop_host(&self.hosts[host]).await,
             Fault::Kill { host, lasts } => {
-                self.kill(&self.hosts[host]);
+                self.kill_host(&self.hosts[host]);
                 tokio::time::sleep(lasts).await;
-                self.start(&self.hosts[host]);
+                self.start_host(&self.hosts[host]);
             }
             Fault::KillAll => {
-                self.hosts.iter().for_each(|host| self.kill(host));
-                self.hosts.iter().for_each(|host| self.start(host));
+                self.hosts.iter().for_each(|host| self.kill_host(host));
+                self.hosts.iter().for_each(|host| self.start_host(host));
             }
             Fault::Pause { host, lasts } => {
-                self.hosts[host].pause(true);
+                self.hosts[host].set_paused(true);
                 tokio::time::sleep(lasts).await;
-                self.hosts[host].pause(false);
+                self.hosts[host].set_paused(false);
             }
             Fault::Reload { host } => {
                 self.hosts[host].reload();
             }
-            Fault::Crash { server, lasts } => self.crash(&self.victim(server), lasts).await,
+            Fault::Crash { server, lasts } => self.crash_server(&self.victim(server), lasts).await,
             Fault::Restart {
                 server,
                 after,
@@ -50,7 +50,7 @@
                 remains,
             } => {
                 let victim = self.victim(server);
-                self.restart(&victim, after, late, remains).await;
+                self.restart_server(&victim, after, late, remains).await;
             }
             Fault::Overwrite {
                 server,
@@ -67,14 +67,15 @@
                     silent: true,
                     ..Faults::default()
                 };
-                self.impair(&self.victim(server), silent, lasts).await;
+                self.impair_server(&self.victim(server), silent, lasts)
+                    .await;
             }
             Fault::Full { server, lasts } => {
                 let full = Faults {
                     full: true,
                     ..Faults::default()
                 };
-                self.impair(&self.victim(server), full, lasts).await;
+                self.impair_server(&self.victim(server), full, lasts).await;
             }
             Fault::LoseAnswers { server, count } => {
                 let faults = Faults {
@@ -93,12 +94,12 @@
             Fault::Leave { server } => {
                 let victim = self.victim(server);
                 self.site.leave(&victim);
-                tokio::time::sleep(LEAVING).await;
-                self.crash(&victim, Duration::from_millis(300)).await;
+                tokio::time::sleep(LEAVING_TIME).await;
+                self.crash_server(&victim, Duration::from_millis(300)).await;
                 self.site.stay(&victim);
             }
             Fault::Store { how, lasts } => {
-                self.site.store.set_mode(mode(how));
+                self.site.store.set_mode(store_mode(how));
                 tokio::time::sleep(lasts).await;
                 self.site.store.set_mode(Mode::Up);
             }
@@ -135,71 +136,78 @@
             }
             Fault::Reset { from, to } => self.net.reset(from, to),
             Fault::Isolate { host, lasts } => {
-                self.isolate(host, true);
+                self.isolate_host(host, true);
                 tokio::time::sleep(lasts).await;
-                self.isolate(host, false);
+                self.isolate_host(host, false);
             }
         }
     }
 
-    fn start(&self, host: &Host) {
+    fn start_host(&self, host: &Host) {
         if let Err(error) = host.start() {
-            self.ledger.object(Kind::NotStarted, error.to_string());
+            self.history
+                .report_problem(Kind::NotStarted, error.to_string());
         }
     }
 
     /// Kills a host, which must not have ended by itself before.
-    fn kill(&self, host: &Host) {
-        self.has_fallen(host);
+    fn kill_host(&self, host: &Host) {
+        self.check_unexpected_exit(host);
         host.kill();
     }
 
     /// Tells a host to end, which it has to do within its grace, and with success unless a signal
     /// ended it: one that has just started may not listen for signals yet.
-    async fn stop(&self, host: &Host) {
+    async fn stop_host(&self, host: &Host) {
         if !host.terminate() {
             return;
         }
-        let told = Instant::now();
+        let requested_at = Instant::now();
         let name = &host.settings.name;
-        match host.ended(GRACE + GRACE_MARGIN).await {
+        match host.wait_for_exit(SHUTDOWN_GRACE + SHUTDOWN_MARGIN).await {
             Some(status) if status.success() || status.signal().is_some() => {}
             Some(status) => {
                 let problem = format!("{name} ended with {status}");
-                self.ledger.object(Kind::NotStopped, problem);
+                self.history.report_problem(Kind::NotStopped, problem);
             }
             None => {
-                if host.is_calm(told) {
-                    let problem = format!("{name} still runs after {:?}", told.elapsed());
-                    self.ledger.object(Kind::NotStopped, problem);
+                if host.is_undisturbed(requested_at) {
+                    let problem = format!("{name} still runs after {:?}", requested_at.elapsed());
+                    self.history.report_problem(Kind::NotStopped, problem);
                 }
                 host.kill();
             }
         }
-        self.start(host);
+        self.start_host(host);
     }
 
-    async fn crash(&self, server: &str, lasts: Duration) {
+    async fn crash_server(&self, server: &str, lasts: Duration) {
         self.site.crash(server);
-        let lapse = lasts.min(LAPSE);
-        tokio::time::sleep(lapse).await;
-        if lasts > LAPSE {
+        let until_lapse = lasts.min(ENTRY_LAPSE);
+        tokio::time::sleep(until_lapse).await;
+        if lasts > ENTRY_LAPSE {
             self.site.unregister(server);
         }
-        tokio::time::sleep(lasts - lapse).await;
+        tokio::time::sleep(lasts - until_lapse).await;
         self.revive(server).await;
     }
 
     /// A server that starts again has nothing left only where another one can take over: what all
     /// have lost nobody can bring back.
-    async fn restart(&self, server: &str, after: Duration, late: Duration, remains: Remains) {
+    async fn restart_server(
+        &self,
+        server: &str,
+        after: Duration,
+        late: Duration,
+        remains: Remains,
+    ) {
         self.site.crash(server);
-        let lapse = after.min(LAPSE);
-        tokio::time::sleep(lapse).await;
-        if after > LAPSE {
+        let until_lapse = after.min(ENTRY_LAPSE);
+        tokio::time::sleep(until_lapse).await;
+        if after > ENTRY_LAPSE {
             self.site.unregister(server);
         }
-        tokio::time::sleep(after - lapse).await;
+        tokio::time::sleep(after - until_lapse).await;
         let remains = match self.site.group(SERVICE).can_spare(server) {
             true => remains,
             false => Remains::Log,
@@ -212,30 +220,32 @@
         self.site.register(server);
     }
 
-    async fn impair(&self, server: &str, faults: Faults, lasts: Duration) {
+    async fn impair_server(&self, server: &str, faults: Faults, lasts: Duration) {
         self.site.set_faults(server, faults);
         tokio::time::sleep(lasts).await;
         self.site.set_faults(server, Faults::default());
     }
 
-    fn isolate(&self, host: usize, cut: bool) {
+    fn isolate_host(&self, host: usize, cut: bool) {
         let others = (0..self.plan.hosts)
             .filter(|other| *other != host)
-            .map(End::Host);
-        let servers = (0..self.plan.sizes.servers).map(End::Server);
-        let ends = others.chain(servers).chain([End::Store, End::Orders]);
+            .map(Endpoint::Host);
+        let servers = (0..self.plan.sizes.servers).map(Endpoint::Server);
+        let ends = others
+            .chain(servers)
+            .chain([Endpoint::Store, Endpoint::Orders]);
         for end in ends {
-            self.net.cut(End::Host(host), end, cut);
-            self.net.cut(end, End::Host(host), cut);
+            self.net.cut(Endpoint::Host(host), end, cut);
+            self.net.cut(end, Endpoint::Host(host), cut);
         }
     }
 }
 
-fn mode(how: Storage) -> Mode {
+fn store_mode(how: StoreFault) -> Mode {
     match how {
-        Storage::Busy => Mode::Busy,
-        Storage::Silent => Mode::Silent,
-        Storage::Slow => Mode::Slow(SLOW),
-        Storage::Lossy => Mode::Lossy,
+        StoreFault::Busy => Mode::Busy,
+        StoreFault::Silent => Mode::Silent,
+        StoreFault::Slow => Mode::Slow(SLOW_STORE_DELAY),
+        StoreFault::Lossy => Mode::Lossy,
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -8,28 +8,28 @@
 
 use flags::FlamingopostSoak;
 use flamingopost_soak::check::Verdict;
-use flamingopost_soak::gap::{self, Way};
+use flamingopost_soak::gap::{self, Cause};
 use flamingopost_soak::plan::Plan;
 use flamingopost_soak::play::play;
 use tokio::task::JoinSet;
 
 /// Length of a run where the command line gives none, in seconds.
-const SECONDS: u64 = 15;
+const DEFAULT_SECONDS: u64 = 15;
 
 /// Exit code when a promise was broken.
-const BROKEN: u8 = 1;
+const EXIT_BROKEN: u8 = 1;
 
 /// Exit code when a run could not be made.
-const UNPLAYED: u8 = 2;
+const EXIT_NOT_PLAYED: u8 = 2;
 
 fn main() -> ExitCode {
     let flags = FlamingopostSoak::from_env_or_exit();
     match run(&flags) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(BROKEN),
+        Ok(_) => ExitCode::from(EXIT_BROKEN),
         Err(error) => {
             eprintln!("flamingopost-soak: {error}");
-            ExitCode::from(UNPLAYED)
+            ExitCode::from(EXIT_NOT_PLAYED)
         }
     }
 }
@@ -38,7 +38,7 @@
 #[tokio::main]
 async fn run(flags: &FlamingopostSoak) -> std::io::Result<usize> {
     if let Some(count) = flags.gaps {
-        gaps(count, flags.lax, &flags.program).await?;
+        measure_gaps(count, flags.lax, &flags.program).await?;
         return Ok(0);
     }
     let first = flags.first.unwrap_or_else(rand::random);
@@ -54,11 +54,11 @@
         {
             broken += usize::from(ended.map_err(std::io::Error::other)??);
         }
-        let length = Duration::from_secs(flags.seconds.unwrap_or(SECONDS));
+        let length = Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS));
         let plan = Plan::draw(seed, length, flags.hosts);
         // Logs of a broken run are evidence: a second play of its seed leaves them alone.
         let folder = folder.join(format!("seed-{seed}-{}", std::process::id()));
-        running.spawn(one(plan, flags.program.clone(), folder, flags.plan));
+        running.spawn(play_seed(plan, flags.program.clone(), folder, flags.plan));
     }
     while let Some(ended) = running.join_next().await {
         broken += usize::from(ended.map_err(std::io::Error::other)??);
@@ -67,25 +67,30 @@
 }
 
 /// Measures and prints the gap of each way in which a primary goes.
-async fn gaps(count: usize, lax: bool, program: &Path) -> std::io::Result<()> {
-    for way in Way::ALL {
+async fn measure_gaps(count: usize, lax: bool, program: &Path) -> std::io::Result<()> {
+    for cause in Cause::ALL {
         let folder = tempfile::tempdir()?;
-        let mut gaps = gap::measure(way, count, lax, program, folder.path()).await?;
+        let mut gaps = gap::measure(cause, count, lax, program, folder.path()).await?;
         gaps.sort_unstable();
         let median = gaps.get(gaps.len() / 2).copied().unwrap_or_default();
         let worst = gaps.last().copied().unwrap_or_default();
         let (times, median, worst) = (gaps.len(), median.as_millis(), worst.as_millis());
-        println!("{way}: {times} times, median {median} ms, worst {worst} ms");
+        println!("{cause}: {times} times, median {median} ms, worst {worst} ms");
     }
     Ok(())
 }
 
 /// Plays one plan; whether it broke a promise. Logs stay only then.
-async fn one(plan: Plan, program: PathBuf, folder: PathBuf, told: bool) -> std::io::Result<bool> {
+async fn play_seed(
+    plan: Plan,
+    program: PathBuf,
+    folder: PathBuf,
+    print_plan: bool,
+) -> std::io::Result<bool> {
     std::fs::create_dir_all(&folder)?;
     let seed = plan.seed;
     let (hosts, faults) = (plan.hosts, plan.faults.len());
-    if told {
+    if print_plan {
         println!("{plan:#?}");
     }
     let verdict = play(plan, &program, &folder).await?;
@@ -95,12 +100,12 @@
         refused,
         unknown,
         commits,
-        dropped,
+        rolled_back,
         promotions,
     } = verdict;
     println!(
         "seed {seed}: {hosts} hosts, {faults} faults, {done} done, {refused} refused, {unknown} \
-         unknown, {commits} commits, {dropped} rolled back by {promotions} promotions, {} problems",
+         unknown, {commits} commits, {rolled_back} rolled back by {promotions} promotions, {} problems",
         problems.len()
     );
     for problem in &problems {
--- a/crates/soak/src/net.rs
+++ b/crates/soak/src/net.rs
@@ -12,14 +12,14 @@
 use tokio::sync::watch;
 
 /// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// Longest datagram between hosts.
-const DATAGRAM: usize = 2 << 10;
+const MAX_DATAGRAM_BYTES: usize = 2 << 10;
 
 /// Who takes part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Endpoint {
     /// A host.
     Host(usize),
     /// A server.
@@ -42,7 +42,7 @@
 /// All relays of a run.
 #[derive(Debug, Clone)]
 pub struct Net {
-    rules: Arc<watch::Sender<BTreeMap<(End, End), Rule>>>,
+    rules: Arc<watch::Sender<BTreeMap<(Endpoint, Endpoint), Rule>>>,
 }
 
 impl Default for Net {
@@ -55,17 +55,17 @@
 
 impl Net {
     /// Holds back what goes from `from` to `to`, or lets it through again.
-    pub fn cut(&self, from: End, to: End, cut: bool) {
+    pub fn cut(&self, from: Endpoint, to: Endpoint, cut: bool) {
         self.change(from, to, |rule| rule.cut = cut);
     }
 
     /// Delays what goes from `from` to `to`.
-    pub fn delay(&self, from: End, to: End, delay: Duration) {
+    pub fn delay(&self, from: Endpoint, to: Endpoint, delay: Duration) {
         self.change(from, to, |rule| rule.delay = delay);
     }
 
     /// Resets all connections from `from` to `to`.
-    pub fn reset(&self, from: End, to: End) {
+    pub fn reset(&self, from: Endpoint, to: Endpoint) {
         self.change(from, to, |rule| rule.resets += 1);
     }
 
@@ -79,12 +79,12 @@
         });
     }
 
-    fn change(&self, from: End, to: End, change: impl FnOnce(&mut Rule)) {
+    fn change(&self, from: Endpoint, to: Endpoint, change: impl FnOnce(&mut Rule)) {
         self.rules
             .send_modify(|rules| change(rules.entry((from, to)).or_default()));
     }
 
-    fn rule(&self, from: End, to: End) -> Rule {
+    fn rule(&self, from: Endpoint, to: Endpoint) -> Rule {
         self.rules
             .borrow()
             .get(&(from, to))
@@ -93,12 +93,12 @@
     }
 
     /// Waits until what goes from `from` to `to` passes.
-    async fn pass(&self, from: End, to: End) {
+    async fn wait_until_open(&self, from: Endpoint, to: Endpoint) {
         let delay = self.rule(from, to).delay;
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        let open = |rules: &BTreeMap<(End, End), Rule>| {
+        let open = |rules: &BTreeMap<(Endpoint, Endpoint), Rule>| {
             !rules.get(&(from, to)).is_some_and(|rule| rule.cut)
         };
         // The sender lives as long as this.
@@ -109,14 +109,21 @@
     ///
     /// # Errors
     /// No port is free.
-    pub async fn link(&self, from: End, to: End, target: SocketAddr) -> io::Result<SocketAddr> {
+    pub async fn relay(
+        &self,
+        from: Endpoint,
+        to: Endpoint,
+        target: SocketAddr,
+    ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let net = self.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let net = net.clone();
-                tokio::spawn(async move { net.relay(from, to, stream, target, &[]).await });
+                tokio::spawn(
+                    async move { net.relay_connection(from, to, stream, target, &[]).await },
+                );
             }
         });
         Ok(address)
@@ -127,85 +134,95 @@
     ///
     /// # Errors
     /// No port is free.
-    pub async fn server(
+    pub async fn relay_server(
         &self,
-        to: End,
+        to: Endpoint,
         target: SocketAddr,
-        names: Arc<BTreeMap<String, usize>>,
+        host_numbers: Arc<BTreeMap<String, usize>>,
     ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
-        tokio::spawn(self.clone().sessions(listener, to, target, names));
+        tokio::spawn(
+            self.clone()
+                .relay_sessions(listener, to, target, host_numbers),
+        );
         Ok(address)
     }
 
-    async fn sessions(
+    async fn relay_sessions(
         self,
         listener: TcpListener,
-        to: End,
+        to: Endpoint,
         target: SocketAddr,
-        names: Arc<BTreeMap<String, usize>>,
+        host_numbers: Arc<BTreeMap<String, usize>>,
     ) {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let (net, names) = (self.clone(), Arc::clone(&names));
+            let (net, host_numbers) = (self.clone(), Arc::clone(&host_numbers));
             tokio::spawn(async move {
                 let Some(first) = first_line(&mut stream).await else {
                     return;
                 };
                 let text = String::from_utf8_lossy(&first);
                 let name = text.split_whitespace().nth(2);
-                let Some(host) = name.and_then(|name| names.get(name)) else {
+                let Some(host) = name.and_then(|name| host_numbers.get(name)) else {
                     return;
                 };
-                let from = End::Host(*host);
-                net.relay(from, to, stream, target, &first).await;
+                let from = Endpoint::Host(*host);
+                net.relay_connection(from, to, stream, target, &first).await;
             });
         }
     }
 
-    async fn relay(&self, from: End, to: End, inner: TcpStream, target: SocketAddr, first: &[u8]) {
+    async fn relay_connection(
+        &self,
+        from: Endpoint,
+        to: Endpoint,
+        client: TcpStream,
+        target: SocketAddr,
+        first: &[u8],
+    ) {
         let resets = self.rule(from, to).resets;
-        self.pass(from, to).await;
-        let Ok(mut outer) = TcpStream::connect(target).await else {
-            reset(&inner);
+        self.wait_until_open(from, to).await;
+        let Ok(mut server) = TcpStream::connect(target).await else {
+            reset_on_close(&client);
             return;
         };
-        at_once(&inner);
-        at_once(&outer);
-        if outer.write_all(first).await.is_err() {
+        disable_nagle(&client);
+        disable_nagle(&server);
+        if server.write_all(first).await.is_err() {
             return;
         }
         // A connection that the two ends leave half open is of no use to them.
-        let (mut inner_in, mut inner_out) = inner.into_split();
-        let (mut outer_in, mut outer_out) = outer.into_split();
+        let (mut client_in, mut client_out) = client.into_split();
+        let (mut server_in, mut server_out) = server.into_split();
         let mut rules = self.rules.subscribe();
-        let was_reset = |rules: &BTreeMap<(End, End), Rule>| {
+        let was_reset = |rules: &BTreeMap<(Endpoint, Endpoint), Rule>| {
             rules
                 .get(&(from, to))
                 .is_some_and(|rule| rule.resets > resets)
         };
         let broken = tokio::select! {
-            () = self.copy(from, to, &mut inner_in, &mut outer_out) => false,
-            () = self.copy(to, from, &mut outer_in, &mut inner_out) => false,
+            () = self.copy(from, to, &mut client_in, &mut server_out) => false,
+            () = self.copy(to, from, &mut server_in, &mut client_out) => false,
             _ = rules.wait_for(was_reset) => true,
         };
         if broken {
-            reset(inner_in.as_ref());
-            reset(outer_in.as_ref());
+            reset_on_close(client_in.as_ref());
+            reset_on_close(server_in.as_ref());
         }
     }
 
     async fn copy(
         &self,
-        from: End,
-        to: End,
+        from: Endpoint,
+        to: Endpoint,
         input: &mut tokio::net::tcp::OwnedReadHalf,
         output: &mut tokio::net::tcp::OwnedWriteHalf,
     ) {
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; CHUNK_BYTES];
         loop {
             let read = input.read(&mut chunk).await;
-            self.pass(from, to).await;
+            self.wait_until_open(from, to).await;
             match read {
                 Ok(length @ 1..) if output.write_all(&chunk[..length]).await.is_ok() => {}
                 _ => return,
@@ -218,78 +235,91 @@
     ///
     /// # Errors
     /// No port is free for both.
-    pub async fn peers(
+    pub async fn relay_peers(
         &self,
         to: usize,
         target: SocketAddr,
-        names: Arc<BTreeMap<String, usize>>,
-        senders: Arc<BTreeMap<SocketAddr, usize>>,
+        host_numbers: Arc<BTreeMap<String, usize>>,
+        hosts_by_address: Arc<BTreeMap<SocketAddr, usize>>,
     ) -> io::Result<SocketAddr> {
-        let (socket, listener) = both().await?;
+        let (socket, listener) = bind_udp_and_tcp().await?;
         let socket = Arc::new(socket);
         let address = socket.local_addr()?;
-        let sessions = self
-            .clone()
-            .sessions(listener, End::Host(to), target, names);
+        let sessions =
+            self.clone()
+                .relay_sessions(listener, Endpoint::Host(to), target, host_numbers);
         tokio::spawn(sessions);
-        tokio::spawn(self.clone().datagrams(to, target, senders, socket));
+        tokio::spawn(
+            self.clone()
+                .relay_datagrams(to, target, hosts_by_address, socket),
+        );
         Ok(address)
     }
 
-    async fn datagrams(
+    async fn relay_datagrams(
         self,
         to: usize,
         target: SocketAddr,
-        senders: Arc<BTreeMap<SocketAddr, usize>>,
+        hosts_by_address: Arc<BTreeMap<SocketAddr, usize>>,
         socket: Arc<UdpSocket>,
     ) {
-        let ways: Mutex<BTreeMap<SocketAddr, Arc<UdpSocket>>> = Mutex::default();
-        let mut buffer = [0; DATAGRAM];
+        let sockets: Mutex<BTreeMap<SocketAddr, Arc<UdpSocket>>> = Mutex::default();
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
                 return;
             };
-            let Some(from) = senders.get(&sender).copied() else {
+            let Some(from) = hosts_by_address.get(&sender).copied() else {
                 continue;
             };
             let known = {
-                let ways = ways.lock().unwrap_or_else(PoisonError::into_inner);
-                ways.get(&sender).cloned()
+                let sockets = sockets.lock().unwrap_or_else(PoisonError::into_inner);
+                sockets.get(&sender).cloned()
             };
-            let way = match known {
-                Some(way) => way,
+            let forward_socket = match known {
+                Some(forward_socket) => forward_socket,
                 None => {
-                    let Ok(way) = UdpSocket::bind(("127.0.0.1", 0)).await else {
+                    let Ok(forward_socket) = UdpSocket::bind(("127.0.0.1", 0)).await else {
                         continue;
                     };
-                    let way = Arc::new(way);
-                    let answers = self.clone().answers(
+                    let forward_socket = Arc::new(forward_socket);
+                    let answers = self.clone().relay_answers(
                         (to, from),
-                        Arc::clone(&way),
+                        Arc::clone(&forward_socket),
                         Arc::clone(&socket),
                         sender,
                     );
                     tokio::spawn(answers);
-                    let mut ways = ways.lock().unwrap_or_else(PoisonError::into_inner);
-                    ways.insert(sender, Arc::clone(&way));
-                    way
+                    let mut sockets = sockets.lock().unwrap_or_else(PoisonError::into_inner);
+                    sockets.insert(sender, Arc::clone(&forward_socket));
+                    forward_socket
                 }
             };
-            self.forward((from, to), buffer[..length].to_vec(), way, target);
+            self.forward(
+                (from, to),
+                buffer[..length].to_vec(),
+                forward_socket,
+                target,
+            );
         }
     }
 
     /// Passes answers of a host back to the one that asked.
-    async fn answers(
+    async fn relay_answers(
         self,
         ends: (usize, usize),
-        way: Arc<UdpSocket>,
+        forward_socket: Arc<UdpSocket>,
         back: Arc<UdpSocket>,
-        asker: SocketAddr,
+        requester: SocketAddr,
     ) {
-        let mut buffer = [0; DATAGRAM];
-        while let Ok((length, _)) = way.recv_from(&mut buffer).await {
-            self.forward(ends, buffer[..length].to_vec(), Arc::clone(&back), asker);
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        while let Ok((length, _)) = forward_socket.recv_from(&mut buffer).await {
+            self.forward(
+                ends,
+                buffer[..length].to_vec(),
+                Arc::clone(&back),
+                requester,
+            );
         }
     }
 
@@ -301,7 +331,7 @@
         by: Arc<UdpSocket>,
         target: SocketAddr,
     ) {
-        let rule = self.rule(End::Host(from), End::Host(to));
+        let rule = self.rule(Endpoint::Host(from), Endpoint::Host(to));
         if rule.cut {
             return;
         }
@@ -314,7 +344,7 @@
 }
 
 /// A port for datagrams and for connections.
-async fn both() -> io::Result<(UdpSocket, TcpListener)> {
+async fn bind_udp_and_tcp() -> io::Result<(UdpSocket, TcpListener)> {
     loop {
         let socket = UdpSocket::bind(("127.0.0.1", 0)).await?;
         match TcpListener::bind(socket.local_addr()?).await {
@@ -331,13 +361,13 @@
 /// A server answers several statements that came together one after the other. Without this, the
 /// system keeps the second answer back until the first is acknowledged, which takes 40 ms: hosts
 /// measured requests of 60 ms at servers that took 9 ms, and held their connections for as long.
-fn at_once(stream: &TcpStream) {
+fn disable_nagle(stream: &TcpStream) {
     // A connection that has ended already needs none.
     let _ = stream.set_nodelay(true);
 }
 
 /// Has the connection end with a reset when it is dropped.
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     // A connection that has ended already needs none.
     let _ = stream.set_zero_linger();
 }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -10,41 +10,41 @@
 
 use crate::check::{self, Verdict};
 use crate::plan::Plan;
-use crate::stage::Stage;
+use crate::testbed::Testbed;
 
 /// File with all that callers did and servers ran, kept where a promise was broken.
-const RECORD: &str = "record.txt";
+const RECORD_FILE: &str = "record.txt";
 
 /// Plays `plan` with `program`; settings and logs go to `folder`.
 ///
 /// # Errors
 /// Processes or relays cannot be started.
 pub async fn play(plan: Plan, program: &Path, folder: &Path) -> io::Result<Verdict> {
-    let stage = Arc::new(Stage::set(plan, program, folder).await?);
-    stage.started().await;
+    let testbed = Arc::new(Testbed::start(plan, program, folder).await?);
+    testbed.wait_until_ready().await;
     let stop = Arc::new(AtomicBool::new(false));
-    let callers = stage.callers(&stop);
+    let callers = testbed.start_callers(&stop);
     let mut faults = JoinSet::new();
     let start = Instant::now();
-    for (at, fault) in stage.plan.faults.clone() {
-        let stage = Arc::clone(&stage);
+    for (at, fault) in testbed.plan.faults.clone() {
+        let testbed = Arc::clone(&testbed);
         faults.spawn(async move {
             tokio::time::sleep(at.saturating_sub(start.elapsed())).await;
-            stage.strike(fault).await;
+            testbed.inject(fault).await;
         });
     }
     while faults.join_next().await.is_some() {}
-    tokio::time::sleep(stage.plan.length.saturating_sub(start.elapsed())).await;
-    stage.heal().await?;
-    stage.recover().await;
+    tokio::time::sleep(testbed.plan.length.saturating_sub(start.elapsed())).await;
+    testbed.heal().await?;
+    testbed.wait_until_recovered().await;
     stop.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    stage.finish().await;
-    let record = stage.record();
-    let verdict = check::judge(&stage.ledger, &record);
+    testbed.stop_hosts().await;
+    let record = testbed.record();
+    let verdict = check::verify(&testbed.history, &record);
     if !verdict.problems.is_empty() {
-        let text = format!("{:#?}\n{record:#?}\n", stage.ledger);
-        std::fs::write(folder.join(RECORD), text)?;
+        let text = format!("{:#?}\n{record:#?}\n", testbed.history);
+        std::fs::write(folder.join(RECORD_FILE), text)?;
     }
     Ok(verdict)
 }
--- a/crates/soak/src/problem.rs
+++ b/crates/soak/src/problem.rs
@@ -6,9 +6,9 @@
     /// lost write
     Lost,
     /// kept although refused
-    KeptThoughRefused,
+    FalselyRefused,
     /// doubled write
-    Doubled,
+    Duplicated,
     /// statement that nobody sent
     Unsent,
     /// success without proof
@@ -26,13 +26,13 @@
     /// slow answer
     Slow,
     /// answer without sense
-    Nonsense,
+    UnexpectedReply,
     /// host that does not start
     NotStarted,
     /// host that does not end as told
     NotStopped,
     /// host that ended by itself
-    Fallen,
+    UnexpectedExit,
     /// host that uses too much memory
     Memory,
     /// host that does not serve again
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -13,7 +13,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 /// How often a process is looked at while its end is awaited.
-const LOOK: Duration = Duration::from_millis(10);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Where a host's settings and logs lie, and what it is told.
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
     /// How long it may take to end.
     pub grace: Duration,
     /// Its log goes to a pipe that nobody reads.
-    pub unread: bool,
+    pub unread_log: bool,
 }
 
 /// A host of the program.
@@ -57,11 +57,11 @@
 #[derive(Debug, Default)]
 struct State {
     child: Option<Child>,
-    starts: u32,
+    start_count: u32,
     /// It was told to end since its last start.
-    told: bool,
+    stop_requested: bool,
     /// When something last kept it from answering: a signal, a start, an end.
-    disturbed: Option<Instant>,
+    last_disturbed: Option<Instant>,
 }
 
 impl Host {
@@ -74,17 +74,17 @@
             settings,
             state: Mutex::default(),
         };
-        std::fs::write(host.path(), host.text())?;
+        std::fs::write(host.settings_path(), host.settings_text())?;
         Ok(host)
     }
 
     /// Its settings file.
-    pub fn path(&self) -> PathBuf {
+    pub fn settings_path(&self) -> PathBuf {
         let Settings { folder, name, .. } = &self.settings;
         folder.join(format!("{name}.ini"))
     }
 
-    fn text(&self) -> String {
+    fn settings_text(&self) -> String {
         let Settings {
             name,
             zone,
@@ -117,19 +117,19 @@
         if state.child.is_some() {
             return Ok(());
         }
-        state.starts += 1;
-        state.told = false;
-        let log = self.log(state.starts)?;
+        state.start_count += 1;
+        state.stop_requested = false;
+        let log = self.open_log(state.start_count)?;
         let mut command = Command::new(&self.settings.program);
-        command.env("FLAMINGOPOST_CONFIG", self.path());
-        command.stdout(log).stderr(self.errors()?);
+        command.env("FLAMINGOPOST_CONFIG", self.settings_path());
+        command.stdout(log).stderr(self.open_error_file()?);
         state.child = Some(command.spawn()?);
-        state.disturbed = Some(Instant::now());
+        state.last_disturbed = Some(Instant::now());
         Ok(())
     }
 
-    fn log(&self, start: u32) -> io::Result<Stdio> {
-        if self.settings.unread {
+    fn open_log(&self, start: u32) -> io::Result<Stdio> {
+        if self.settings.unread_log {
             return Ok(Stdio::piped());
         }
         Ok(File::create(self.log_path(start))?.into())
@@ -140,7 +140,7 @@
         folder.join(format!("{name}.{start}.log"))
     }
 
-    fn errors(&self) -> io::Result<Stdio> {
+    fn open_error_file(&self) -> io::Result<Stdio> {
         let Settings { folder, name, .. } = &self.settings;
         let path = folder.join(format!("{name}.errors"));
         Ok(File::options().create(true).append(true).open(path)?.into())
@@ -152,8 +152,8 @@
     }
 
     /// Has it stand still, or go on; `false` when it does not run.
-    pub fn pause(&self, pauses: bool) -> bool {
-        self.signal(if pauses { Signal::STOP } else { Signal::CONT })
+    pub fn set_paused(&self, paused: bool) -> bool {
+        self.signal(if paused { Signal::STOP } else { Signal::CONT })
     }
 
     /// Tells it that its settings have changed; `false` when it does not run.
@@ -167,16 +167,16 @@
             return false;
         };
         if signal != Signal::HUP {
-            state.disturbed = Some(Instant::now());
+            state.last_disturbed = Some(Instant::now());
         }
-        state.told |= signal == Signal::TERM;
+        state.stop_requested |= signal == Signal::TERM;
         kill_process(pid, signal).is_ok()
     }
 
     /// Kills it and waits for its end. Nobody starts it anew before that: its ports are taken for as long.
     pub fn kill(&self) {
         let mut state = self.lock();
-        state.disturbed = Some(Instant::now());
+        state.last_disturbed = Some(Instant::now());
         if let Some(mut child) = state.child.take() {
             // It may have ended just before.
             let _ = child.kill();
@@ -185,7 +185,7 @@
     }
 
     /// Waits until it has ended by itself; `None` when it has not within `limit`.
-    pub async fn ended(&self, limit: Duration) -> Option<ExitStatus> {
+    pub async fn wait_for_exit(&self, limit: Duration) -> Option<ExitStatus> {
         let start = Instant::now();
         while start.elapsed() < limit {
             {
@@ -195,19 +195,19 @@
                 };
                 if let Ok(Some(status)) = child.try_wait() {
                     state.child = None;
-                    state.disturbed = Some(Instant::now());
+                    state.last_disturbed = Some(Instant::now());
                     return Some(status);
                 }
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(EXIT_POLL_INTERVAL).await;
         }
         None
     }
 
     /// How it ended, if it did so without being asked.
-    pub fn fell(&self) -> Option<ExitStatus> {
+    pub fn unexpected_exit(&self) -> Option<ExitStatus> {
         let mut state = self.lock();
-        if state.told {
+        if state.stop_requested {
             return None;
         }
         let status = state.child.as_mut()?.try_wait().ok()??;
@@ -216,9 +216,9 @@
     }
 
     /// Whether nothing has kept it from answering since `since`.
-    pub fn is_calm(&self, since: Instant) -> bool {
+    pub fn is_undisturbed(&self, since: Instant) -> bool {
         let state = self.lock();
-        state.child.is_some() && state.disturbed.is_none_or(|at| at < since)
+        state.child.is_some() && state.last_disturbed.is_none_or(|at| at < since)
     }
 
     /// Memory that it uses, in bytes; 0 when it does not run.
@@ -229,7 +229,7 @@
     }
 
     /// What its process does, for whoever looks for the reason why it does not serve.
-    pub fn condition(&self) -> String {
+    pub fn process_state(&self) -> String {
         let state = self.lock();
         let Some(child) = &state.child else {
             return "it does not run".to_owned();
@@ -241,12 +241,12 @@
     ///
     /// # Errors
     /// The log cannot be read.
-    pub fn logged(&self) -> io::Result<String> {
-        std::fs::read_to_string(self.log_path(self.lock().starts))
+    pub fn read_log(&self) -> io::Result<String> {
+        std::fs::read_to_string(self.log_path(self.lock().start_count))
     }
 
     /// Bytes of its log that wait in a pipe that nobody reads.
-    pub fn unread(&self) -> u64 {
+    pub fn unread_log_bytes(&self) -> u64 {
         let state = self.lock();
         let output = state.child.as_ref().and_then(|it| it.stdout.as_ref());
         output.map_or(0, |output| ioctl_fionread(output).unwrap_or(0))
--- a/crates/soak/src/session.rs
+++ b/crates/soak/src/session.rs
@@ -7,10 +7,10 @@
 use tokio::time::timeout;
 
 /// How long connecting to a host on this machine may take.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long the greeting may take; callers give up then.
-const GREETING: Duration = Duration::from_secs(2);
+const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why there is no reply.
 #[derive(Debug, displaydoc::Display)]
@@ -18,9 +18,9 @@
     /// the session was closed
     Closed,
     /// no answer within {0:?}
-    Silent(Duration),
+    Timeout(Duration),
     /// `{0}` was received where it makes no sense
-    Nonsense(String),
+    UnexpectedReply(String),
 }
 
 impl std::error::Error for Error {}
@@ -37,14 +37,14 @@
     /// # Errors
     /// It is refused, or there is no answer.
     pub async fn open(address: SocketAddr, database: &str) -> Result<Session, Error> {
-        let connected = timeout(CONNECT, Caller::connect(address)).await;
-        let connected = connected.map_err(|_| Error::Silent(CONNECT))?;
+        let connected = timeout(CONNECT_TIMEOUT, Caller::connect(address)).await;
+        let connected = connected.map_err(|_| Error::Timeout(CONNECT_TIMEOUT))?;
         let mut caller = connected.map_err(|_| Error::Closed)?;
-        let greeting = timeout(GREETING, caller.greet(database)).await;
-        let greeting = greeting.map_err(|_| Error::Silent(GREETING))?;
+        let greeting = timeout(GREETING_TIMEOUT, caller.greet(database)).await;
+        let greeting = greeting.map_err(|_| Error::Timeout(GREETING_TIMEOUT))?;
         match greeting.ok_or(Error::Closed)? {
             greeting if Caller::is_open(&greeting) => Ok(Session { caller }),
-            greeting => Err(Error::Nonsense(greeting)),
+            greeting => Err(Error::UnexpectedReply(greeting)),
         }
     }
 
@@ -52,13 +52,13 @@
     ///
     /// # Errors
     /// There is none within `patience`, or one that is no reply.
-    pub async fn run(&mut self, id: &str, text: &str, patience: Duration) -> Result<Reply, Error> {
+    pub async fn run(&mut self, id: &str, text: &str, limit: Duration) -> Result<Reply, Error> {
         self.caller.ask(id, text).await;
-        let reply = timeout(patience, self.caller.reply()).await;
-        let reply = reply.map_err(|_| Error::Silent(patience))?;
+        let reply = timeout(limit, self.caller.reply()).await;
+        let reply = reply.map_err(|_| Error::Timeout(limit))?;
         reply.map_err(|broken| match broken {
             Broken::Ended => Error::Closed,
-            Broken::Nonsense(line) => Error::Nonsense(line),
+            Broken::Nonsense(line) => Error::UnexpectedReply(line),
         })
     }
 }
--- a/crates/soak/src/stage.rs
+++ b/crates/soak/src/testbed.rs
@@ -15,8 +15,8 @@
 use crate::caller::{Caller, DATABASES};
 use crate::check::Record;
 use crate::fault::Victim;
-use crate::ledger::{Fate, Ledger, Write};
-use crate::net::{End, Net};
+use crate::history::{History, Outcome, Write};
+use crate::net::{Endpoint, Net};
 use crate::plan::Plan;
 use crate::problem::Kind;
 use crate::process::{Host, Settings};
@@ -26,97 +26,105 @@
 pub(crate) const SERVICE: &str = "ledger";
 
 /// How long hosts have to end; half of it is left to open transactions.
-pub(crate) const GRACE: Duration = Duration::from_secs(2);
+pub(crate) const SHUTDOWN_GRACE: Duration = Duration::from_secs(2);
 
 /// What a host may take beyond its grace, on a machine that runs all of them.
-pub(crate) const GRACE_MARGIN: Duration = Duration::from_secs(2);
+pub(crate) const SHUTDOWN_MARGIN: Duration = Duration::from_secs(2);
 
 /// How long everything may take to work again after the last fault.
-const RECOVERY: Duration = Duration::from_secs(12);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// How long hosts may take to get ready at the start.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Memory that a host may use: it serves a handful of callers, and its logs have bounds.
-const MEMORY: u64 = 64 << 20;
+const MAX_MEMORY_BYTES: u64 = 64 << 20;
 
 /// How long one question at the end may take.
-const QUESTION: Duration = Duration::from_secs(3);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Everything that one run consists of.
-pub(crate) struct Stage {
+pub(crate) struct Testbed {
     pub(crate) site: Site,
     pub(crate) net: Net,
     pub(crate) hosts: Arc<Vec<Host>>,
-    pub(crate) ledger: Arc<Ledger>,
+    pub(crate) history: Arc<History>,
     pub(crate) plan: Plan,
     configurations: AtomicU16,
 }
 
-impl Stage {
+impl Testbed {
     /// Starts everything; hosts may not serve yet.
-    pub(crate) async fn set(plan: Plan, program: &Path, folder: &Path) -> io::Result<Stage> {
+    pub(crate) async fn start(plan: Plan, program: &Path, folder: &Path) -> io::Result<Testbed> {
         let site = Site::start(&[SERVICE], plan.sizes).await?;
         if plan.lax {
             site.group(SERVICE).set_replaced(Replaced::LeadsOn);
             site.set_fencing(false);
         }
         let net = Net::default();
-        let names: BTreeMap<String, usize> =
-            (0..plan.hosts).map(|host| (name(host), host)).collect();
-        let names = Arc::new(names);
+        let host_numbers: BTreeMap<String, usize> = (0..plan.hosts)
+            .map(|host| (host_name(host), host))
+            .collect();
+        let host_numbers = Arc::new(host_numbers);
         for number in 0..plan.sizes.servers {
-            let (id, end) = (server(number), End::Server(number));
+            let (id, end) = (server_name(number), Endpoint::Server(number));
             let relay = net
-                .server(end, site.address(&id), Arc::clone(&names))
+                .relay_server(end, site.address(&id), Arc::clone(&host_numbers))
                 .await?;
             site.show(&id, relay);
         }
         let ports: Vec<[SocketAddr; 3]> = (0..plan.hosts)
             .map(|_| [(); 3].map(|()| ports::free()))
             .collect();
-        let senders = ports
+        let hosts_by_address = ports
             .iter()
             .enumerate()
             .map(|(host, ports)| (ports[2], host));
-        let senders: Arc<BTreeMap<SocketAddr, usize>> = Arc::new(senders.collect());
+        let hosts_by_address: Arc<BTreeMap<SocketAddr, usize>> =
+            Arc::new(hosts_by_address.collect());
         let mut hosts = Vec::new();
         for (host, [callers, probe, peers]) in ports.into_iter().enumerate() {
-            let (from, store, orders) = (End::Host(host), site.store_address, site.orders_address);
-            let names = Arc::clone(&names);
+            let (from, store, orders) = (
+                Endpoint::Host(host),
+                site.store_address,
+                site.orders_address,
+            );
+            let host_numbers = Arc::clone(&host_numbers);
             hosts.push(Host::new(Settings {
                 program: program.to_owned(),
                 folder: PathBuf::from(folder),
-                name: name(host),
+                name: host_name(host),
                 zone: format!("zone-{}", host % plan.zones + 1),
                 callers,
                 probe,
                 peers,
-                announced: net.peers(host, peers, names, Arc::clone(&senders)).await?,
-                store: net.link(from, End::Store, store).await?,
-                orders: net.link(from, End::Orders, orders).await?,
+                announced: net
+                    .relay_peers(host, peers, host_numbers, Arc::clone(&hosts_by_address))
+                    .await?,
+                store: net.relay(from, Endpoint::Store, store).await?,
+                orders: net.relay(from, Endpoint::Orders, orders).await?,
                 promotion: plan.sizes.promotion,
-                grace: GRACE,
-                unread: plan.unread == Some(host),
+                grace: SHUTDOWN_GRACE,
+                unread_log: plan.unread == Some(host),
             })?);
         }
-        let stage = Stage {
+        let testbed = Testbed {
             site,
             net,
             hosts: Arc::new(hosts),
-            ledger: Arc::default(),
+            history: Arc::default(),
             plan,
             configurations: AtomicU16::new(0),
         };
-        stage.configure();
-        for host in stage.hosts.iter() {
+        testbed.configure();
+        for host in testbed.hosts.iter() {
             host.start()?;
         }
-        Ok(stage)
+        Ok(testbed)
     }
 
     /// Has callers work until `stop`.
-    pub(crate) fn callers(&self, stop: &Arc<AtomicBool>) -> JoinSet<()> {
+    pub(crate) fn start_callers(&self, stop: &Arc<AtomicBool>) -> JoinSet<()> {
         let count = self.plan.callers as u64;
         let mut callers = JoinSet::new();
         for number in 0..count {
@@ -125,7 +133,7 @@
                 count,
                 self.plan.seed,
                 Arc::clone(&self.hosts),
-                Arc::clone(&self.ledger),
+                Arc::clone(&self.history),
                 Arc::clone(stop),
             );
             callers.spawn(caller.run());
@@ -137,12 +145,12 @@
     /// version has.
     pub(crate) fn configure(&self) {
         let number = self.configurations.fetch_add(1, Ordering::Relaxed) + 1;
-        let extra = extra(number);
+        let extra_database = extra_database(number);
         let mut routes: Vec<(&str, &str, &str, u64)> = DATABASES
             .iter()
-            .map(|it| (it.name, SERVICE, it.kind, millis(it.age)))
+            .map(|it| (it.name, SERVICE, it.kind, millis(it.max_staleness)))
             .collect();
-        routes.push((&extra, SERVICE, "primary", 0));
+        routes.push((&extra_database, SERVICE, "primary", 0));
         self.site.configure(&routes);
     }
 
@@ -151,14 +159,14 @@
         self.net.heal();
         self.site.store.set_mode(Mode::Up);
         for number in 0..self.plan.sizes.servers {
-            let id = server(number);
+            let id = server_name(number);
             self.site.set_faults(&id, Faults::default());
             self.site.group(SERVICE).set_deaf(&id, false);
             self.revive(&id).await;
             self.site.stay(&id);
         }
         for host in self.hosts.iter() {
-            host.pause(false);
+            host.set_paused(false);
             host.start()?;
         }
         self.configure();
@@ -167,26 +175,27 @@
 
     /// Waits until every host serves every database again, each for itself: asked one after the
     /// other, the last of many hosts would have to answer within what the others leave.
-    pub(crate) async fn recover(&self) {
-        let newest = extra(self.configurations.load(Ordering::Relaxed));
+    pub(crate) async fn wait_until_recovered(&self) {
+        let newest = extra_database(self.configurations.load(Ordering::Relaxed));
         let waits = self
             .hosts
             .iter()
-            .map(|host| self.serves_again(host, &newest));
+            .map(|host| self.wait_until_serving(host, &newest));
         futures::future::join_all(waits).await;
     }
 
     /// Waits until `host` serves the usual databases and `newest` again.
-    async fn serves_again(&self, host: &Host, newest: &str) {
+    async fn wait_until_serving(&self, host: &Host, newest: &str) {
         let start = Instant::now();
         for database in DATABASES.iter().map(|it| it.name).chain([newest]) {
             while !self.serves(host, database).await {
-                if start.elapsed() > RECOVERY {
+                if start.elapsed() > RECOVERY_TIMEOUT {
                     let name = &host.settings.name;
-                    let condition = host.condition();
-                    let problem =
-                        format!("{name} does not serve {database} after {RECOVERY:?}: {condition}");
-                    self.ledger.object(Kind::NotRecovered, problem);
+                    let state = host.process_state();
+                    let problem = format!(
+                        "{name} does not serve {database} after {RECOVERY_TIMEOUT:?}: {state}"
+                    );
+                    self.history.report_problem(Kind::NotRecovered, problem);
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
@@ -201,19 +210,19 @@
         };
         for text in [
             "FETCH probe".to_owned(),
-            format!("STORE probe d{}", self.ledger.next()),
+            format!("STORE probe d{}", self.history.next_number()),
         ] {
-            let id = format!("{:016x}", self.ledger.next());
-            self.ledger.send(&id, &text, None);
+            let id = format!("{:016x}", self.history.next_number());
+            self.history.record_statement(&id, &text, None);
             if let Some(data) = text.strip_prefix("STORE probe ") {
-                self.ledger.write(Write {
+                self.history.record_write(Write {
                     item: "probe".to_owned(),
                     data: data.to_owned(),
-                    fate: Fate::Open,
+                    outcome: Outcome::Unknown,
                     at: Instant::now(),
                 });
             }
-            let reply = session.run(&id, &text, QUESTION).await;
+            let reply = session.run(&id, &text, PROBE_TIMEOUT).await;
             if !reply.is_ok_and(|reply| reply.is_done()) {
                 return false;
             }
@@ -222,12 +231,12 @@
     }
 
     /// Whether `host` has ended though nobody told it to.
-    pub(crate) fn has_fallen(&self, host: &Host) -> bool {
-        let Some(status) = host.fell() else {
+    pub(crate) fn check_unexpected_exit(&self, host: &Host) -> bool {
+        let Some(status) = host.unexpected_exit() else {
             return false;
         };
         let problem = format!("{} ended by itself with {status}", host.settings.name);
-        self.ledger.object(Kind::Fallen, problem);
+        self.history.report_problem(Kind::UnexpectedExit, problem);
         true
     }
 
@@ -244,35 +253,35 @@
     }
 
     /// Looks at each process once more, and has all of them end.
-    pub(crate) async fn finish(&self) {
+    pub(crate) async fn stop_hosts(&self) {
         for host in self.hosts.iter() {
             let name = &host.settings.name;
-            if self.has_fallen(host) {
+            if self.check_unexpected_exit(host) {
                 continue;
             }
             let used = host.resident();
-            if used > MEMORY {
+            if used > MAX_MEMORY_BYTES {
                 let problem = format!("{name} uses {used} bytes");
-                self.ledger.object(Kind::Memory, problem);
+                self.history.report_problem(Kind::Memory, problem);
             }
             host.terminate();
         }
         for host in self.hosts.iter() {
             let name = &host.settings.name;
-            let problem = match host.ended(GRACE + GRACE_MARGIN).await {
+            let problem = match host.wait_for_exit(SHUTDOWN_GRACE + SHUTDOWN_MARGIN).await {
                 Some(status) if status.success() => continue,
                 Some(status) => format!("{name} ended with {status}"),
                 None => format!("{name} does not end"),
             };
-            self.ledger.object(Kind::NotStopped, problem);
+            self.history.report_problem(Kind::NotStopped, problem);
         }
     }
 
     /// Waits until all hosts serve.
-    pub(crate) async fn started(&self) {
-        if !self.all_ready(START).await {
+    pub(crate) async fn wait_until_ready(&self) {
+        if !self.all_ready(START_TIMEOUT).await {
             let problem = "not all hosts get ready".to_owned();
-            self.ledger.object(Kind::NotStarted, problem);
+            self.history.report_problem(Kind::NotStarted, problem);
         }
     }
 
@@ -293,7 +302,7 @@
     }
 
     /// Where host `number` takes callers.
-    pub(crate) fn host(&self, number: usize) -> SocketAddr {
+    pub(crate) fn caller_address(&self, number: usize) -> SocketAddr {
         self.hosts[number].settings.callers
     }
 
@@ -307,9 +316,9 @@
         match victim {
             Victim::Primary => {
                 let leader = self.site.group(SERVICE).leader();
-                leader.unwrap_or_else(|| server(0))
+                leader.unwrap_or_else(|| server_name(0))
             }
-            Victim::Number(number) => server(number),
+            Victim::Number(number) => server_name(number),
         }
     }
 
@@ -320,15 +329,15 @@
     }
 }
 
-fn name(host: usize) -> String {
+fn host_name(host: usize) -> String {
     format!("entry-{}", host + 1)
 }
 
-fn server(number: usize) -> String {
+fn server_name(number: usize) -> String {
     format!("{SERVICE}-{}", number + 1)
 }
 
-fn extra(number: u16) -> String {
+fn extra_database(number: u16) -> String {
     format!("extra-{number}")
 }
 
--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -2,14 +2,14 @@
 
 use std::time::{Duration, Instant};
 
-use flamingopost_soak::check::{Record, judge};
-use flamingopost_soak::ledger::{Fate, Ledger, Seen, Write};
+use flamingopost_soak::check::{Record, verify};
+use flamingopost_soak::history::{History, Outcome, Read, Write};
 use flamingopost_soak::problem::Kind;
 use flamingopost_standin::pooled::{Entry, Order, Rollback, Run};
 
 /// A ledger and a record of one caller who wrote `a` and then `b` to an item and read `b`.
 struct Scene {
-    ledger: Ledger,
+    history: History,
     record: Record,
     start: Instant,
 }
@@ -36,28 +36,29 @@
 
 fn scene() -> Scene {
     let scene = Scene {
-        ledger: Ledger::default(),
+        history: History::default(),
         record: Record::default(),
         start: Instant::now(),
     };
-    let mut scene = scene
-        .write("1", "a", Fate::Kept)
-        .write("2", "b", Fate::Kept);
+    let mut scene =
+        scene
+            .write("1", "a", Outcome::Acknowledged)
+            .write("2", "b", Outcome::Acknowledged);
     scene.read("3", Some("b"), Duration::ZERO, None);
     scene
 }
 
 impl Scene {
-    fn write(mut self, id: &str, data: &str, fate: Fate) -> Scene {
+    fn write(mut self, id: &str, data: &str, outcome: Outcome) -> Scene {
         let text = format!("STORE item {data}");
-        self.ledger.send(id, &text, None);
-        if fate == Fate::Kept {
-            self.ledger.prove(id, &format!("proof-{id}"));
+        self.history.record_statement(id, &text, None);
+        if outcome == Outcome::Acknowledged {
+            self.history.record_proof(id, &format!("proof-{id}"));
         }
-        self.ledger.write(Write {
+        self.history.record_write(Write {
             item: "item".to_owned(),
             data: data.to_owned(),
-            fate,
+            outcome,
             at: self.start,
         });
         let number = self.record.log.len() as u64 + 1;
@@ -66,24 +67,30 @@
         self
     }
 
-    fn read(&mut self, id: &str, data: Option<&str>, age: Duration, own: Option<&str>) {
-        self.ledger.send(id, "FETCH item", None);
-        self.ledger.prove(id, &format!("proof-{id}"));
+    fn read(
+        &mut self,
+        id: &str,
+        data: Option<&str>,
+        max_staleness: Duration,
+        own_write: Option<&str>,
+    ) {
+        self.history.record_statement(id, "FETCH item", None);
+        self.history.record_proof(id, &format!("proof-{id}"));
         self.record.runs.push(run(id, "WAITLSN 1.2 FETCH item", 8));
-        self.ledger.see(Seen {
+        self.history.record_read(Read {
             id: id.to_owned(),
             item: "item".to_owned(),
             since: self.start + Duration::from_millis(500),
             until: self.start + Duration::from_millis(600),
-            age,
-            own: own.map(str::to_owned),
+            max_staleness,
+            own_write: own_write.map(str::to_owned),
             data: data.map(str::to_owned),
         });
     }
 
     /// The kinds of problems that are found.
     fn kinds(&self) -> Vec<Kind> {
-        let problems = judge(&self.ledger, &self.record).problems;
+        let problems = verify(&self.history, &self.record).problems;
         problems.into_iter().map(|problem| problem.kind).collect()
     }
 }
@@ -140,7 +147,7 @@
 
 #[test]
 fn an_acknowledged_write_that_is_gone_is_lost() {
-    let mut scene = scene().write("4", "c", Fate::Kept);
+    let mut scene = scene().write("4", "c", Outcome::Acknowledged);
     let gone = scene.record.log.pop().expect("it was written");
     assert_eq!(scene.kinds(), [Kind::Lost]);
     scene.record.rollbacks.push(Rollback::new(gone));
@@ -150,10 +157,10 @@
 #[test]
 fn a_write_that_counts_as_not_run_and_is_there_is_refused_falsely() {
     assert_eq!(
-        scene().write("4", "c", Fate::Dropped).kinds(),
-        [Kind::KeptThoughRefused]
+        scene().write("4", "c", Outcome::Discarded).kinds(),
+        [Kind::FalselyRefused]
     );
-    let open = scene().write("4", "c", Fate::Open);
+    let open = scene().write("4", "c", Outcome::Unknown);
     assert_eq!(open.kinds(), []);
 }
 
@@ -161,7 +168,7 @@
 fn a_write_that_is_there_twice_is_found() {
     let mut scene = scene();
     scene.record.log.push(Entry::new(1, 3, "item", "b"));
-    assert!(scene.kinds().contains(&Kind::Doubled));
+    assert!(scene.kinds().contains(&Kind::Duplicated));
 }
 
 #[test]
@@ -180,7 +187,7 @@
 #[test]
 fn a_success_without_a_run_behind_it_is_found() {
     let scene = scene();
-    scene.ledger.prove("3", "made-up");
+    scene.history.record_proof("3", "made-up");
     assert_eq!(scene.kinds(), [Kind::Unproved]);
 }
 
@@ -188,7 +195,7 @@
 fn a_transaction_keeps_its_connection_to_itself() {
     let transaction = |scene: &mut Scene, connections: [u64; 2]| {
         for (id, connection) in ["5", "6"].into_iter().zip(connections) {
-            scene.ledger.send(id, "FETCH item", Some(1));
+            scene.history.record_statement(id, "FETCH item", Some(1));
             scene.record.runs.push(run(id, "FETCH item", connection));
         }
     };
@@ -200,9 +207,12 @@
     assert_eq!(moved.kinds(), [Kind::Unpinned]);
     let mut shared = scene();
     transaction(&mut shared, [3, 3]);
-    shared.ledger.send("8", "FETCH item", None);
-    let place = shared.record.runs.len() - 1;
-    shared.record.runs.insert(place, run("8", "FETCH item", 3));
+    shared.history.record_statement("8", "FETCH item", None);
+    let position = shared.record.runs.len() - 1;
+    shared
+        .record
+        .runs
+        .insert(position, run("8", "FETCH item", 3));
     assert_eq!(shared.kinds(), [Kind::Unpinned]);
 }
 
