--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -154,7 +154,7 @@
     for run in runs {
         let fits = statements
             .get(&run.id)
-            .is_some_and(|statement| is_same_statement(&statement.text, &run.text));
+            .is_some_and(|it| is_same_statement(&it.text, &run.text));
         if !fits {
             let Run {
                 id, text, server, ..
@@ -199,11 +199,7 @@
 
 /// A transaction stays on one connection, and nobody else's statements run on it meanwhile.
 fn check_transactions(statements: &BTreeMap<String, Statement>, runs: &[Run]) -> Vec<Problem> {
-    let transaction = |run: &Run| {
-        statements
-            .get(&run.id)
-            .and_then(|statement| statement.transaction)
-    };
+    let transaction = |run: &Run| statements.get(&run.id).and_then(|it| it.transaction);
     // A first statement whose answer was lost may run again elsewhere: its last run counts.
     let mut last: BTreeMap<&str, usize> = BTreeMap::new();
     for (position, run) in runs.iter().enumerate() {
