--- a/crates/soak/src/flags.rs
+++ b/crates/soak/src/flags.rs
@@ -3,34 +3,34 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Plays randomised faults against the real program, as separate processes in front of a
-    /// stand-in platform, and checks what callers and servers see.
+    /// Injects randomised faults into the real program, which runs as separate processes in front of
+    /// a stand-in platform, and checks what callers and servers observe.
     ///
-    /// Exit codes: 0 no promise was broken, 1 some were, 2 a run could not be made.
+    /// Exit codes: 0 no guarantee was broken, 1 at least one was, 2 a run could not be carried out.
     ///
     /// EXAMPLES:
     ///     flamingopost-soak target/release/flamingopost --seeds 50 --jobs 4
     ///     flamingopost-soak target/release/flamingopost --first 7 --hosts 100 --seconds 30
     ///     flamingopost-soak target/release/flamingopost --gaps 10
     cmd flamingopost-soak {
-        /// The program.
+        /// Path of the program under test.
         required program: PathBuf
-        /// How many seeds are played; 1 unless given.
+        /// Number of seeds to play; the default is 1.
         optional --seeds count: u64
-        /// The first seed, drawn at random unless given; the others follow it.
+        /// The first seed; the others follow it. Drawn at random by default.
         optional --first seed: u64
-        /// How many seeds are played at once; 1 unless given.
+        /// Number of seeds to play at once; the default is 1.
         optional --jobs count: usize
-        /// For how many seconds faults strike; 15 unless given.
+        /// For how many seconds faults are injected; the default is 15.
         optional --seconds seconds: u64
-        /// How many hosts, instead of what the seed draws.
+        /// Number of hosts, instead of the number that the seed determines.
         optional --hosts count: usize
-        /// Where settings and logs go; a folder for temporary files unless given.
+        /// Folder for settings and logs; by default a folder in the directory for temporary files.
         optional --folder folder: PathBuf
-        /// Instead of seeds: for how long nothing is written when a primary goes, measured so often
-        /// in each of the ways.
+        /// Instead of playing seeds, measures the write outage after the loss of a primary, this many
+        /// times for each cause.
         optional --gaps count: usize
-        /// With --gaps: replaced primaries lead their own term on, and tokens are not checked.
+        /// With --gaps: a replaced primary keeps leading its own term, and fencing tokens are not checked.
         optional --lax
         /// Prints each plan before it is played.
         optional --plan
--- a/crates/soak/src/gap.rs
+++ b/crates/soak/src/gap.rs
@@ -1,4 +1,5 @@
-//! How long nothing is written when a primary goes: from its last acknowledgement to the next one.
+//! Measures the write outage after the loss of a primary: the time between the last acknowledged
+//! write before the loss and the first one after it.
 
 use std::io;
 use std::path::Path;
@@ -13,42 +14,42 @@
 use crate::session::Session;
 use crate::testbed::Testbed;
 
-/// Hosts, as on the smaller of the users' deployments.
+/// Number of hosts, as in the smaller of the users' deployments.
 const HOSTS: usize = 6;
 
 /// How long a promotion takes on the users' platform.
 const PROMOTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// Writers at work all the while.
+/// Number of writers, which write during the whole measurement.
 const WRITERS: usize = 24;
 
-/// Pause of a writer between two writes: together they write every millisecond or two.
+/// Pause of a writer between two writes. All writers together write every one to two milliseconds.
 const WRITE_PAUSE: Duration = Duration::from_millis(30);
 
-/// How long one write may take.
+/// Time limit for one write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a change is watched.
+/// How long writes are observed after the loss of the primary.
 const OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
-/// How long everything has to settle before the next one.
+/// Time for the fleet to settle before the next measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// How a primary goes.
+/// Why a primary is lost. The text is printed with the measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum Cause {
     /// its process dies
     Crashes,
-    /// it answers nothing any more
+    /// it stops answering
     Silent,
-    /// it says that it leaves
+    /// it announces that it leaves
     Leaves,
     /// its process dies while the store is away
     CrashesWithoutStore,
 }
 
 impl Cause {
-    /// All of them.
+    /// All causes, in the order in which they are measured.
     pub const ALL: [Cause; 4] = [
         Cause::Crashes,
         Cause::Silent,
@@ -57,8 +58,9 @@
     ];
 }
 
-/// Measures the gap of `way` `count` times with `program`; settings and logs go to `folder`. With
-/// `lax`, replaced primaries lead on and tokens are not checked.
+/// Measures the write outage after a primary is lost by `cause`, `count` times, with `program`.
+/// Settings and logs go to `folder`. With `lax`, a replaced primary keeps leading its own term, and
+/// fencing tokens are not checked.
 ///
 /// # Errors
 /// Processes or relays cannot be started.
@@ -135,7 +137,7 @@
     }
 }
 
-/// The longest time between two neighbours, or to now if it goes on.
+/// Returns the longest time between two consecutive acknowledgements, or since the last one.
 fn longest_gap(acknowledged: &Mutex<Vec<Instant>>) -> Option<Duration> {
     let acknowledged = acknowledged.lock();
     let mut times = acknowledged.unwrap_or_else(PoisonError::into_inner).clone();
@@ -144,7 +146,7 @@
     times.windows(2).map(|pair| pair[1] - pair[0]).max()
 }
 
-/// Writes to an item of its own through `host`.
+/// Writes to an item of its own through `host` until `stop`, and records each acknowledgement.
 async fn write(
     number: usize,
     host: std::net::SocketAddr,
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers sent and what they were told, for the checks.
+//! What callers sent and which answers they received, recorded for the checks.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,34 +6,34 @@
 
 use crate::problem::{Kind, Problem};
 
-/// A write that callers were told of, or not.
+/// A write and its outcome.
 #[derive(Debug, Clone)]
 pub struct Write {
-    /// The item.
+    /// The item that was written.
     pub item: String,
-    /// What was written: no two writes write the same.
+    /// The written value, unique among all writes of a run.
     pub data: String,
-    /// How it ended.
+    /// How it ended for its caller.
     pub outcome: Outcome,
-    /// When that was known.
+    /// When the caller learned the outcome.
     pub at: Instant,
 }
 
-/// How a write ended for its caller.
+/// How an operation ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was acknowledged.
+    /// It was acknowledged as successful.
     Acknowledged,
-    /// Its caller was promised that nothing of it is kept, or rolled it back.
+    /// Its caller was told that it had no effect, or rolled it back.
     Discarded,
-    /// Its caller was promised nothing.
+    /// It may or may not have taken effect.
     Unknown,
 }
 
 /// A statement as a caller sent it.
 #[derive(Debug, Clone)]
 pub struct Statement {
-    /// The text.
+    /// The text of the statement.
     pub text: String,
     /// The transaction that it belongs to, if any.
     pub transaction: Option<u64>,
@@ -44,22 +44,22 @@
 pub struct Read {
     /// Identifier of the statement.
     pub id: String,
-    /// The item.
+    /// The item that was read.
     pub item: String,
     /// When the first byte of the read, or of its transaction, was sent.
     pub since: Instant,
-    /// When its answer came.
+    /// When its answer arrived.
     pub until: Instant,
-    /// How old the data may be, by the route.
+    /// Maximum staleness that the route allows.
     pub max_staleness: Duration,
-    /// What the session has last had acknowledged for the item, on routes on which sessions see
-    /// their own writes.
+    /// The session's last acknowledged write to the item, on routes where sessions read their own
+    /// writes.
     pub own_write: Option<String>,
-    /// What was seen; `None` where nothing had been written.
+    /// The value that was read; `None` if the item had none.
     pub data: Option<String>,
 }
 
-/// Everything that callers did.
+/// All statements, writes, reads and problems of a run, shared by its callers.
 #[derive(Debug, Default)]
 pub struct History {
     state: Mutex<State>,
@@ -79,37 +79,37 @@
 }
 
 impl History {
-    /// A number that no other caller gets: for identifiers, transactions and written data.
+    /// Returns a number that is unique within the run, for identifiers, transactions and values.
     pub fn next_number(&self) -> u64 {
         let mut state = self.lock();
         state.last_number += 1;
         state.last_number
     }
 
-    /// Notes that a statement is sent.
+    /// Records a statement that is about to be sent.
     pub fn record_statement(&self, id: &str, text: &str, transaction: Option<u64>) {
         let text = text.to_owned();
         let statement = Statement { text, transaction };
         self.lock().statements.insert(id.to_owned(), statement);
     }
 
-    /// Notes what proved that a statement ran.
+    /// Records the proof of execution that a statement's answer carried.
     pub fn record_proof(&self, id: &str, proof: &str) {
         let mut state = self.lock();
         state.proofs.insert(id.to_owned(), proof.to_owned());
     }
 
-    /// Notes how a write ended.
+    /// Records a write with its outcome.
     pub fn record_write(&self, write: Write) {
         self.lock().writes.push(write);
     }
 
-    /// Notes what a read saw.
+    /// Records a successful read.
     pub fn record_read(&self, read: Read) {
         self.lock().reads.push(read);
     }
 
-    /// Counts an operation by how it ended.
+    /// Counts an operation by its outcome.
     pub fn count(&self, outcome: Outcome) {
         let mut state = self.lock();
         match outcome {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Notes something that must not be.
+    /// Records a violation.
     pub fn report_problem(&self, kind: Kind, text: String) {
         self.lock().problems.push(Problem::new(kind, text));
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,11 +1,11 @@
-//! A soak: the real program as separate processes in front of a stand-in platform, faults from
-//! outside, and checks of what callers and backend servers see.
+//! A randomised fault test that runs the real program as separate processes in front of a stand-in
+//! platform, injects faults from outside, and checks what callers and backend servers observe.
 //!
-//! A seed draws a [`plan::Plan`]: how large the fleet is and which [`fault::Fault`]s strike when,
-//! in series that overlap. [`play`] starts hosts, sends all their traffic through a
-//! [`net::Net`] of loopback relays, lets [`caller`]s work all the while, and gives a
-//! [`check::Verdict`]. Timing differs from run to run, so a seed repeats the faults and not each
-//! moment. [`gap`] measures how long nothing is written when a primary goes.
+//! A seed determines a [`plan::Plan`]: the size of the fleet, and which [`fault::Fault`]s are
+//! injected when, with overlaps. [`play`] starts the hosts, routes all their traffic through a
+//! [`net::Net`] of loopback relays, keeps [`caller`]s at work for the whole run, and returns a
+//! [`check::Verdict`]. Timing differs between runs: a seed reproduces the faults, not the exact
+//! interleaving. [`gap`] measures the write outage after the loss of a primary.
 
 pub mod caller;
 pub mod check;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `flamingopost-soak`: plays seeds and tells what they break.
+//! `flamingopost-soak`: plays seeds and reports which guarantees they break.
 
 mod flags;
 
@@ -13,13 +13,13 @@
 use flamingopost_soak::play::play;
 use tokio::task::JoinSet;
 
-/// Length of a run where the command line gives none, in seconds.
+/// Default length of a run, in seconds.
 const DEFAULT_SECONDS: u64 = 15;
 
-/// Exit code when a promise was broken.
+/// Exit code if a guarantee was broken.
 const EXIT_BROKEN: u8 = 1;
 
-/// Exit code when a run could not be made.
+/// Exit code if a run could not be carried out.
 const EXIT_NOT_PLAYED: u8 = 2;
 
 fn main() -> ExitCode {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Plays the seeds; how many broke a promise.
+/// Plays the seeds and returns how many broke a guarantee.
 #[tokio::main]
 async fn run(flags: &FlamingopostSoak) -> std::io::Result<usize> {
     if let Some(count) = flags.gaps {
@@ -56,7 +56,8 @@
         }
         let length = Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS));
         let plan = Plan::draw(seed, length, flags.hosts);
-        // Logs of a broken run are evidence: a second play of its seed leaves them alone.
+        // The logs of a failed run are evidence: a folder for each process keeps another play of the
+        // same seed from overwriting them.
         let folder = folder.join(format!("seed-{seed}-{}", std::process::id()));
         running.spawn(play_seed(plan, flags.program.clone(), folder, flags.plan));
     }
@@ -66,7 +67,7 @@
     Ok(broken)
 }
 
-/// Measures and prints the gap of each way in which a primary goes.
+/// Measures the write outage for each cause and prints its median and maximum.
 async fn measure_gaps(count: usize, lax: bool, program: &Path) -> std::io::Result<()> {
     for cause in Cause::ALL {
         let folder = tempfile::tempdir()?;
@@ -80,7 +81,7 @@
     Ok(())
 }
 
-/// Plays one plan; whether it broke a promise. Logs stay only then.
+/// Plays one plan and returns whether it broke a guarantee. Logs are kept only in that case.
 async fn play_seed(
     plan: Plan,
     program: PathBuf,
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a plan: starts hosts, has callers work, injects faults, heals them, and judges.
+//! Plays a plan: starts hosts and callers, injects faults, ends them, and checks the run.
 
 use std::io;
 use std::path::Path;
@@ -12,13 +12,13 @@
 use crate::plan::Plan;
 use crate::testbed::Testbed;
 
-/// File with all that callers did and servers ran, kept where a promise was broken.
+/// File for the complete history of callers and servers, written if a guarantee was broken.
 const RECORD_FILE: &str = "record.txt";
 
-/// Plays `plan` with `program`; settings and logs go to `folder`.
+/// Plays `plan` with `program` and returns the verdict. Settings and logs go to `folder`.
 ///
 /// # Errors
-/// Processes or relays cannot be started.
+/// Processes or relays cannot be started, or the history cannot be written.
 pub async fn play(plan: Plan, program: &Path, folder: &Path) -> io::Result<Verdict> {
     let testbed = Arc::new(Testbed::start(plan, program, folder).await?);
     testbed.wait_until_ready().await;
--- a/crates/soak/src/problem.rs
+++ b/crates/soak/src/problem.rs
@@ -1,56 +1,56 @@
-//! Something that must not be.
+//! Violations that a run found.
 
-/// What kind of promise was broken.
+/// The kind of a violation. Its text is printed with each problem.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, displaydoc::Display)]
 pub enum Kind {
     /// lost write
     Lost,
-    /// kept although refused
+    /// refused write that was committed
     FalselyRefused,
-    /// doubled write
+    /// write committed twice
     Duplicated,
-    /// statement that nobody sent
+    /// statement that no caller sent
     Unsent,
-    /// success without proof
+    /// success without proof of execution
     Unproved,
-    /// transaction that shares or changes its connection
+    /// transaction that shared or changed its connection
     Unpinned,
-    /// values of another session
+    /// settings of another session
     ForeignValues,
     /// stale read
     Stale,
-    /// read of what nobody committed
+    /// read of uncommitted data
     Uncommitted,
-    /// shared fencing token
+    /// fencing token used by two hosts
     SharedToken,
     /// slow answer
     Slow,
-    /// answer without sense
+    /// unexpected answer
     UnexpectedReply,
-    /// host that does not start
+    /// host that did not start
     NotStarted,
-    /// host that does not end as told
+    /// host that did not stop as requested
     NotStopped,
-    /// host that ended by itself
+    /// host that exited unexpectedly
     UnexpectedExit,
-    /// host that uses too much memory
+    /// host that used too much memory
     Memory,
-    /// host that does not serve again
+    /// host that did not recover
     NotRecovered,
 }
 
-/// Something that must not be.
+/// A violation of a guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 #[displaydoc("{kind}: {text}")]
 pub struct Problem {
-    /// The promise that it breaks.
+    /// Which guarantee was broken.
     pub kind: Kind,
-    /// What was seen.
+    /// What was observed.
     pub text: String,
 }
 
 impl Problem {
-    /// A problem of `kind`.
+    /// Creates a problem of `kind`.
     pub fn new(kind: Kind, text: String) -> Problem {
         Problem { kind, text }
     }
--- a/crates/soak/src/session.rs
+++ b/crates/soak/src/session.rs
@@ -1,4 +1,4 @@
-//! A caller's session, with limits on how long it waits.
+//! A caller's session with timeouts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use flamingopost_standin::pooled::{Broken, Caller, Reply};
 use tokio::time::timeout;
 
-/// How long connecting to a host on this machine may take.
+/// Time limit for connecting to a host, which is on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long the greeting may take; callers give up then.
+/// Time limit for the greeting, after which a caller gives up.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why there is no reply.
+/// Why a session could not be opened, or a statement got no valid reply.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// the session was closed
     Closed,
     /// no answer within {0:?}
     Timeout(Duration),
-    /// `{0}` was received where it makes no sense
+    /// unexpected reply `{0}`
     UnexpectedReply(String),
 }
 
@@ -35,7 +35,8 @@
     /// Opens a session on `database` at `address`.
     ///
     /// # Errors
-    /// It is refused, or there is no answer.
+    /// The connection or the session is refused, the host does not answer in time, or the greeting is
+    /// malformed.
     pub async fn open(address: SocketAddr, database: &str) -> Result<Session, Error> {
         let connected = timeout(CONNECT_TIMEOUT, Caller::connect(address)).await;
         let connected = connected.map_err(|_| Error::Timeout(CONNECT_TIMEOUT))?;
@@ -51,7 +52,7 @@
     /// Sends a statement and waits for its reply.
     ///
     /// # Errors
-    /// There is none within `patience`, or one that is no reply.
+    /// The session ends, no reply arrives within `limit`, or the reply is malformed.
     pub async fn run(&mut self, id: &str, text: &str, limit: Duration) -> Result<Reply, Error> {
         self.caller.ask(id, text).await;
         let reply = timeout(limit, self.caller.reply()).await;
