--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller: keeps a session for as long as it lasts, writes items of its own, reads everybody's.
+//! Simulated callers. Each one runs sessions one after the other, writes its own items, and reads
+//! those of all callers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,31 +16,31 @@
 use crate::process::Host;
 use crate::session::{Error, Session};
 
-/// Items that each caller writes.
+/// Number of items that each caller writes.
 const ITEMS_PER_CALLER: u64 = 3;
 
-/// How long a caller waits for an answer before it gives its session up: several times the longest
+/// How long a caller waits for an answer before it abandons its session: several times the longest
 /// time that any statement may take.
 pub const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long a host that runs undisturbed may take to answer: the route's limit and what relays
-/// and a crowded machine add.
+/// How long an undisturbed host may take to answer: the time limit of the route, plus a margin for
+/// relays and a busy machine.
 pub const ANSWER_LIMIT: Duration = Duration::from_secs(4);
 
-/// A database that callers use.
+/// A database that callers use, and the consistency of its route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Database {
-    /// Its name.
+    /// Name of the database.
     pub name: &'static str,
-    /// Kind of its route.
+    /// Consistency kind of its route, as the configuration names it.
     pub kind: &'static str,
-    /// How old data may be.
+    /// Maximum staleness of reads.
     pub max_staleness: Duration,
-    /// Whether a session sees its own writes whatever their age.
+    /// Whether a session sees its own writes regardless of the allowed staleness.
     pub reads_own_writes: bool,
 }
 
-/// Databases of the one service, by how fresh their reads are.
+/// Databases of the service, ordered by increasing staleness.
 pub const DATABASES: [Database; 3] = [
     Database {
         name: "bids",
@@ -61,7 +62,7 @@
     },
 ];
 
-/// A caller.
+/// A simulated caller.
 pub struct Caller {
     number: u64,
     callers: u64,
@@ -71,34 +72,35 @@
     stop: Arc<AtomicBool>,
 }
 
-/// A session and what the caller knows of it.
+/// An open session and the state that the caller expects of it.
 struct OpenSession {
     session: Session,
     host: usize,
     database: Database,
-    /// The value that was set in it; rows show it.
+    /// The session's value of the setting `yard`, which every row repeats.
     value: String,
-    /// What this session has last had acknowledged, by item.
+    /// The last write to each item that was acknowledged in this session.
     acknowledged: BTreeMap<String, String>,
 }
 
-/// A transaction that is open.
+/// An open transaction.
 struct Transaction {
     number: u64,
     since: Instant,
     writes: Vec<Write>,
 }
 
-/// What a caller does next.
+/// What a caller does after an operation.
 enum Step {
-    /// It goes on with its session.
+    /// Continues with the session.
     Continue,
-    /// It closes its session.
+    /// Closes the session.
     Close,
 }
 
 impl Caller {
-    /// Caller `number` of `callers`.
+    /// Creates caller `number` of `callers`. Its random number generator is seeded from `seed` and
+    /// `number`.
     pub fn new(
         number: u64,
         callers: u64,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Works until it is told to stop.
+    /// Runs operations until `stop` is set.
     pub async fn run(mut self) {
         while !self.stop.load(Ordering::Relaxed) {
             let Some(mut open) = self.open_session().await else {
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Opens a session and gives it a value and a prepared statement of its own.
+    /// Opens a session on a random host and database, sets a value that is unique to it, and prepares a
+    /// statement.
     async fn open_session(&mut self) -> Option<OpenSession> {
         let host = self.rng.random_range(0..self.hosts.len());
         let database = DATABASES[self.rng.random_range(0..DATABASES.len())];
@@ -163,6 +166,7 @@
         Some(open)
     }
 
+    /// Runs one random operation: a read, a write or a transaction.
     async fn run_operation(&mut self, open: &mut OpenSession) -> Step {
         match self.rng.random_range(0..10) {
             0..=4 => match self.read(open, None).await {
@@ -174,7 +178,8 @@
         }
     }
 
-    /// Sends a statement; gives its identifier with the reply.
+    /// Sends a statement and returns its identifier and reply. Reports replies that are late or
+    /// malformed.
     async fn run_statement(
         &self,
         open: &mut OpenSession,
@@ -207,8 +212,8 @@
         reply.map(|reply| (id, reply))
     }
 
-    /// Reads an item, inside `transaction` if there is one; `None` when the session is of no
-    /// further use.
+    /// Reads an item, inside `transaction` if there is one. Returns `None` if the session cannot be
+    /// used any further.
     async fn read(
         &mut self,
         open: &mut OpenSession,
@@ -234,7 +239,7 @@
         };
         if reply.is_done() {
             let data = self.decode_row(&id, reply.row(), open);
-            // What the transaction itself has written is committed nowhere yet.
+            // The transaction's own writes are not committed yet.
             let written_here =
                 transaction.is_some_and(|it| it.writes.iter().any(|it| it.item == item));
             if !written_here {
@@ -256,7 +261,7 @@
         }
     }
 
-    /// What a row shows to be written, after a look at whether it shows the session's value.
+    /// Returns the item's value from a row, and checks that the row carries the session's setting.
     fn decode_row(&self, id: &str, row: &str, open: &OpenSession) -> Option<String> {
         let (data, value) = row.split_once(' ').unwrap_or((row, ""));
         if value != format!("yard={}", open.value) {
@@ -267,7 +272,7 @@
         Some(data.to_owned()).filter(|data| data != "-")
     }
 
-    /// Writes one item on its own.
+    /// Writes one item outside of a transaction.
     async fn write(&mut self, open: &mut OpenSession) -> Step {
         let write = self.next_write();
         let text = format!("STORE {} {}", write.item, write.data);
@@ -281,7 +286,7 @@
         step
     }
 
-    /// Reads and writes in one transaction, which it sometimes rolls back.
+    /// Runs a transaction of reads and writes, and commits it or sometimes rolls it back.
     async fn transact(&mut self, open: &mut OpenSession) -> Step {
         let mut transaction = Transaction {
             number: self.history.next_number(),
@@ -300,7 +305,7 @@
                 false => self.write_in_transaction(open, &mut transaction).await,
             };
             if !continues {
-                // Without its end, nothing of a transaction may be kept.
+                // A transaction that was never committed must not have any effect.
                 self.record_writes(open, transaction.writes, Outcome::Discarded);
                 return Step::Close;
             }
@@ -324,7 +329,7 @@
         step
     }
 
-    /// Writes an item inside `transaction`; whether that goes on.
+    /// Writes an item inside `transaction` and returns whether the transaction is still open.
     async fn write_in_transaction(
         &mut self,
         open: &mut OpenSession,
@@ -339,7 +344,7 @@
         asked.is_ok_and(|(_, reply)| reply.is_done() && reply.state == "T")
     }
 
-    /// Notes how writes ended.
+    /// Records writes with their outcome.
     fn record_writes(&self, open: &mut OpenSession, writes: Vec<Write>, outcome: Outcome) {
         for mut write in writes {
             write.outcome = outcome;
@@ -352,7 +357,7 @@
         }
     }
 
-    /// The next write of one of its items.
+    /// Returns a new write to one of this caller's items.
     fn next_write(&mut self) -> Write {
         Write {
             item: item(self.number, self.rng.random_range(0..ITEMS_PER_CALLER)),
@@ -363,10 +368,12 @@
     }
 }
 
+/// Name of an item of a caller.
 fn item(caller: u64, which: u64) -> String {
     format!("item-{caller}-{which}")
 }
 
+/// Classifies a reply by what it promises about the statement's effect.
 fn outcome(reply: &Reply) -> Outcome {
     match (reply.is_done(), reply.is_refused()) {
         (true, _) => Outcome::Acknowledged,
@@ -375,6 +382,7 @@
     }
 }
 
+/// The session continues after a reply only if it is outside of a transaction.
 fn step_after(reply: &Reply) -> Step {
     match reply.state.as_str() {
         "I" => Step::Continue,
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,5 @@
-//! Whether what callers were told and what backend servers ran fit the promises.
+//! Checks the history of a run against the guarantees: which answers callers received, and what
+//! backend servers ran.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,58 +11,59 @@
 use crate::history::{History, Outcome, Read, Statement, Write};
 use crate::problem::{Kind, Problem};
 
-/// Most problems of one kind that are told.
+/// Maximum number of problems of one kind that are reported.
 const MAX_PROBLEMS_PER_KIND: usize = 5;
 
-/// What servers and platform saw.
+/// What the servers and the platform recorded during a run.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    /// What is committed.
+    /// The committed log at the end of the run.
     pub log: Vec<Entry>,
-    /// What promotions rolled back.
+    /// Entries that promotions rolled back.
     pub rollbacks: Vec<Rollback>,
-    /// What servers ran, in order.
+    /// Statements that servers ran, in order.
     pub runs: Vec<Run>,
-    /// Orders to change a primary.
+    /// Orders to promote a server.
     pub orders: Vec<Order>,
-    /// What became of the servers' logs.
+    /// Events in the lives of the servers' logs.
     pub log_events: Vec<LogEvent>,
 }
 
 impl Record {
-    /// Whether a promotion rolled `data` back.
+    /// Returns whether a promotion rolled back the write of `data`.
     fn is_rolled_back(&self, data: &str) -> bool {
         self.rollbacks.iter().any(|it| it.entry.data == data)
     }
 
-    /// Whether a read that began at `since` and was answered at `until` may miss `data`, which is committed
-    /// in the end: a promotion had rolled it back, and another one brought it back later.
+    /// Returns whether a read that began at `since` and was answered at `until` may miss `data`,
+    /// although that is committed at the end: a promotion had rolled it back, and a later one
+    /// restored it.
     fn may_miss(&self, data: &str, since: Instant, until: Instant) -> bool {
         let mut rollbacks = self.rollbacks.iter().filter(|it| it.entry.data == data);
         rollbacks.any(|it| it.excuses(since, until))
     }
 }
 
-/// What was found.
+/// The result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Verdict {
-    /// Everything that must not be, by kind.
+    /// Violations that were found, ordered by kind.
     pub problems: Vec<Problem>,
     /// Operations that succeeded.
     pub done: u64,
-    /// Operations of which nothing was kept.
+    /// Operations that had no effect: they were refused or rolled back.
     pub refused: u64,
-    /// Operations that may have run.
+    /// Operations that may or may not have taken effect.
     pub unknown: u64,
-    /// Commits.
+    /// Writes that are committed at the end.
     pub commits: usize,
-    /// Commits that promotions rolled back.
+    /// Committed writes that promotions rolled back.
     pub rolled_back: usize,
-    /// Orders to change a primary that were carried out.
+    /// Orders to promote a server that were accepted.
     pub promotions: usize,
 }
 
-/// Judges a run.
+/// Checks a run and returns the problems found, with counts of its operations.
 pub fn verify(history: &History, record: &Record) -> Verdict {
     let state = history.lock();
     let mut problems: Vec<Problem> = state.problems.clone();
@@ -83,7 +85,8 @@
     }
 }
 
-/// Where each write stands in the log.
+/// Maps each written value to its position in the log. A value that was committed twice maps to its
+/// last position.
 fn log_positions(log: &[Entry]) -> BTreeMap<&str, usize> {
     let positions = log.iter().enumerate();
     positions
@@ -91,7 +94,8 @@
         .collect()
 }
 
-/// Every acknowledged write is there, once; no other that its caller knows to be gone.
+/// Checks that every acknowledged write is committed or was rolled back by a promotion, that no
+/// write is committed twice, and that none is committed that was never sent or counts as discarded.
 fn check_commits(
     writes: &[Write],
     record: &Record,
@@ -115,7 +119,7 @@
             Some(write) if write.outcome == Outcome::Discarded => problems.push(Problem::new(
                 Kind::FalselyRefused,
                 format!(
-                    "{} of {} is committed, though its caller was told that it is not",
+                    "{} of {} is committed, although its caller was told that it had no effect",
                     write.data, write.item
                 ),
             )),
@@ -132,7 +136,7 @@
             problems.push(Problem::new(
                 Kind::Lost,
                 format!(
-                    "{data} of {item} was acknowledged by {} and is gone",
+                    "{data} of {item} was acknowledged by {} and is missing from the log",
                     server_that_ran(record, data)
                 ),
             ));
@@ -141,14 +145,14 @@
     problems
 }
 
-/// The server that ran a write.
+/// Returns the server that ran the write of `data`.
 fn server_that_ran<'a>(record: &'a Record, data: &str) -> &'a str {
     let ends = |run: &&Run| run.text.ends_with(data);
     let run = record.runs.iter().find(ends);
     run.map_or("nobody", |run| run.server.as_str())
 }
 
-/// Servers run only what callers sent, as they sent it.
+/// Checks that servers ran only statements that callers sent, with unchanged text.
 fn check_runs(statements: &BTreeMap<String, Statement>, runs: &[Run]) -> Vec<Problem> {
     let mut problems = Vec::new();
     for run in runs {
@@ -168,7 +172,8 @@
     problems
 }
 
-/// What counts as run carries the proof of the server that ran it.
+/// Checks that each successful answer carries the proof of execution of a server that ran the
+/// statement.
 fn check_proofs(
     statements: &BTreeMap<String, Statement>,
     proofs: &BTreeMap<String, String>,
@@ -190,21 +195,26 @@
         if !proven.is_some_and(|proven| proven.contains(&proof.as_str())) {
             problems.push(Problem::new(
                 Kind::Unproved,
-                format!("{id} `{text}` succeeded with `{proof}`"),
+                format!(
+                    "{id} `{text}` succeeded with proof `{proof}`, which no server gave for it"
+                ),
             ));
         }
     }
     problems
 }
 
-/// A transaction stays on one connection, and nobody else's statements run on it meanwhile.
+/// Checks that each transaction stays on one connection, and that no other statements run on that
+/// connection meanwhile.
 fn check_transactions(statements: &BTreeMap<String, Statement>, runs: &[Run]) -> Vec<Problem> {
     let transaction = |run: &Run| statements.get(&run.id).and_then(|it| it.transaction);
-    // A first statement whose answer was lost may run again elsewhere: its last run counts.
+    // The first statement of a transaction may be retried elsewhere if its answer was lost, so only
+    // its last run counts.
     let mut last: BTreeMap<&str, usize> = BTreeMap::new();
     for (position, run) in runs.iter().enumerate() {
         last.insert(&run.id, position);
     }
+    // For each transaction: its connection, and the positions of its first and last statement.
     let mut transactions: BTreeMap<u64, (u64, usize, usize)> = BTreeMap::new();
     let mut problems = Vec::new();
     for (position, run) in runs.iter().enumerate() {
@@ -222,7 +232,7 @@
             let Run { id, text, .. } = run;
             problems.push(Problem::new(
                 Kind::Unpinned,
-                format!("{id} `{text}` ran outside of its transaction"),
+                format!("{id} `{text}` ran on another connection than its transaction"),
             ));
         }
     }
@@ -233,15 +243,15 @@
         if let Some(Run { id, text, .. }) = foreign {
             problems.push(Problem::new(
                 Kind::Unpinned,
-                format!("{id} `{text}` ran inside another's transaction"),
+                format!("{id} `{text}` ran inside another session's transaction"),
             ));
         }
     }
     problems
 }
 
-/// Reads see what was acknowledged before, as far as their route says, and nothing that is
-/// committed nowhere.
+/// Checks that each read observes all writes that were acknowledged before it, as far as the
+/// staleness of its route requires, and that it observes committed data only.
 fn check_reads(
     reads: &[Read],
     writes: &[Write],
@@ -274,11 +284,11 @@
             Some(data) => match positions.get(data.as_str()) {
                 Some(position) => Some(*position),
                 None => {
-                    // What a promotion rolled back may have been seen before.
+                    // A write may have been read before a promotion rolled it back.
                     if !record.is_rolled_back(data) {
                         problems.push(Problem::new(
                             Kind::Uncommitted,
-                            format!("{id} saw {data}, which is not committed"),
+                            format!("{id} read {data}, which is not committed"),
                         ));
                     }
                     continue;
@@ -304,8 +314,8 @@
             problems.push(Problem::new(
                 Kind::Stale,
                 format!(
-                    "{id} saw place {saw:?} of {item}, {needed:?} had been acknowledged {max_staleness:?} \
-                 before"
+                    "{id} read {item} at log position {saw:?}, but {needed:?} had been acknowledged \
+                     {max_staleness:?} before"
                 ),
             ));
         }
@@ -313,7 +323,7 @@
     problems
 }
 
-/// No two hosts give orders under one token.
+/// Checks that no two hosts gave orders with the same fencing token.
 fn check_orders(orders: &[Order]) -> Vec<Problem> {
     let mut holders: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     let mut problems = Vec::new();
@@ -325,14 +335,14 @@
             let Order { token, holder, .. } = order;
             problems.push(Problem::new(
                 Kind::SharedToken,
-                format!("{holder} used another host's token {token}"),
+                format!("{holder} used the fencing token {token} of another host"),
             ));
         }
     }
     problems
 }
 
-/// The first problems of each kind, by kind, and how many more there are.
+/// Returns the first problems of each kind, ordered by kind, and how many were left out.
 fn limit_per_kind(mut problems: Vec<Problem>) -> Vec<Problem> {
     problems.sort_by_key(|problem| problem.kind);
     let mut short = Vec::new();
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run.
+//! The faults that a run injects.
 
 use std::time::Duration;
 
@@ -6,169 +6,170 @@
 
 use crate::net::Endpoint;
 
-/// Something that goes wrong, and for how long where it ends by itself.
+/// A fault, with its duration if it ends by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A host is told to end (SIGTERM), and starts again once it has.
+    /// A host is asked to stop (SIGTERM), and is restarted once it has exited.
     Stop {
-        /// Its number.
+        /// Number of the host.
         host: usize,
     },
-    /// A host's process is killed, and starts again after a while.
+    /// A host's process is killed (SIGKILL), and is restarted later.
     Kill {
-        /// Its number.
+        /// Number of the host.
         host: usize,
-        /// Until it starts again.
+        /// Time until it is restarted.
         lasts: Duration,
     },
-    /// All hosts' processes are killed at once.
+    /// The processes of all hosts are killed at the same time, and are restarted at once.
     KillAll,
-    /// A host's process stands still (SIGSTOP).
+    /// A host's process is suspended (SIGSTOP).
     Pause {
-        /// Its number.
+        /// Number of the host.
         host: usize,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
-    /// A host is told that its settings file has changed (SIGHUP).
+    /// A host is asked to reload its settings file (SIGHUP).
     Reload {
-        /// Its number.
+        /// Number of the host.
         host: usize,
     },
-    /// A server dies, its entry lapses, and it comes back.
+    /// A server crashes, its entry in the server list expires, and it comes back.
     Crash {
-        /// Which one.
+        /// The affected server.
         server: Victim,
-        /// Until it comes back.
+        /// Time until it comes back.
         lasts: Duration,
     },
-    /// A server dies and starts again under its id.
+    /// A server crashes and restarts under the same id.
     Restart {
-        /// Which one.
+        /// The affected server.
         server: Victim,
-        /// Until it starts again.
+        /// Time until it restarts.
         after: Duration,
-        /// How much later its entry says so.
+        /// Delay until its entry in the server list shows the restart.
         late: Duration,
-        /// What it has left.
+        /// Which of its data survive.
         remains: Remains,
     },
-    /// Another writer puts something into the list of servers, or in the place of an entry.
+    /// Another writer adds an invalid entry to the server list, or overwrites an entry.
     Overwrite {
-        /// Which server's entry, or the one beside it.
+        /// Number of the server whose entry is overwritten or gets an invalid neighbour.
         server: usize,
-        /// What.
+        /// What is written.
         what: Garbage,
-        /// Until the server writes its entry anew.
+        /// Time until the server writes its entry again.
         lasts: Duration,
     },
-    /// A server accepts connections and answers nothing.
+    /// A server accepts connections and does not answer.
     Silence {
-        /// Which one.
+        /// The affected server.
         server: Victim,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
-    /// A server refuses all work, as with a full queue.
+    /// A server refuses all work, as if its queue were full.
     Full {
-        /// Which one.
+        /// The affected server.
         server: Victim,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
-    /// Answers to some statements that a server runs are lost.
+    /// A server runs statements, but their answers are lost.
     LoseAnswers {
-        /// Which one.
+        /// The affected server.
         server: Victim,
-        /// How many.
+        /// Number of answers that are lost.
         count: u32,
     },
-    /// Nothing from the primary reaches a server.
+    /// A server does not receive replication from the primary.
     Deaf {
-        /// Which one.
+        /// The affected server.
         server: Victim,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
-    /// A server is about to leave, ends, and another one comes at its address.
+    /// A server announces that it leaves, stops, and is replaced by a new one at the same address.
     Leave {
-        /// Which one.
+        /// The affected server.
         server: Victim,
     },
     /// The store misbehaves.
     Store {
-        /// How.
+        /// How it misbehaves.
         how: StoreFault,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
-    /// The store drops its history.
+    /// The store drops its change history.
     Forget,
-    /// The store goes away and comes back from a copy; operators and servers write theirs again.
+    /// The store becomes unavailable and is restored from a backup; operators and servers write their
+    /// rows again.
     Restore {
-        /// How old the copy is by then.
+        /// Age of the backup when the store becomes unavailable.
         age: Duration,
-        /// For how long the store is away.
+        /// For how long the store is unavailable.
         away: Duration,
-        /// After how long what the copy lacks is written again.
+        /// Time from the restore until rows that the backup lacks are written again.
         rewritten: Duration,
     },
-    /// The configuration changes.
+    /// A new version of the configuration is published.
     Configure,
-    /// What goes one way between two ends is held back.
+    /// Traffic in one direction between two endpoints is blocked.
     Cut {
-        /// From where.
+        /// The sending endpoint.
         from: Endpoint,
-        /// To where.
+        /// The receiving endpoint.
         to: Endpoint,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
-    /// What goes between two ends takes longer.
+    /// Traffic in one direction between two endpoints is delayed.
     Delay {
-        /// One end.
+        /// The sending endpoint.
         from: Endpoint,
-        /// The other.
+        /// The receiving endpoint.
         to: Endpoint,
-        /// How much longer.
+        /// Added latency.
         by: Duration,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
-    /// All connections from one end to another are reset.
+    /// All connections from one endpoint to another are reset.
     Reset {
-        /// From where.
+        /// The sending endpoint.
         from: Endpoint,
-        /// To where.
+        /// The receiving endpoint.
         to: Endpoint,
     },
-    /// A host is cut off from everything but its callers.
+    /// A host is partitioned from everything except its callers.
     Isolate {
-        /// Its number.
+        /// Number of the host.
         host: usize,
-        /// For how long.
+        /// Duration of the fault.
         lasts: Duration,
     },
 }
 
-/// Which server a fault strikes.
+/// The server that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Victim {
-    /// The one that leads at that moment.
+    /// The primary at the time of the fault.
     Primary,
-    /// The one with this number.
+    /// The server with this number, counted from 0.
     Number(usize),
 }
 
 /// How the store misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It refuses everything.
+    /// It refuses all requests.
     Busy,
-    /// It answers nothing.
+    /// It does not answer.
     Silent,
-    /// It is slow.
+    /// It answers slowly.
     Slow,
-    /// It does what it is asked and answers no write.
+    /// It carries out all requests, but does not answer writes.
     Lossy,
 }
