--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Opens a session on a random host and database, sets a value that is unique to it, and prepares a
-    /// statement.
+    /// Opens a session on a random host and database, sets a value that is unique to it, and
+    /// prepares a statement.
     async fn open_session(&mut self) -> Option<OpenSession> {
         let host = self.rng.random_range(0..self.hosts.len());
         let database = DATABASES[self.rng.random_range(0..DATABASES.len())];
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -314,8 +314,8 @@
             problems.push(Problem::new(
                 Kind::Stale,
                 format!(
-                    "{id} read {item} at log position {saw:?}, but {needed:?} had been acknowledged \
-                     {max_staleness:?} before"
+                    "{id} read {item} at log position {saw:?}, but {needed:?} had been \
+                     acknowledged {max_staleness:?} before"
                 ),
             ));
         }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -104,8 +104,8 @@
     },
     /// The store drops its change history.
     Forget,
-    /// The store becomes unavailable and is restored from a backup; operators and servers write their
-    /// rows again.
+    /// The store becomes unavailable and is restored from a backup; operators and servers write
+    /// their rows again.
     Restore {
         /// Age of the backup when the store becomes unavailable.
         age: Duration,
--- a/crates/soak/src/flags.rs
+++ b/crates/soak/src/flags.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Injects randomised faults into the real program, which runs as separate processes in front of
-    /// a stand-in platform, and checks what callers and servers observe.
+    /// Injects randomised faults into the real program, which runs as separate processes in front
+    /// of a stand-in platform, and checks what callers and servers observe.
     ///
     /// Exit codes: 0 no guarantee was broken, 1 at least one was, 2 a run could not be carried out.
     ///
@@ -27,10 +27,11 @@
         optional --hosts count: usize
         /// Folder for settings and logs; by default a folder in the directory for temporary files.
         optional --folder folder: PathBuf
-        /// Instead of playing seeds, measures the write outage after the loss of a primary, this many
-        /// times for each cause.
+        /// Instead of playing seeds, measures the write outage after the loss of a primary, this
+        /// many times for each cause.
         optional --gaps count: usize
-        /// With --gaps: a replaced primary keeps leading its own term, and fencing tokens are not checked.
+        /// With --gaps: a replaced primary keeps leading its own term, and fencing tokens are not
+        /// checked.
         optional --lax
         /// Prints each plan before it is played.
         optional --plan
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -13,7 +13,7 @@
     pub item: String,
     /// The written value, unique among all writes of a run.
     pub data: String,
-    /// How it ended for its caller.
+    /// How the write ended for its caller.
     pub outcome: Outcome,
     /// When the caller learned the outcome.
     pub at: Instant,
--- a/crates/soak/src/inject.rs
+++ b/crates/soak/src/inject.rs
@@ -1,4 +1,4 @@
-//! Has faults strike.
+//! Injects faults into a testbed.
 
 use std::os::unix::process::ExitStatusExt;
 use std::time::{Duration, Instant};
@@ -11,17 +11,17 @@
 use crate::process::Host;
 use crate::testbed::{SERVICE, SHUTDOWN_GRACE, SHUTDOWN_MARGIN, Testbed};
 
-/// An entry of a server that has died lapses after this long.
+/// Time until the entry of a crashed server expires.
 const ENTRY_LAPSE: Duration = Duration::from_millis(900);
 
-/// A server that leaves ends this long after it has said so.
+/// Time between a server's announcement that it leaves and its stop.
 const LEAVING_TIME: Duration = Duration::from_millis(2_500);
 
-/// How slow the slow store is.
+/// Response time of a slow store.
 const SLOW_STORE_DELAY: Duration = Duration::from_millis(400);
 
 impl Testbed {
-    /// Has `fault` strike, and ends it where it ends by itself.
+    /// Injects `fault`, and ends it after its duration if it has one.
     pub(crate) async fn inject(&self, fault: Fault) {
         match fault {
             Fault::Stop { host } => self.stop_host(&self.hosts[host]).await,
@@ -143,6 +143,7 @@
         }
     }
 
+    /// Starts a host, and reports a problem if that fails.
     fn start_host(&self, host: &Host) {
         if let Err(error) = host.start() {
             self.history
@@ -150,14 +151,14 @@
         }
     }
 
-    /// Kills a host, which must not have ended by itself before.
+    /// Kills a host, and reports a problem if it had exited before.
     fn kill_host(&self, host: &Host) {
         self.check_unexpected_exit(host);
         host.kill();
     }
 
-    /// Tells a host to end, which it has to do within its grace, and with success unless a signal
-    /// ended it: one that has just started may not listen for signals yet.
+    /// Asks a host to stop and restarts it. It must exit within its grace period, and with success
+    /// unless a signal terminated it: a host that has just started may not handle signals yet.
     async fn stop_host(&self, host: &Host) {
         if !host.terminate() {
             return;
@@ -167,7 +168,7 @@
         match host.wait_for_exit(SHUTDOWN_GRACE + SHUTDOWN_MARGIN).await {
             Some(status) if status.success() || status.signal().is_some() => {}
             Some(status) => {
-                let problem = format!("{name} ended with {status}");
+                let problem = format!("{name} exited with {status}");
                 self.history.report_problem(Kind::NotStopped, problem);
             }
             None => {
@@ -181,6 +182,7 @@
         self.start_host(host);
     }
 
+    /// Crashes a server and revives it after `lasts`. Its entry expires after [`ENTRY_LAPSE`].
     async fn crash_server(&self, server: &str, lasts: Duration) {
         self.site.crash(server);
         let until_lapse = lasts.min(ENTRY_LAPSE);
@@ -192,8 +194,9 @@
         self.revive(server).await;
     }
 
-    /// A server that starts again has nothing left only where another one can take over: what all
-    /// have lost nobody can bring back.
+    /// Crashes a server and restarts it after `after`; its entry is updated `late` after that. A
+    /// server loses its log only if another one holds all data: no product can recover what all
+    /// servers have lost.
     async fn restart_server(
         &self,
         server: &str,
@@ -212,7 +215,7 @@
             true => remains,
             false => Remains::Log,
         };
-        // Another fault may have brought it back already: its port is taken then.
+        // Another fault may have restarted it already, and its port is in use then.
         if self.site.restart_unlisted(server, remains).await.is_err() {
             return;
         }
@@ -220,12 +223,14 @@
         self.site.register(server);
     }
 
+    /// Sets faults of a server, and clears them after `lasts`.
     async fn impair_server(&self, server: &str, faults: Faults, lasts: Duration) {
         self.site.set_faults(server, faults);
         tokio::time::sleep(lasts).await;
         self.site.set_faults(server, Faults::default());
     }
 
+    /// Blocks or unblocks all traffic between a host and everything except its callers.
     fn isolate_host(&self, host: usize, cut: bool) {
         let others = (0..self.plan.hosts)
             .filter(|other| *other != host)
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -56,8 +56,8 @@
         }
         let length = Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS));
         let plan = Plan::draw(seed, length, flags.hosts);
-        // The logs of a failed run are evidence: a folder for each process keeps another play of the
-        // same seed from overwriting them.
+        // The logs of a failed run are evidence: a folder for each process keeps another play of
+        // the same seed from overwriting them.
         let folder = folder.join(format!("seed-{seed}-{}", std::process::id()));
         running.spawn(play_seed(plan, flags.program.clone(), folder, flags.plan));
     }
@@ -106,7 +106,8 @@
     } = verdict;
     println!(
         "seed {seed}: {hosts} hosts, {faults} faults, {done} done, {refused} refused, {unknown} \
-         unknown, {commits} commits, {rolled_back} rolled back by {promotions} promotions, {} problems",
+         unknown, {commits} commits, {rolled_back} rolled back by {promotions} promotions, {} \
+         problems",
         problems.len()
     );
     for problem in &problems {
--- a/crates/soak/src/net.rs
+++ b/crates/soak/src/net.rs
@@ -1,5 +1,6 @@
-//! Loopback relays between hosts, servers, store and the platform's orders: everything that one
-//! of them sends to another goes through here, and can be delayed, held back or reset.
+//! Loopback relays between hosts, servers, the store and the platform's endpoint for orders. All
+//! traffic between them passes through these relays, which can delay it, block it, or reset its
+//! connections.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,35 +12,37 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
 
-/// Bytes that are passed on at once.
+/// Size of the buffer that copies a connection's data, in bytes.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Longest datagram between hosts.
+/// Maximum size of a datagram between hosts, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2 << 10;
 
-/// Who takes part.
+/// A sender or receiver of traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
-    /// A host.
+    /// The host with this number.
     Host(usize),
-    /// A server.
+    /// The server with this number.
     Server(usize),
     /// The platform's store.
     Store,
-    /// Where the platform takes orders.
+    /// The platform's endpoint for orders.
     Orders,
 }
 
-/// What happens to what goes one way between two ends.
+/// How traffic in one direction between two endpoints is treated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Rule {
+    /// Whether the traffic is blocked.
     cut: bool,
+    /// Latency that is added to the traffic.
     delay: Duration,
-    /// Counts resets: connections that began under a lower count are reset.
+    /// Number of resets so far. Connections that were opened at a lower number are reset.
     resets: u32,
 }
 
-/// All relays of a run.
+/// All relays of a run, and the rules that they follow. Clones share the rules.
 #[derive(Debug, Clone)]
 pub struct Net {
     rules: Arc<watch::Sender<BTreeMap<(Endpoint, Endpoint), Rule>>>,
@@ -54,12 +57,12 @@
 }
 
 impl Net {
-    /// Holds back what goes from `from` to `to`, or lets it through again.
+    /// Blocks traffic from `from` to `to` if `cut` is set, and unblocks it otherwise.
     pub fn cut(&self, from: Endpoint, to: Endpoint, cut: bool) {
         self.change(from, to, |rule| rule.cut = cut);
     }
 
-    /// Delays what goes from `from` to `to`.
+    /// Sets the latency that is added to traffic from `from` to `to`.
     pub fn delay(&self, from: Endpoint, to: Endpoint, delay: Duration) {
         self.change(from, to, |rule| rule.delay = delay);
     }
@@ -69,7 +72,7 @@
         self.change(from, to, |rule| rule.resets += 1);
     }
 
-    /// Ends all cuts and delays.
+    /// Unblocks all traffic and removes all delays.
     pub fn heal(&self) {
         self.rules.send_modify(|rules| {
             for rule in rules.values_mut() {
@@ -92,7 +95,7 @@
             .unwrap_or_default()
     }
 
-    /// Waits until what goes from `from` to `to` passes.
+    /// Waits for the delay of traffic from `from` to `to`, and until it is not blocked.
     async fn wait_until_open(&self, from: Endpoint, to: Endpoint) {
         let delay = self.rule(from, to).delay;
         if !delay.is_zero() {
@@ -101,14 +104,15 @@
         let open = |rules: &BTreeMap<(Endpoint, Endpoint), Rule>| {
             !rules.get(&(from, to)).is_some_and(|rule| rule.cut)
         };
-        // The sender lives as long as this.
+        // This fails only if the sender is dropped, and `self` holds it.
         let _ = self.rules.subscribe().wait_for(open).await;
     }
 
-    /// Relays connections of `from` to `to`, which listens at `target`; gives the relay's address.
+    /// Relays connections from `from` to `to`, which listens at `target`, and returns the address
+    /// of the relay.
     ///
     /// # Errors
-    /// No port is free.
+    /// No port can be bound.
     pub async fn relay(
         &self,
         from: Endpoint,
@@ -129,11 +133,11 @@
         Ok(address)
     }
 
-    /// Relays connections of all hosts to server `to` at `target`. Which host calls stands in the
-    /// first line.
+    /// Relays connections from all hosts to server `to`, which listens at `target`, and returns the
+    /// address of the relay. The first line of a connection names the host that opened it.
     ///
     /// # Errors
-    /// No port is free.
+    /// No port can be bound.
     pub async fn relay_server(
         &self,
         to: Endpoint,
@@ -149,6 +153,7 @@
         Ok(address)
     }
 
+    /// Accepts connections and relays those whose first line names a known host.
     async fn relay_sessions(
         self,
         listener: TcpListener,
@@ -173,6 +178,8 @@
         }
     }
 
+    /// Sends `first` to `target` and copies data in both directions until one side closes the
+    /// connection or it is reset.
     async fn relay_connection(
         &self,
         from: Endpoint,
@@ -192,7 +199,7 @@
         if server.write_all(first).await.is_err() {
             return;
         }
-        // A connection that the two ends leave half open is of no use to them.
+        // Neither protocol uses half-open connections, so the end of one direction closes both.
         let (mut client_in, mut client_out) = client.into_split();
         let (mut server_in, mut server_out) = server.into_split();
         let mut rules = self.rules.subscribe();
@@ -212,6 +219,7 @@
         }
     }
 
+    /// Copies data from `input` to `output` until either ends.
     async fn copy(
         &self,
         from: Endpoint,
@@ -230,11 +238,12 @@
         }
     }
 
-    /// Relays sessions and datagrams of all other hosts to host `to`, which listens at `target`.
-    /// Datagrams show their sender by its address.
+    /// Relays sessions and datagrams from all other hosts to host `to`, which listens at `target`,
+    /// and returns the address of the relay. The source address of a datagram identifies its
+    /// sender.
     ///
     /// # Errors
-    /// No port is free for both.
+    /// No port can be bound for both protocols.
     pub async fn relay_peers(
         &self,
         to: usize,
@@ -256,6 +265,8 @@
         Ok(address)
     }
 
+    /// Relays datagrams to host `to`, from a socket of its own for each sender, so that answers
+    /// find their way back.
     async fn relay_datagrams(
         self,
         to: usize,
@@ -304,7 +315,7 @@
         }
     }
 
-    /// Passes answers of a host back to the one that asked.
+    /// Relays a host's answers back to the host that sent the request.
     async fn relay_answers(
         self,
         ends: (usize, usize),
@@ -323,7 +334,7 @@
         }
     }
 
-    /// Sends a datagram on, unless it is held back: those are lost.
+    /// Forwards a datagram after the delay, or drops it if its direction is blocked.
     fn forward(
         &self,
         (from, to): (usize, usize),
@@ -337,41 +348,42 @@
         }
         tokio::spawn(async move {
             tokio::time::sleep(rule.delay).await;
-            // A receiver that is gone loses it, as on any network.
+            // A datagram to a receiver that has stopped is lost, as on any network.
             let _ = by.send_to(&bytes, target).await;
         });
     }
 }
 
-/// A port for datagrams and for connections.
+/// Binds one port for both datagrams and connections.
 async fn bind_udp_and_tcp() -> io::Result<(UdpSocket, TcpListener)> {
     loop {
         let socket = UdpSocket::bind(("127.0.0.1", 0)).await?;
         match TcpListener::bind(socket.local_addr()?).await {
             Ok(listener) => return Ok((socket, listener)),
-            // Some connection has the port: another one is drawn.
+            // The port is in use by a connection: retries with another one.
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {}
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Has what is written be sent at once, as both ends ask for on their own connections.
+/// Disables Nagle's algorithm, as both ends do on their own connections.
 ///
-/// A server answers several statements that came together one after the other. Without this, the
-/// system keeps the second answer back until the first is acknowledged, which takes 40 ms: hosts
-/// measured requests of 60 ms at servers that took 9 ms, and held their connections for as long.
+/// A server answers pipelined statements one by one. With Nagle's algorithm, the kernel delays the
+/// second answer until the first is acknowledged, which takes 40 ms: hosts measured requests of 60
+/// ms at servers that took 9 ms, and held their connections for as long.
 fn disable_nagle(stream: &TcpStream) {
-    // A connection that has ended already needs none.
+    // This fails only on a connection that has already ended.
     let _ = stream.set_nodelay(true);
 }
 
-/// Has the connection end with a reset when it is dropped.
+/// Makes closing the connection send a reset.
 fn reset_on_close(stream: &TcpStream) {
-    // A connection that has ended already needs none.
+    // This fails only on a connection that has already ended.
     let _ = stream.set_zero_linger();
 }
 
+/// Reads up to and including the first line feed. Returns `None` if the connection ends before.
 async fn first_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::new();
     loop {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed stands for: the fleet's size, and which faults strike when.
+//! What a seed determines: the size of the fleet, and which faults are injected when.
 
 use std::time::Duration;
 
@@ -9,57 +9,58 @@
 use crate::fault::{Fault, StoreFault, Victim};
 use crate::net::Endpoint;
 
-/// Mean time between two faults of a run. Most last longer, so that they overlap.
+/// Mean time between two faults. Most faults last longer, so that they overlap.
 const FAULT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Longest time that a fault lasts: failure detection takes up to two seconds, recovery more.
+/// Maximum duration of a fault beyond its minimum of 300 ms: failure detection takes up to two
+/// seconds, and recovery takes longer.
 const MAX_FAULT_TIME: Duration = Duration::from_millis(4_000);
 
-/// Seeds from here on also draw servers that start again under their id, and entries by other
-/// writers. Those below draw what they drew before there was that, so that the kept ones still show
-/// what they were kept for.
+/// The first seed that also draws servers that restart under the same id, and entries of other
+/// writers. Lower seeds draw exactly what they drew before these faults existed, so that seeds that
+/// are kept as regression tests still reproduce their faults.
 pub const FIRST_RESTART_SEED: u64 = 1 << 32;
 
-/// Seeds from here on are played on a platform where a replaced primary leads its own term on until
-/// it is told, and orders are carried out whatever their token is. They draw the faults that the
-/// seeds from 0 on draw.
+/// The first seed that is played on a platform where a replaced primary keeps leading its own term
+/// until it is told to step down, and where orders are carried out regardless of their fencing
+/// token. These seeds draw the same kinds of faults as the seeds from 0 on.
 pub const FIRST_LAX_SEED: u64 = 1 << 33;
 
-/// Seeds from here on also draw stores that come back from a copy, beside all that the others draw.
-/// Every second one is played on a platform where replaced primaries lead on.
+/// The first seed that also draws stores that are restored from a backup, in addition to the faults
+/// of all lower seeds. Even seeds are played on a platform as described at [`FIRST_LAX_SEED`].
 pub const FIRST_RESTORE_SEED: u64 = 1 << 34;
 
-/// Mean time between two servers that start again, or entries by other writers.
+/// Mean time between two faults that restart a server or overwrite an entry.
 const RESTART_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Mean time between two returns from a copy.
+/// Mean time between two restores of the store.
 const RESTORE_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// How a run is made.
+/// The setup and the faults of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed that it was drawn from.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Availability zones that they are spread over.
+    /// Number of availability zones that the hosts are spread over.
     pub zones: usize,
-    /// The servers of the one service.
+    /// The servers of the service.
     pub sizes: Sizes,
-    /// Callers that work all the while.
+    /// Number of callers, which work during the whole run.
     pub callers: usize,
-    /// For how long faults strike.
+    /// For how long faults are injected.
     pub length: Duration,
-    /// Replaced primaries lead on, and tokens are not checked.
+    /// Whether a replaced primary keeps leading its own term, and fencing tokens are not checked.
     pub lax: bool,
-    /// A host whose log nobody reads.
+    /// Number of a host whose log goes to a pipe that is never read.
     pub unread: Option<usize>,
-    /// The faults, by when they strike.
+    /// The faults with their start times, in order.
     pub faults: Vec<(Duration, Fault)>,
 }
 
 impl Plan {
-    /// `hosts` hosts in as many as three zones before servers of `sizes`, and no faults.
+    /// Creates a plan without faults, of `hosts` hosts in up to three zones and servers of `sizes`.
     pub fn without_faults(hosts: usize, sizes: Sizes) -> Plan {
         Plan {
             seed: 0,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Draws a plan for `length`; `hosts` asks for a fleet of that size.
+    /// Draws the plan of `seed` for a run of `length`. `hosts` overrides the number of hosts.
     pub fn draw(seed: u64, length: Duration, hosts: Option<usize>) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let drawn = rng.random_range(2..=7);
@@ -109,11 +110,12 @@
         plan
     }
 
+    /// Draws the faults that all seeds have.
     fn draw_faults(&mut self, rng: &mut ChaCha8Rng) {
         let mut at = Duration::from_millis(rng.random_range(200..=1_500));
         while at < self.length {
             let fault = self.draw_fault(rng);
-            // Series: the same trouble again, before everything has settled.
+            // A series repeats the same fault before the fleet has recovered.
             let repeats = if rng.random_bool(0.2) { 3 } else { 1 };
             for repeat in 0..repeats {
                 let pause = Duration::from_millis(rng.random_range(150..=1_200)) * repeat;
@@ -124,6 +126,7 @@
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
+    /// Draws restarts of servers, and invalid entries in the server list.
     fn draw_restarts(&mut self, rng: &mut ChaCha8Rng) {
         let mut at = Duration::from_millis(rng.random_range(200..=1_500));
         while at < self.length {
@@ -137,7 +140,8 @@
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
-    /// Copies are some seconds old, and the store is away for a moment.
+    /// Draws restores of the store. A backup is up to 5 s old, and the store is unavailable for up
+    /// to 1.5 s.
     fn draw_restores(&mut self, rng: &mut ChaCha8Rng) {
         let mut at = Duration::from_millis(rng.random_range(200..=2_000));
         while at < self.length {
@@ -152,7 +156,8 @@
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
-    /// Quickly, before the entry of the former start has lapsed, or slowly; listed at once or late.
+    /// Draws a restart: either quick, before the entry of the previous start has expired, or slow;
+    /// and with an entry that is updated at once or late.
     fn draw_restart(&self, rng: &mut ChaCha8Rng) -> Fault {
         let number = rng.random_range(0..self.sizes.servers);
         let server = match rng.random_bool(0.5) {
@@ -178,6 +183,7 @@
         }
     }
 
+    /// Draws an invalid entry in the server list.
     fn draw_overwrite(&self, rng: &mut ChaCha8Rng) -> Fault {
         Fault::Overwrite {
             server: rng.random_range(0..self.sizes.servers),
@@ -191,6 +197,7 @@
         }
     }
 
+    /// Draws a fault of the kinds that all seeds have.
     fn draw_fault(&self, rng: &mut ChaCha8Rng) -> Fault {
         let host = rng.random_range(0..self.hosts);
         let other = rng.random_range(0..self.hosts);
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A host of the program as a process of its own.
+//! Runs a host of the program as a separate process.
 
 use std::fs::File;
 use std::io;
@@ -12,44 +12,44 @@
 use rustix::io::ioctl_fionread;
 use rustix::process::{Pid, Signal, kill_process};
 
-/// How often a process is looked at while its end is awaited.
+/// How often a process is polled while its exit is awaited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where a host's settings and logs lie, and what it is told.
+/// Settings of a host, and the location of its files.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Folder for settings and log.
+    /// Folder for the settings file and logs.
     pub folder: PathBuf,
     /// Name of the host.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks.
+    /// Address for the load balancer's health checks.
     pub probe: SocketAddr,
-    /// Where it listens for other hosts.
+    /// Address where the host listens for other hosts.
     pub peers: SocketAddr,
-    /// Where other hosts are told to reach it.
+    /// Address that the host announces to other hosts.
     pub announced: SocketAddr,
-    /// Where it is told that the store listens.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Where it is told that orders are taken.
+    /// Address of the platform's endpoint for orders.
     pub orders: SocketAddr,
-    /// The shortest time in which a promotion takes effect.
+    /// Minimum time until a promotion takes effect.
     pub promotion: Duration,
-    /// How long it may take to end.
+    /// Time limit for a graceful shutdown.
     pub grace: Duration,
-    /// Its log goes to a pipe that nobody reads.
+    /// Whether its log goes to a pipe that is never read.
     pub unread_log: bool,
 }
 
-/// A host of the program.
+/// A host of the program, whose process can be started, signalled and killed.
 #[derive(Debug)]
 pub struct Host {
-    /// What it is told.
+    /// Settings of the host.
     pub settings: Settings,
     state: Mutex<State>,
 }
@@ -58,17 +58,17 @@
 struct State {
     child: Option<Child>,
     start_count: u32,
-    /// It was told to end since its last start.
+    /// Whether the host was asked to stop since its last start.
     stop_requested: bool,
-    /// When something last kept it from answering: a signal, a start, an end.
+    /// When the host was last kept from answering: by a signal, a start or an exit.
     last_disturbed: Option<Instant>,
 }
 
 impl Host {
-    /// A host that does not run yet.
+    /// Creates a host and writes its settings file. The host does not run yet.
     ///
     /// # Errors
-    /// Its settings file cannot be written.
+    /// The settings file cannot be written.
     pub fn new(settings: Settings) -> io::Result<Host> {
         let host = Host {
             settings,
@@ -78,12 +78,13 @@
         Ok(host)
     }
 
-    /// Its settings file.
+    /// Returns the path of the settings file.
     pub fn settings_path(&self) -> PathBuf {
         let Settings { folder, name, .. } = &self.settings;
         folder.join(format!("{name}.ini"))
     }
 
+    /// Returns the content of the settings file.
     fn settings_text(&self) -> String {
         let Settings {
             name,
@@ -108,10 +109,10 @@
         )
     }
 
-    /// Starts it, if it does not run.
+    /// Starts the process, if it does not run.
     ///
     /// # Errors
-    /// The program cannot be started.
+    /// The program cannot be started, or its log files cannot be created.
     pub fn start(&self) -> io::Result<()> {
         let mut state = self.lock();
         if state.child.is_some() {
@@ -146,21 +147,23 @@
         Ok(File::options().create(true).append(true).open(path)?.into())
     }
 
-    /// Tells it to end; `false` when it does not run.
+    /// Asks the host to stop (SIGTERM). Returns `false` if it does not run.
     pub fn terminate(&self) -> bool {
         self.signal(Signal::TERM)
     }
 
-    /// Has it stand still, or go on; `false` when it does not run.
+    /// Suspends (SIGSTOP) or resumes (SIGCONT) the process. Returns `false` if it does not run.
     pub fn set_paused(&self, paused: bool) -> bool {
         self.signal(if paused { Signal::STOP } else { Signal::CONT })
     }
 
-    /// Tells it that its settings have changed; `false` when it does not run.
+    /// Asks the host to reload its settings (SIGHUP). Returns `false` if it does not run.
     pub fn reload(&self) -> bool {
         self.signal(Signal::HUP)
     }
 
+    /// Sends a signal and records it as a disturbance, except for SIGHUP, which does not keep a
+    /// host from answering.
     fn signal(&self, signal: Signal) -> bool {
         let mut state = self.lock();
         let Some(pid) = state.child.as_ref().and_then(pid) else {
@@ -173,18 +176,19 @@
         kill_process(pid, signal).is_ok()
     }
 
-    /// Kills it and waits for its end. Nobody starts it anew before that: its ports are taken for as long.
+    /// Kills the process and waits for its exit. The host cannot be restarted earlier, because its
+    /// ports are in use until then.
     pub fn kill(&self) {
         let mut state = self.lock();
         state.last_disturbed = Some(Instant::now());
         if let Some(mut child) = state.child.take() {
-            // It may have ended just before.
+            // It may have exited just before.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Waits until it has ended by itself; `None` when it has not within `limit`.
+    /// Waits for the process to exit. Returns `None` if it still runs after `limit`.
     pub async fn wait_for_exit(&self, limit: Duration) -> Option<ExitStatus> {
         let start = Instant::now();
         while start.elapsed() < limit {
@@ -204,7 +208,7 @@
         None
     }
 
-    /// How it ended, if it did so without being asked.
+    /// Returns the exit status if the process has exited without being asked to stop.
     pub fn unexpected_exit(&self) -> Option<ExitStatus> {
         let mut state = self.lock();
         if state.stop_requested {
@@ -215,29 +219,29 @@
         Some(status)
     }
 
-    /// Whether nothing has kept it from answering since `since`.
+    /// Returns whether the host runs, and nothing has kept it from answering since `since`.
     pub fn is_undisturbed(&self, since: Instant) -> bool {
         let state = self.lock();
         state.child.is_some() && state.last_disturbed.is_none_or(|at| at < since)
     }
 
-    /// Memory that it uses, in bytes; 0 when it does not run.
+    /// Returns the process's resident memory in bytes, or 0 if it does not run.
     pub fn resident(&self) -> u64 {
         let state = self.lock();
         let id = state.child.as_ref().map(Child::id);
         id.and_then(|id| process::resident(id).ok()).unwrap_or(0)
     }
 
-    /// What its process does, for whoever looks for the reason why it does not serve.
+    /// Describes the state of the process, to help find out why the host does not serve.
     pub fn process_state(&self) -> String {
         let state = self.lock();
         let Some(child) = &state.child else {
-            return "it does not run".to_owned();
+            return "the process does not run".to_owned();
         };
         process::condition(child.id()).unwrap_or_else(|error| error.to_string())
     }
 
-    /// What it has logged since its last start, where its log is read.
+    /// Returns the host's log since its last start. A host with `unread_log` has no log file.
     ///
     /// # Errors
     /// The log cannot be read.
@@ -245,7 +249,7 @@
         std::fs::read_to_string(self.log_path(self.lock().start_count))
     }
 
-    /// Bytes of its log that wait in a pipe that nobody reads.
+    /// Returns the number of bytes of the log that wait in the pipe that is never read.
     pub fn unread_log_bytes(&self) -> u64 {
         let state = self.lock();
         let output = state.child.as_ref().and_then(|it| it.stdout.as_ref());
--- a/crates/soak/src/session.rs
+++ b/crates/soak/src/session.rs
@@ -35,8 +35,8 @@
     /// Opens a session on `database` at `address`.
     ///
     /// # Errors
-    /// The connection or the session is refused, the host does not answer in time, or the greeting is
-    /// malformed.
+    /// The connection or the session is refused, the host does not answer in time, or the greeting
+    /// is malformed.
     pub async fn open(address: SocketAddr, database: &str) -> Result<Session, Error> {
         let connected = timeout(CONNECT_TIMEOUT, Caller::connect(address)).await;
         let connected = connected.map_err(|_| Error::Timeout(CONNECT_TIMEOUT))?;
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! Everything that one run consists of, from its start to its end.
+//! The testbed of a run: the stand-in platform, relays, hosts and callers, from start to shutdown.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,28 +22,29 @@
 use crate::process::{Host, Settings};
 use crate::session::Session;
 
-/// The one service of a run.
+/// Name of the only service of a run.
 pub(crate) const SERVICE: &str = "ledger";
 
-/// How long hosts have to end; half of it is left to open transactions.
+/// Time limit for a host's graceful shutdown. Open transactions get half of it.
 pub(crate) const SHUTDOWN_GRACE: Duration = Duration::from_secs(2);
 
-/// What a host may take beyond its grace, on a machine that runs all of them.
+/// Margin beyond [`SHUTDOWN_GRACE`], because all hosts share one machine.
 pub(crate) const SHUTDOWN_MARGIN: Duration = Duration::from_secs(2);
 
-/// How long everything may take to work again after the last fault.
+/// Time limit for each host to serve all databases again after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How long hosts may take to get ready at the start.
+/// Time limit for all hosts to become ready at the start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Memory that a host may use: it serves a handful of callers, and its logs have bounds.
+/// Maximum resident memory of a host, in bytes: it serves a handful of callers, and its logs are
+/// bounded.
 const MAX_MEMORY_BYTES: u64 = 64 << 20;
 
-/// How long one question at the end may take.
+/// Time limit for each statement that checks whether a host has recovered.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Everything that one run consists of.
+/// The platform, relays, hosts and history of a run.
 pub(crate) struct Testbed {
     pub(crate) site: Site,
     pub(crate) net: Net,
@@ -54,7 +55,7 @@
 }
 
 impl Testbed {
-    /// Starts everything; hosts may not serve yet.
+    /// Starts the platform, the relays and all hosts, which may not serve yet.
     pub(crate) async fn start(plan: Plan, program: &Path, folder: &Path) -> io::Result<Testbed> {
         let site = Site::start(&[SERVICE], plan.sizes).await?;
         if plan.lax {
@@ -123,7 +124,7 @@
         Ok(testbed)
     }
 
-    /// Has callers work until `stop`.
+    /// Starts the callers, which work until `stop` is set.
     pub(crate) fn start_callers(&self, stop: &Arc<AtomicBool>) -> JoinSet<()> {
         let count = self.plan.callers as u64;
         let mut callers = JoinSet::new();
@@ -141,8 +142,8 @@
         callers
     }
 
-    /// Puts a further configuration in force: the usual databases, and one that only this
-    /// version has.
+    /// Publishes the next version of the configuration: the usual databases, and one that only this
+    /// version contains.
     pub(crate) fn configure(&self) {
         let number = self.configurations.fetch_add(1, Ordering::Relaxed) + 1;
         let extra_database = extra_database(number);
@@ -154,7 +155,8 @@
         self.site.configure(&routes);
     }
 
-    /// Ends everything that still goes wrong.
+    /// Ends all faults, restarts all servers and hosts that are down, and publishes a new version
+    /// of the configuration.
     pub(crate) async fn heal(&self) -> io::Result<()> {
         self.net.heal();
         self.site.store.set_mode(Mode::Up);
@@ -173,8 +175,9 @@
         Ok(())
     }
 
-    /// Waits until every host serves every database again, each for itself: asked one after the
-    /// other, the last of many hosts would have to answer within what the others leave.
+    /// Waits until every host serves every database again. Hosts are checked concurrently, so that
+    /// each has the full [`RECOVERY_TIMEOUT`]: checked in sequence, the last of many hosts would
+    /// have only the time that the others leave.
     pub(crate) async fn wait_until_recovered(&self) {
         let newest = extra_database(self.configurations.load(Ordering::Relaxed));
         let waits = self
@@ -184,7 +187,8 @@
         futures::future::join_all(waits).await;
     }
 
-    /// Waits until `host` serves the usual databases and `newest` again.
+    /// Waits until `host` serves the usual databases and `newest` again, and reports each one that
+    /// it does not serve in time.
     async fn wait_until_serving(&self, host: &Host, newest: &str) {
         let start = Instant::now();
         for database in DATABASES.iter().map(|it| it.name).chain([newest]) {
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Whether `host` answers a read and a write on `database`.
+    /// Returns whether `host` answers a read and a write on `database`.
     async fn serves(&self, host: &Host, database: &str) -> bool {
         let Ok(mut session) = Session::open(host.settings.callers, database).await else {
             return false;
@@ -230,17 +234,17 @@
         true
     }
 
-    /// Whether `host` has ended though nobody told it to.
+    /// Reports a problem and returns `true` if `host` has exited without being asked to.
     pub(crate) fn check_unexpected_exit(&self, host: &Host) -> bool {
         let Some(status) = host.unexpected_exit() else {
             return false;
         };
-        let problem = format!("{} ended by itself with {status}", host.settings.name);
+        let problem = format!("{} exited unexpectedly with {status}", host.settings.name);
         self.history.report_problem(Kind::UnexpectedExit, problem);
         true
     }
 
-    /// What servers and platform saw.
+    /// Returns what the servers and the platform recorded.
     pub(crate) fn record(&self) -> Record {
         let group = self.site.group(SERVICE);
         Record {
@@ -252,7 +256,7 @@
         }
     }
 
-    /// Looks at each process once more, and has all of them end.
+    /// Checks each host for an unexpected exit and its memory use, and stops all hosts.
     pub(crate) async fn stop_hosts(&self) {
         for host in self.hosts.iter() {
             let name = &host.settings.name;
@@ -261,7 +265,7 @@
             }
             let used = host.resident();
             if used > MAX_MEMORY_BYTES {
-                let problem = format!("{name} uses {used} bytes");
+                let problem = format!("{name} uses {used} bytes of memory");
                 self.history.report_problem(Kind::Memory, problem);
             }
             host.terminate();
@@ -270,21 +274,22 @@
             let name = &host.settings.name;
             let problem = match host.wait_for_exit(SHUTDOWN_GRACE + SHUTDOWN_MARGIN).await {
                 Some(status) if status.success() => continue,
-                Some(status) => format!("{name} ended with {status}"),
-                None => format!("{name} does not end"),
+                Some(status) => format!("{name} exited with {status}"),
+                None => format!("{name} does not exit"),
             };
             self.history.report_problem(Kind::NotStopped, problem);
         }
     }
 
-    /// Waits until all hosts serve.
+    /// Waits until all hosts accept callers, and reports a problem if they do not in time.
     pub(crate) async fn wait_until_ready(&self) {
         if !self.all_ready(START_TIMEOUT).await {
-            let problem = "not all hosts get ready".to_owned();
+            let problem = "not all hosts became ready".to_owned();
             self.history.report_problem(Kind::NotStarted, problem);
         }
     }
 
+    /// Returns whether all hosts open a session within `limit`.
     async fn all_ready(&self, limit: Duration) -> bool {
         let start = Instant::now();
         for host in self.hosts.iter() {
@@ -301,17 +306,18 @@
         true
     }
 
-    /// Where host `number` takes callers.
+    /// Returns the address for callers of host `number`.
     pub(crate) fn caller_address(&self, number: usize) -> SocketAddr {
         self.hosts[number].settings.callers
     }
 
-    /// The server that leads.
+    /// Returns the name of the current primary.
     pub(crate) fn primary(&self) -> String {
         self.victim(Victim::Primary)
     }
 
-    /// Name of the server that a fault strikes.
+    /// Returns the name of the server that a fault affects. Without a primary, that is the first
+    /// server.
     pub(crate) fn victim(&self, victim: Victim) -> String {
         match victim {
             Victim::Primary => {
@@ -322,9 +328,9 @@
         }
     }
 
-    /// Starts a server again if it does not run.
+    /// Restarts a server if it does not run.
     pub(crate) async fn revive(&self, server: &str) {
-        // Another fault may have brought it back already: its port is taken then.
+        // Another fault may have restarted it already, and its port is in use then.
         let _ = self.site.restart(server).await;
     }
 }
--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -1,4 +1,4 @@
-//! Every check finds what it is there for, and nothing in a history that is in order.
+//! Every check finds the violation that it is meant for, and none in a correct history.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use flamingopost_soak::problem::Kind;
 use flamingopost_standin::pooled::{Entry, Order, Rollback, Run};
 
-/// A ledger and a record of one caller who wrote `a` and then `b` to an item and read `b`.
+/// A run with one caller, which writes `a` and then `b` to an item and reads `b`.
 struct Scene {
     history: History,
     record: Record,
@@ -49,6 +49,7 @@
 }
 
 impl Scene {
+    /// Adds a write of `data` that a server ran and committed.
     fn write(mut self, id: &str, data: &str, outcome: Outcome) -> Scene {
         let text = format!("STORE item {data}");
         self.history.record_statement(id, &text, None);
@@ -67,6 +68,7 @@
         self
     }
 
+    /// Adds a read, 500 ms after the writes, that a server ran and that returned `data`.
     fn read(
         &mut self,
         id: &str,
@@ -88,7 +90,7 @@
         });
     }
 
-    /// The kinds of problems that are found.
+    /// Returns the kinds of the problems that the checks find.
     fn kinds(&self) -> Vec<Kind> {
         let problems = verify(&self.history, &self.record).problems;
         problems.into_iter().map(|problem| problem.kind).collect()
@@ -113,8 +115,8 @@
     assert_eq!(own.kinds(), [Kind::Stale]);
 }
 
-/// Guards against calling a read stale that was answered between the promotion which rolled a commit back
-/// and one that brought it back; before and after that the commit counts.
+/// Guards against reporting a read as stale that was answered between the promotion that rolled a
+/// commit back and the one that restored it. Before and after that, the commit must be visible.
 #[test]
 fn a_read_may_miss_a_commit_only_while_that_is_rolled_back() {
     let kinds = |rolled_back: u64, restored: u64| {
