--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -8,7 +8,7 @@
 use flamingopost_standin::pooled::{Entry, Order, Rollback, Run};
 
 /// A run with one caller, which writes `a` and then `b` to an item and reads `b`.
-struct Scene {
+struct Scenario {
     history: History,
     record: Record,
     start: Instant,
@@ -34,23 +34,23 @@
     }
 }
 
-fn scene() -> Scene {
-    let scene = Scene {
+fn scenario() -> Scenario {
+    let scenario = Scenario {
         history: History::default(),
         record: Record::default(),
         start: Instant::now(),
     };
-    let mut scene =
-        scene
+    let mut scenario =
+        scenario
             .write("1", "a", Outcome::Acknowledged)
             .write("2", "b", Outcome::Acknowledged);
-    scene.read("3", Some("b"), Duration::ZERO, None);
-    scene
+    scenario.read("3", Some("b"), Duration::ZERO, None);
+    scenario
 }
 
-impl Scene {
+impl Scenario {
     /// Adds a write of `data` that a server ran and committed.
-    fn write(mut self, id: &str, data: &str, outcome: Outcome) -> Scene {
+    fn write(mut self, id: &str, data: &str, outcome: Outcome) -> Scenario {
         let text = format!("STORE item {data}");
         self.history.record_statement(id, &text, None);
         if outcome == Outcome::Acknowledged {
@@ -98,19 +98,19 @@
 }
 
 #[test]
-fn a_history_in_order_passes() {
-    assert_eq!(scene().kinds(), []);
+fn a_correct_history_passes() {
+    assert_eq!(scenario().kinds(), []);
 }
 
 #[test]
 fn an_old_read_is_stale_unless_its_route_allows_the_age() {
-    let mut old = scene();
+    let mut old = scenario();
     old.read("4", Some("a"), Duration::ZERO, None);
     assert_eq!(old.kinds(), [Kind::Stale]);
-    let mut allowed = scene();
+    let mut allowed = scenario();
     allowed.read("4", Some("a"), Duration::from_secs(1), None);
     assert_eq!(allowed.kinds(), []);
-    let mut own = scene();
+    let mut own = scenario();
     own.read("4", None, Duration::from_secs(1), Some("a"));
     assert_eq!(own.kinds(), [Kind::Stale]);
 }
@@ -120,17 +120,17 @@
 #[test]
 fn a_read_may_miss_a_commit_only_while_that_is_rolled_back() {
     let kinds = |rolled_back: u64, restored: u64| {
-        let mut scene = scene();
-        let at = |millis| scene.start + Duration::from_millis(millis);
+        let mut scenario = scenario();
+        let at = |millis| scenario.start + Duration::from_millis(millis);
         let rollback = Rollback {
-            entry: scene.record.log[1].clone(),
+            entry: scenario.record.log[1].clone(),
             at: at(rolled_back),
             restored: Some(at(restored)),
         };
-        scene.record.rollbacks.push(rollback);
-        scene.read("4", Some("a"), Duration::ZERO, None);
-        scene.read("5", Some("a"), Duration::from_secs(1), Some("b"));
-        scene.kinds()
+        scenario.record.rollbacks.push(rollback);
+        scenario.read("4", Some("a"), Duration::ZERO, None);
+        scenario.read("5", Some("a"), Duration::from_secs(1), Some("b"));
+        scenario.kinds()
     };
     assert_eq!(kinds(550, 900), []);
     assert_eq!(kinds(601, 900), [Kind::Stale, Kind::Stale]);
@@ -138,76 +138,76 @@
 }
 
 #[test]
-fn a_read_of_what_nobody_committed_is_a_ghost() {
-    let mut scene = scene();
-    scene.read("4", Some("c"), Duration::ZERO, None);
-    assert_eq!(scene.kinds(), [Kind::Uncommitted]);
+fn a_read_of_uncommitted_data_is_found() {
+    let mut scenario = scenario();
+    scenario.read("4", Some("c"), Duration::ZERO, None);
+    assert_eq!(scenario.kinds(), [Kind::Uncommitted]);
     let entry = Entry::new(1, 3, "item", "c");
-    scene.record.rollbacks.push(Rollback::new(entry));
-    assert_eq!(scene.kinds(), [], "a promotion rolled it back");
+    scenario.record.rollbacks.push(Rollback::new(entry));
+    assert_eq!(scenario.kinds(), [], "a promotion rolled it back");
 }
 
 #[test]
-fn an_acknowledged_write_that_is_gone_is_lost() {
-    let mut scene = scene().write("4", "c", Outcome::Acknowledged);
-    let gone = scene.record.log.pop().expect("it was written");
-    assert_eq!(scene.kinds(), [Kind::Lost]);
-    scene.record.rollbacks.push(Rollback::new(gone));
-    assert_eq!(scene.kinds(), [], "a promotion rolled it back");
+fn a_missing_acknowledged_write_is_lost() {
+    let mut scenario = scenario().write("4", "c", Outcome::Acknowledged);
+    let gone = scenario.record.log.pop().expect("it was written");
+    assert_eq!(scenario.kinds(), [Kind::Lost]);
+    scenario.record.rollbacks.push(Rollback::new(gone));
+    assert_eq!(scenario.kinds(), [], "a promotion rolled it back");
 }
 
 #[test]
-fn a_write_that_counts_as_not_run_and_is_there_is_refused_falsely() {
+fn a_committed_write_that_was_refused_is_found() {
     assert_eq!(
-        scene().write("4", "c", Outcome::Discarded).kinds(),
+        scenario().write("4", "c", Outcome::Discarded).kinds(),
         [Kind::FalselyRefused]
     );
-    let open = scene().write("4", "c", Outcome::Unknown);
+    let open = scenario().write("4", "c", Outcome::Unknown);
     assert_eq!(open.kinds(), []);
 }
 
 #[test]
-fn a_write_that_is_there_twice_is_found() {
-    let mut scene = scene();
-    scene.record.log.push(Entry::new(1, 3, "item", "b"));
-    assert!(scene.kinds().contains(&Kind::Duplicated));
+fn a_write_committed_twice_is_found() {
+    let mut scenario = scenario();
+    scenario.record.log.push(Entry::new(1, 3, "item", "b"));
+    assert!(scenario.kinds().contains(&Kind::Duplicated));
 }
 
 #[test]
-fn what_nobody_sent_is_found() {
-    let mut unsent = scene();
+fn a_statement_that_no_caller_sent_is_found() {
+    let mut unsent = scenario();
     unsent.record.runs.push(run("9", "FETCH item", 7));
     assert_eq!(unsent.kinds(), [Kind::Unsent]);
-    let mut changed = scene();
+    let mut changed = scenario();
     changed.record.runs[0].text = "STORE item z".to_owned();
     assert_eq!(changed.kinds(), [Kind::Unsent]);
-    let mut written = scene();
+    let mut written = scenario();
     written.record.log.push(Entry::new(1, 3, "item", "z"));
     assert_eq!(written.kinds(), [Kind::Unsent]);
 }
 
 #[test]
-fn a_success_without_a_run_behind_it_is_found() {
-    let scene = scene();
-    scene.history.record_proof("3", "made-up");
-    assert_eq!(scene.kinds(), [Kind::Unproved]);
+fn a_success_without_proof_of_execution_is_found() {
+    let scenario = scenario();
+    scenario.history.record_proof("3", "made-up");
+    assert_eq!(scenario.kinds(), [Kind::Unproved]);
 }
 
 #[test]
-fn a_transaction_keeps_its_connection_to_itself() {
-    let transaction = |scene: &mut Scene, connections: [u64; 2]| {
+fn a_transaction_that_shares_or_changes_its_connection_is_found() {
+    let transaction = |scenario: &mut Scenario, connections: [u64; 2]| {
         for (id, connection) in ["5", "6"].into_iter().zip(connections) {
-            scene.history.record_statement(id, "FETCH item", Some(1));
-            scene.record.runs.push(run(id, "FETCH item", connection));
+            scenario.history.record_statement(id, "FETCH item", Some(1));
+            scenario.record.runs.push(run(id, "FETCH item", connection));
         }
     };
-    let mut right = scene();
+    let mut right = scenario();
     transaction(&mut right, [3, 3]);
     assert_eq!(right.kinds(), []);
-    let mut moved = scene();
+    let mut moved = scenario();
     transaction(&mut moved, [3, 4]);
     assert_eq!(moved.kinds(), [Kind::Unpinned]);
-    let mut shared = scene();
+    let mut shared = scenario();
     transaction(&mut shared, [3, 3]);
     shared.history.record_statement("8", "FETCH item", None);
     let position = shared.record.runs.len() - 1;
@@ -219,14 +219,14 @@
 }
 
 #[test]
-fn two_hosts_under_one_token_are_found() {
-    let mut scene = scene();
-    scene.record.orders = vec![
+fn a_fencing_token_used_by_two_hosts_is_found() {
+    let mut scenario = scenario();
+    scenario.record.orders = vec![
         order("entry-1", 5),
         order("entry-1", 5),
         order("entry-2", 6),
     ];
-    assert_eq!(scene.kinds(), []);
-    scene.record.orders.push(order("entry-2", 5));
-    assert_eq!(scene.kinds(), [Kind::SharedToken]);
+    assert_eq!(scenario.kinds(), []);
+    scenario.record.orders.push(order("entry-2", 5));
+    assert_eq!(scenario.kinds(), [Kind::SharedToken]);
 }
