--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -14,7 +14,7 @@
 use crate::error::Error;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-const TIMEOUT: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Where to ask and with which token.
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
         };
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .no_proxy()
             .build()
             .map_err(|error| unreachable(&address, &error))?;
@@ -77,10 +77,10 @@
 
     /// Asks for `path` with `query`.
     pub fn get<T: DeserializeOwned>(&self, path: &str, query: &[(&str, &str)]) -> Result<T, Error> {
-        let request = self.http.get(self.url(path)?.with(query).0);
+        let request = self.http.get(self.url(path)?.with_query(query).0);
         match self.send(request, path)? {
             Reply::Done(body) => Ok(body),
-            Reply::Refused(refused) => Err(Error::refused(refused, &self.address)),
+            Reply::Refused(refused) => Err(Error::from_refusal(refused, &self.address)),
         }
     }
 
@@ -122,18 +122,21 @@
     ) -> Result<Reply<T>, Error> {
         let request = request.bearer_auth(&self.token);
         let (status, body) = self.runtime.block_on(async {
-            let response = request.send().await.map_err(|error| self.failed(&error))?;
+            let response = request
+                .send()
+                .await
+                .map_err(|error| self.send_error(&error))?;
             let status = response.status();
             let body = response
                 .bytes()
                 .await
-                .map_err(|error| self.failed(&error))?;
+                .map_err(|error| self.send_error(&error))?;
             Ok::<_, Error>((status, body))
         })?;
-        self.judge(status, &body, path)
+        self.decode_reply(status, &body, path)
     }
 
-    fn judge<T: DeserializeOwned>(
+    fn decode_reply<T: DeserializeOwned>(
         &self,
         status: StatusCode,
         body: &[u8],
@@ -157,8 +160,8 @@
             }
         } else if let Ok(refused) = serde_json::from_slice(body) {
             return Ok(Reply::Refused(refused));
-        } else if let Ok(NotNow { reason }) = serde_json::from_slice(body) {
-            return Err(Error::NotNow { reason });
+        } else if let Ok(OrderRefusal { reason }) = serde_json::from_slice(body) {
+            return Err(Error::OrderRefused { reason });
         }
         Err(Error::Unexpected {
             address,
@@ -168,7 +171,7 @@
     }
 
     // Only a request that found nobody to connect to is known not to have arrived.
-    fn failed(&self, error: &reqwest::Error) -> Error {
+    fn send_error(&self, error: &reqwest::Error) -> Error {
         if error.is_connect() {
             return unreachable(&self.address, error);
         }
@@ -180,14 +183,14 @@
 
 /// What a controller says of an order that the state of the fleet does not allow.
 #[derive(Debug, Deserialize)]
-struct NotNow {
+struct OrderRefusal {
     reason: Ordered,
 }
 
 struct Url(reqwest::Url);
 
 impl Url {
-    fn with(mut self, query: &[(&str, &str)]) -> Url {
+    fn with_query(mut self, query: &[(&str, &str)]) -> Url {
         if !query.is_empty() {
             self.0.query_pairs_mut().extend_pairs(query);
         }
@@ -197,8 +200,8 @@
 
 fn unreachable(address: &str, error: &reqwest::Error) -> Error {
     let mut cause: &dyn std::error::Error = error;
-    while let Some(deeper) = cause.source() {
-        cause = deeper;
+    while let Some(source) = cause.source() {
+        cause = source;
     }
     Error::Unreachable {
         address: address.to_owned(),
--- a/crates/ctl/src/cmd/check.rs
+++ b/crates/ctl/src/cmd/check.rs
@@ -56,7 +56,7 @@
 }
 
 /// A file's text.
-pub fn read(path: &Path) -> Result<String, Error> {
+pub fn read_file(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path).map_err(|source| Error::file(path, source))
 }
 
@@ -68,7 +68,7 @@
 /// Runs the subcommand.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Check::from_vec(args)?;
-    let text = read(&args.file)?;
+    let text = read_file(&args.file)?;
     let fleet = parse(&args.file, &text, &mut Directory::default())?;
     output::print(args.json, &Summary::from(&fleet), |summary| {
         let Summary {
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -75,10 +75,10 @@
 
 fn changes(old: &Document, new: &Document) -> Vec<Change> {
     let (before, after) = (sections(old), sections(new));
-    let places: BTreeSet<_> = before.keys().chain(after.keys()).copied().collect();
+    let ids: BTreeSet<_> = before.keys().chain(after.keys()).copied().collect();
     let mut changes = Vec::new();
-    for place in places {
-        match (before.get(&place), after.get(&place)) {
+    for id in ids {
+        match (before.get(&id), after.get(&id)) {
             (Some(old), Some(new)) => changes.extend(key_changes(old, new)),
             (None, Some(new)) => changes.push(Change::Added {
                 section: heading(new),
@@ -165,10 +165,10 @@
 /// Runs the subcommand.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Diff::from_vec(args)?;
-    let text = check::read(&args.file)?;
+    let text = check::read_file(&args.file)?;
     check::parse(&args.file, &text, &mut Directory::default())?;
     let (base, old) = match &args.against {
-        Some(path) => (None, check::read(path)?),
+        Some(path) => (None, check::read_file(path)?),
         None => {
             let client = Client::open(Access {
                 admin: args.admin,
@@ -178,7 +178,7 @@
             (Some(stored.version), stored.body)
         }
     };
-    let read = |text: &str| Document::read(text, &mut Vec::new());
-    let changes = changes(&read(&old), &read(&text));
+    let document = |text: &str| Document::read(text, &mut Vec::new());
+    let changes = changes(&document(&old), &document(&text));
     output::print(args.json, &Difference { base, changes }, show)
 }
--- a/crates/ctl/src/cmd/drain.rs
+++ b/crates/ctl/src/cmd/drain.rs
@@ -62,13 +62,13 @@
 
 /// What was ordered.
 #[derive(Debug, Serialize)]
-struct Ordered {
+struct DrainOutcome {
     name: Order,
     undone: bool,
     answer: Value,
 }
 
-fn find(client: &Client, name: &str) -> Result<Kind, Error> {
+fn resolve_kind(client: &Client, name: &str) -> Result<Kind, Error> {
     let status: Status = client.get("/v1/status", &[])?;
     let host = status.hosts.iter().any(|host| host.host == name);
     let mut servers = status.services.iter().flat_map(|service| &service.servers);
@@ -76,8 +76,8 @@
     match (host, server) {
         (true, false) => Ok(Kind::Host),
         (false, true) => Ok(Kind::Server),
-        (true, true) => Err(Error::TwoCalled(name.to_owned())),
-        (false, false) => Err(Error::NobodyCalled(name.to_owned())),
+        (true, true) => Err(Error::AmbiguousName(name.to_owned())),
+        (false, false) => Err(Error::NameNotFound(name.to_owned())),
     }
 }
 
@@ -90,7 +90,7 @@
     })?;
     let kind = match args.kind {
         Some(kind) => kind,
-        None => find(&client, &args.name)?,
+        None => resolve_kind(&client, &args.name)?,
     };
     let order = match kind {
         Kind::Host => Order::Host(args.name.clone()),
@@ -102,19 +102,19 @@
     };
     let answer = match reply {
         Reply::Done(answer) => answer,
-        Reply::Refused(refused) => return Err(Error::refused(refused, client.address())),
+        Reply::Refused(refused) => return Err(Error::from_refusal(refused, client.address())),
     };
-    let ordered = Ordered {
+    let outcome = DrainOutcome {
         name: order,
         undone: args.undo,
         answer,
     };
-    output::print(args.json, &ordered, |_| {
-        let now = if args.undo {
+    output::print(args.json, &outcome, |_| {
+        let work = if args.undo {
             "new work again"
         } else {
             "no new work"
         };
-        format!("{} receives {now}", args.name)
+        format!("{} receives {work}", args.name)
     })
 }
--- a/crates/ctl/src/cmd/explain.rs
+++ b/crates/ctl/src/cmd/explain.rs
@@ -42,7 +42,7 @@
 }
 
 fn from_file(path: &Path, args: &Explain) -> Result<Explanation, Error> {
-    let text = check::read(path)?;
+    let text = check::read_file(path)?;
     let mut directory = Directory::default();
     let fleet = check::parse(path, &text, &mut directory)?;
     let index = Index::new(Arc::new(fleet));
--- a/crates/ctl/src/cmd/history.rs
+++ b/crates/ctl/src/cmd/history.rs
@@ -26,7 +26,7 @@
     }
 }
 
-const DIGEST_SHOWN: usize = 12;
+const DIGEST_PREFIX_CHARS: usize = 12;
 
 fn show(records: &Vec<Record>) -> String {
     let mut rows = output::table(&["version", "operator", "at", "submission", "digest"]);
@@ -34,23 +34,23 @@
         rows.add_row([
             record.version.to_string(),
             record.operator.clone(),
-            output::or_dash(&record.at.map(date)),
+            output::or_dash(&record.at.map(format_time)),
             record.submission.clone(),
-            record.digest.chars().take(DIGEST_SHOWN).collect(),
+            record.digest.chars().take(DIGEST_PREFIX_CHARS).collect(),
         ]);
     }
     rows.to_string()
 }
 
-fn date(seconds: u64) -> String {
+fn format_time(seconds: u64) -> String {
     match SystemTime::UNIX_EPOCH.checked_add(Duration::from_secs(seconds)) {
-        Some(time) if seconds < YEAR_9999 => httpdate::fmt_http_date(time),
+        Some(time) if seconds < YEAR_10000_SECONDS => httpdate::fmt_http_date(time),
         _ => seconds.to_string(),
     }
 }
 
 /// Later moments have no HTTP date.
-const YEAR_9999: u64 = 253_402_300_800;
+const YEAR_10000_SECONDS: u64 = 253_402_300_800;
 
 /// Runs the subcommand.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
--- a/crates/ctl/src/cmd/promote.rs
+++ b/crates/ctl/src/cmd/promote.rs
@@ -46,7 +46,7 @@
     };
     let ordered: Ordered = match client.post("/v1/promote", &order)? {
         Reply::Done(ordered) => ordered,
-        Reply::Refused(refused) => return Err(Error::refused(refused, client.address())),
+        Reply::Refused(refused) => return Err(Error::from_refusal(refused, client.address())),
     };
     output::print(args.json, &ordered, |_| {
         format!("promotion of {} has begun", order.service)
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -31,16 +31,16 @@
 /// What was asked tells a fleet's status or its own, by what it is.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
-enum Told {
+enum StatusReport {
     Fleet(Fleet),
     Host(Host),
 }
 
-impl Told {
+impl StatusReport {
     fn show(&self) -> String {
         match self {
-            Told::Fleet(fleet) => fleet_tables::show(fleet),
-            Told::Host(host) => host_tables::show(host),
+            StatusReport::Fleet(fleet) => fleet_tables::show(fleet),
+            StatusReport::Host(host) => host_tables::show(host),
         }
     }
 }
@@ -52,6 +52,6 @@
         admin: args.admin,
         token_file: args.token_file,
     })?;
-    let told: Told = client.get("/v1/status", &[])?;
-    output::print(args.json, &told, Told::show)
+    let report: StatusReport = client.get("/v1/status", &[])?;
+    output::print(args.json, &report, StatusReport::show)
 }
--- a/crates/ctl/src/cmd/submit.rs
+++ b/crates/ctl/src/cmd/submit.rs
@@ -40,8 +40,8 @@
 }
 
 /// Looks into the history after a lost answer.
-const LOOKS: u32 = 4;
-const BETWEEN_LOOKS: Duration = Duration::from_millis(500);
+const HISTORY_LOOKUPS: u32 = 4;
+const HISTORY_LOOKUP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What became of it.
 #[derive(Debug, Serialize)]
@@ -58,8 +58,10 @@
         Ok(Reply::Refused(Refused::Conflict { winner })) if winner.submission == *id => {
             Ok(winner.version)
         }
-        Ok(Reply::Refused(Refused::Unknown)) | Err(Error::AnswerLost { .. }) => settle(client, id),
-        Ok(Reply::Refused(refused)) => Err(Error::refused(refused, client.address())),
+        Ok(Reply::Refused(Refused::Unknown)) | Err(Error::AnswerLost { .. }) => {
+            resolve_from_history(client, id)
+        }
+        Ok(Reply::Refused(refused)) => Err(Error::from_refusal(refused, client.address())),
         Err(error) => Err(error),
     }
 }
@@ -67,9 +69,9 @@
 // An answer can be lost after the submission took effect. The operator would see an error and
 // submit again, now as a conflict with themselves. The history names the id of each version, so
 // finding ours there is proof; not finding it proves nothing, since it may still be under way.
-fn settle(client: &Client, id: &str) -> Result<u64, Error> {
-    for _ in 0..LOOKS {
-        thread::sleep(BETWEEN_LOOKS);
+fn resolve_from_history(client: &Client, id: &str) -> Result<u64, Error> {
+    for _ in 0..HISTORY_LOOKUPS {
+        thread::sleep(HISTORY_LOOKUP_INTERVAL);
         let history: Vec<Record> = client.get("/v1/history", &[]).unwrap_or_default();
         if let Some(record) = history.iter().find(|record| record.submission == id) {
             return Ok(record.version);
@@ -87,7 +89,7 @@
 /// Runs the subcommand.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Submit::from_vec(args)?;
-    let body = check::read(&args.file)?;
+    let body = check::read_file(&args.file)?;
     check::parse(&args.file, &body, &mut Directory::default())?;
     let operator = args.operator.or_else(|| env::var("USER").ok());
     let submission = Submission {
--- a/crates/ctl/src/cmd/verifier.rs
+++ b/crates/ctl/src/cmd/verifier.rs
@@ -24,7 +24,7 @@
 
 /// What goes into a configuration.
 #[derive(Debug, Serialize)]
-struct Made {
+struct VerifierOutput {
     verifier: String,
 }
 
@@ -40,5 +40,7 @@
         return Err(Error::EmptyPassword);
     }
     let verifier = password::scram_sha_256(password.as_bytes());
-    output::print(args.json, &Made { verifier }, |made| made.verifier.clone())
+    output::print(args.json, &VerifierOutput { verifier }, |generated| {
+        generated.verifier.clone()
+    })
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -67,7 +67,7 @@
     },
 ];
 
-const ABOUT: &str = "\
+const HELP_HEADER: &str = "\
 flamingopostctl - operate a flamingopost fleet
 
 USAGE:
@@ -77,7 +77,7 @@
 COMMANDS:
 ";
 
-const NOTES: &str = "
+const HELP_FOOTER: &str = "
 ENVIRONMENT:
     FLAMINGOPOST_ADMIN   IP:PORT of a host's operators' HTTP, where --admin is not given
     FLAMINGOPOST_TOKEN   the operators' token, where --token-file is not given
@@ -126,9 +126,9 @@
 }
 
 fn help() -> String {
-    let mut text = ABOUT.to_owned();
+    let mut text = HELP_HEADER.to_owned();
     for command in &COMMANDS {
         text += &format!("    {:<10}{}\n", command.name, command.summary);
     }
-    text + NOTES
+    text + HELP_FOOTER
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -74,7 +74,7 @@
         path: String,
     },
     /// not now: {reason}
-    NotNow {
+    OrderRefused {
         /// Why.
         reason: Ordered,
     },
@@ -95,9 +95,9 @@
         caller: String,
     },
     /// there is no host or server called `{0}`
-    NobodyCalled(String),
+    NameNotFound(String),
     /// both a host and a server are called `{0}`; give --kind host or --kind server
-    TwoCalled(String),
+    AmbiguousName(String),
     /// the password on standard input is empty
     EmptyPassword,
     /// standard output: {0}
@@ -124,7 +124,7 @@
             | Error::UnknownCommand(_)
             | Error::NoAddress
             | Error::NoToken
-            | Error::TwoCalled(_) => Error::USAGE,
+            | Error::AmbiguousName(_) => Error::USAGE,
             Error::Invalid(_) => Error::INVALID,
             Error::Conflict { .. } => Error::CONFLICT,
             Error::Unreachable { .. } | Error::Unavailable { .. } => Error::UNREACHABLE,
@@ -133,16 +133,16 @@
             Error::File { .. }
             | Error::NotFound { .. }
             | Error::Unexpected { .. }
-            | Error::NotNow { .. }
+            | Error::OrderRefused { .. }
             | Error::NotInConfiguration { .. }
-            | Error::NobodyCalled(_)
+            | Error::NameNotFound(_)
             | Error::EmptyPassword
             | Error::Output(_) => Error::FAILED,
         }
     }
 
     /// A fixed word that scripts may test.
-    fn word(&self) -> &'static str {
+    fn category(&self) -> &'static str {
         match self.exit_code() {
             Error::USAGE => "usage",
             Error::INVALID => "invalid",
@@ -175,7 +175,7 @@
     }
 
     fn to_json(&self) -> serde_json::Value {
-        let mut object = json!({ "error": self.word(), "message": self.to_string() });
+        let mut object = json!({ "error": self.category(), "message": self.to_string() });
         match self {
             Error::Invalid(problems) => object["problems"] = json!(problems),
             Error::Conflict {
@@ -196,7 +196,7 @@
     }
 
     /// What a refusal means.
-    pub fn refused(refused: Refused, address: &str) -> Error {
+    pub fn from_refusal(refused: Refused, address: &str) -> Error {
         match refused {
             Refused::Conflict { winner } => Error::Conflict {
                 version: winner.version,
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -18,21 +18,21 @@
     table
 }
 
-/// Prints `value` as JSON, or else the text that `human` makes of it.
+/// Prints `value` as JSON, or else the text that `to_text` makes of it.
 pub fn print<T: Serialize>(
     json: bool,
     value: &T,
-    human: impl FnOnce(&T) -> String,
+    to_text: impl FnOnce(&T) -> String,
 ) -> Result<(), Error> {
     let text = match json {
         true => serde_json::to_string(value).map_err(|error| Error::Output(error.into()))?,
-        false => human(value),
+        false => to_text(value),
     };
-    lines(&text)
+    print_lines(&text)
 }
 
 /// Prints a text without the blanks that end its lines.
-fn lines(text: &str) -> Result<(), Error> {
+fn print_lines(text: &str) -> Result<(), Error> {
     let mut out = io::stdout().lock();
     for line in text.trim_end().lines() {
         match writeln!(out, "{}", line.trim_end()) {
@@ -50,7 +50,7 @@
 }
 
 /// The tables that have rows, with a blank line between them.
-fn paragraphs<const COUNT: usize>(tables: [Table; COUNT]) -> String {
+fn join_tables<const COUNT: usize>(tables: [Table; COUNT]) -> String {
     let filled = tables.iter().filter(|table| !table.is_empty());
     let texts: Vec<String> = filled.map(Table::to_string).collect();
     texts.join("\n\n")
--- a/crates/ctl/src/output/fleet_tables.rs
+++ b/crates/ctl/src/output/fleet_tables.rs
@@ -3,11 +3,11 @@
 use comfy_table::Table;
 use flamingopost_wire::status::Status;
 
-use super::{or_dash, paragraphs, table};
+use super::{join_tables, or_dash, table};
 
 /// Every table that has something to say.
 pub fn show(fleet: &Status) -> String {
-    paragraphs([
+    join_tables([
         hosts(fleet),
         services(fleet),
         servers(fleet),
--- a/crates/ctl/src/output/host_tables.rs
+++ b/crates/ctl/src/output/host_tables.rs
@@ -3,14 +3,14 @@
 use comfy_table::Table;
 use flamingopost_wire::host_status::Status;
 
-use super::{or_dash, paragraphs, table};
+use super::{join_tables, or_dash, table};
 
 /// Every table that has something to say.
 pub fn show(host: &Status) -> String {
-    paragraphs([own(host), leases(host), services(host), pools(host)])
+    join_tables([summary(host), leases(host), services(host), pools(host)])
 }
 
-fn own(host: &Status) -> Table {
+fn summary(host: &Status) -> Table {
     let mut rows = table(&["host", "zone", "phase", "config", "heard of", "incarnation"]);
     rows.add_row([
         host.host.clone(),
--- a/crates/ctl/tests/ctl/check.rs
+++ b/crates/ctl/tests/ctl/check.rs
@@ -3,7 +3,7 @@
 use crate::workdir::{TESFA, Workdir};
 
 #[test]
-fn a_valid_file_is_said_to_be_valid() {
+fn a_valid_file_prints_a_summary() {
     let run = Workdir::new()
         .file("fleet.ini", TESFA)
         .run(&["check", "fleet.ini"]);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn every_problem_is_named_with_its_fix() {
+fn every_problem_is_reported_with_its_fix() {
     let bad = TESFA
         .replace("zone = akaki-hall", "zone = akaki")
         .replace("then.max_age = 500ms", "then.max_age = 500");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_missing_file_is_a_failure() {
+fn a_missing_file_fails() {
     let run = Workdir::new().run(&["check", "none.ini"]);
     assert_eq!(run.code, 1);
     assert!(run.err.starts_with("flamingopostctl: none.ini: "));
--- a/crates/ctl/tests/ctl/diff.rs
+++ b/crates/ctl/tests/ctl/diff.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use crate::fake::{Answer, Fake};
+use crate::fake_host::{Answer, FakeHost};
 use crate::workdir::{TESFA, Workdir};
 
 fn changed() -> String {
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn the_configuration_in_force_is_what_a_file_is_compared_with() {
+fn a_file_is_compared_with_the_configuration_in_force() {
     let stored = json!({"version": 7, "digest": "", "body": TESFA, "submitted_by": "asha", "submission": "s"});
-    let fake = Fake::new(&[Answer::Say(200, stored)]);
+    let fake = FakeHost::new(&[Answer::Respond(200, stored)]);
     let workdir = Workdir::new();
     workdir.file("new.ini", &changed());
     let run = workdir.run_at(fake.address, &["diff", "new.ini", "--json"]);
--- a/crates/ctl/tests/ctl/explain.rs
+++ b/crates/ctl/tests/ctl/explain.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use crate::fake::{Answer, Fake};
+use crate::fake_host::{Answer, FakeHost};
 use crate::workdir::{TESFA, Workdir};
 
 const SQL: &str = "SELECT * FROM lots";
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_file_tells_which_rule_applies() {
+fn a_file_shows_which_rule_applies() {
     let workdir = Workdir::new();
     workdir.file("fleet.ini", TESFA);
     let view = workdir.run(&by_file("member", SQL)).json();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn people_get_a_table() {
+fn without_json_the_output_is_a_table() {
     let workdir = Workdir::new();
     workdir.file("fleet.ini", TESFA);
     let args = [
@@ -69,23 +69,23 @@
 }
 
 #[test]
-fn a_caller_that_is_not_described_is_a_failure() {
+fn an_unknown_caller_fails() {
     let workdir = Workdir::new();
     workdir.file("fleet.ini", TESFA);
     assert_eq!(workdir.run(&by_file("nobody", SQL)).code, 1);
 }
 
 #[test]
-fn an_entry_host_tells_where_the_statement_would_go() {
+fn an_entry_host_reports_where_the_statement_would_go() {
     let workdir = Workdir::new();
     workdir.file("fleet.ini", TESFA);
     let mut explanation = workdir.run(&by_file("member", SQL)).json();
     explanation["route"] = json!({"type": "go", "server": "auction-ledger-2", "part": "replica"});
-    let fake = Fake::new(&[Answer::Say(200, explanation.clone())]);
+    let fake = FakeHost::new(&[Answer::Respond(200, explanation.clone())]);
     let run = workdir.run_at(fake.address, &args("member", SQL));
     assert_eq!(run.json(), explanation);
     assert_eq!(
-        fake.asked()[0].what,
+        fake.requests()[0].method_and_uri,
         "GET /v1/explain?service=auction-ledger&caller=member&sql=SELECT+*+FROM+lots"
     );
 }
--- a/crates/ctl/tests/ctl/fake.rs
+++ b/crates/ctl/tests/ctl/fake_host.rs
@@ -18,46 +18,46 @@
 #[derive(Debug, Clone)]
 pub enum Answer {
     /// A status and a body.
-    Say(u16, Value),
+    Respond(u16, Value),
     /// The request is taken, and the connection breaks before the answer.
-    Lose,
+    Disconnect,
 }
 
 /// One request.
 #[derive(Debug, Clone)]
-pub struct Asked {
-    pub what: String,
+pub struct Request {
+    pub method_and_uri: String,
     pub body: Value,
 }
 
 #[derive(Debug, Default)]
 struct State {
     answers: VecDeque<Answer>,
-    asked: Vec<Asked>,
+    requests: Vec<Request>,
 }
 
 /// The host.
 #[derive(Debug)]
-pub struct Fake {
+pub struct FakeHost {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-impl Fake {
-    pub fn new(answers: &[Answer]) -> Fake {
+impl FakeHost {
+    pub fn new(answers: &[Answer]) -> FakeHost {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let address = listener.local_addr().expect("an address");
         let state = Arc::new(Mutex::new(State {
             answers: answers.iter().cloned().collect(),
-            asked: Vec::new(),
+            requests: Vec::new(),
         }));
         let shared = Data::from(Arc::clone(&state));
         thread::spawn(move || serve(listener, shared));
-        Fake { address, state }
+        FakeHost { address, state }
     }
 
-    pub fn asked(&self) -> Vec<Asked> {
-        self.state.lock().expect("no panic").asked.clone()
+    pub fn requests(&self) -> Vec<Request> {
+        self.state.lock().expect("no panic").requests.clone()
     }
 }
 
@@ -77,16 +77,16 @@
         return HttpResponse::Unauthorized().finish();
     }
     let mut state = state.lock().expect("no panic");
-    state.asked.push(Asked {
-        what: format!("{} {}", request.method(), request.uri()),
+    state.requests.push(Request {
+        method_and_uri: format!("{} {}", request.method(), request.uri()),
         body: serde_json::from_slice(&body).unwrap_or_default(),
     });
     match state.answers.pop_front() {
-        Some(Answer::Say(status, body)) => {
+        Some(Answer::Respond(status, body)) => {
             let status = StatusCode::from_u16(status).expect("a status");
             HttpResponse::build(status).json(body)
         }
-        Some(Answer::Lose) => {
+        Some(Answer::Disconnect) => {
             let broken = Err::<Bytes, io::Error>(io::ErrorKind::ConnectionReset.into());
             HttpResponse::Ok().streaming(stream::iter([broken]))
         }
--- a/crates/ctl/tests/ctl/history.rs
+++ b/crates/ctl/tests/ctl/history.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use crate::fake::{Answer, Fake};
+use crate::fake_host::{Answer, FakeHost};
 use crate::workdir::Workdir;
 
 #[test]
@@ -11,9 +11,9 @@
         {"version": 2, "digest": "ab".repeat(32), "submission": "s2", "operator": "asha", "at": 1_764_700_000},
         {"version": 1, "digest": "cd".repeat(32), "submission": "s1", "operator": "bela", "at": null},
     ]);
-    let fake = Fake::new(&[
-        Answer::Say(200, records.clone()),
-        Answer::Say(200, records.clone()),
+    let fake = FakeHost::new(&[
+        Answer::Respond(200, records.clone()),
+        Answer::Respond(200, records.clone()),
     ]);
     let workdir = Workdir::new();
     let run = workdir.run_at(fake.address, &["history"]);
@@ -28,5 +28,5 @@
     assert!(rows[2].contains("bela"));
     let run = workdir.run_at(fake.address, &["history", "--json"]);
     assert_eq!(run.json(), records);
-    assert_eq!(fake.asked()[0].what, "GET /v1/history");
+    assert_eq!(fake.requests()[0].method_and_uri, "GET /v1/history");
 }
--- a/crates/ctl/tests/ctl/main.rs
+++ b/crates/ctl/tests/ctl/main.rs
@@ -4,7 +4,7 @@
 mod diff;
 mod drain;
 mod explain;
-mod fake;
+mod fake_host;
 mod history;
 mod promote;
 mod show;
--- a/crates/ctl/tests/ctl/status.rs
+++ b/crates/ctl/tests/ctl/status.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::fake::{Answer, Fake};
+use crate::fake_host::{Answer, FakeHost};
 use crate::workdir::Workdir;
 
 fn fleet() -> Value {
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_fleet_is_shown_in_tables() {
-    let fake = Fake::new(&[Answer::Say(200, fleet()), Answer::Say(200, fleet())]);
+    let fake = FakeHost::new(&[Answer::Respond(200, fleet()), Answer::Respond(200, fleet())]);
     let workdir = Workdir::new();
     let run = workdir.run_at(fake.address, &["status"]);
     assert_eq!(run.code, 0);
@@ -42,16 +42,19 @@
 }
 
 #[test]
-fn an_entry_host_tells_of_its_leases_and_pools() {
+fn an_entry_host_reports_its_leases_and_pools() {
     let server = json!({"server": "auction-ledger-1", "allotment": 9, "open": 4, "idle": 3,
                         "waiting": 17, "position": "1.4/90", "leaving": true});
     let service = json!({"service": "auction-ledger", "shard": 2, "state": "lapsed", "term": "1.4",
                          "primary": "auction-ledger-1", "acknowledged": null, "servers": [server]});
     let shard = json!({"shard": 2, "controller": {"epoch": 1, "rpc": "10.0.1.4:7070"},
                        "view": "1.8", "lease_left_ms": 2100});
-    let own = json!({"host": "entry-1", "zone": "bole-hall", "incarnation": 255, "phase": "draining",
+    let host_status = json!({"host": "entry-1", "zone": "bole-hall", "incarnation": 255, "phase": "draining",
                      "version": 3, "digest": "ab", "heard": 4, "shards": [shard], "services": [service]});
-    let fake = Fake::new(&[Answer::Say(200, own.clone()), Answer::Say(200, own.clone())]);
+    let fake = FakeHost::new(&[
+        Answer::Respond(200, host_status.clone()),
+        Answer::Respond(200, host_status.clone()),
+    ]);
     let workdir = Workdir::new();
     let run = workdir.run_at(fake.address, &["status"]);
     assert_eq!(run.code, 0);
@@ -69,13 +72,13 @@
     }
     assert_eq!(
         workdir.run_at(fake.address, &["status", "--json"]).json(),
-        own
+        host_status
     );
 }
 
 #[test]
-fn an_answer_that_is_no_status_is_a_failure() {
-    let fake = Fake::new(&[Answer::Say(200, json!({"host": "entry-1"}))]);
+fn a_malformed_status_fails() {
+    let fake = FakeHost::new(&[Answer::Respond(200, json!({"host": "entry-1"}))]);
     let run = Workdir::new().run_at(fake.address, &["status"]);
     assert_eq!(run.code, 1);
     assert!(run.err.contains("answered 200"));
--- a/crates/ctl/tests/ctl/submit.rs
+++ b/crates/ctl/tests/ctl/submit.rs
@@ -2,12 +2,12 @@
 
 use serde_json::{Value, json};
 
-use crate::fake::{Answer, Fake};
+use crate::fake_host::{Answer, FakeHost};
 use crate::workdir::{Run, TESFA, Workdir};
 
 const ID: &str = "0123456789abcdef";
 
-fn submit(fake: &Fake) -> Run {
+fn submit(fake: &FakeHost) -> Run {
     let workdir = Workdir::new();
     workdir.file("fleet.ini", TESFA);
     let args = [
@@ -28,29 +28,29 @@
 
 fn conflict(submission: &str) -> Answer {
     let winner = json!({"version": 5, "operator": "bela", "submission": submission});
-    Answer::Say(409, json!({"type": "conflict", "winner": winner}))
+    Answer::Respond(409, json!({"type": "conflict", "winner": winner}))
 }
 
 #[test]
-fn an_accepted_submission_gives_its_version() {
-    let fake = Fake::new(&[Answer::Say(200, json!({"version": 5}))]);
+fn an_accepted_submission_prints_its_version() {
+    let fake = FakeHost::new(&[Answer::Respond(200, json!({"version": 5}))]);
     let run = submit(&fake);
     assert_eq!(
         (run.code, run.json()),
         (0, json!({"version": 5, "submission": ID}))
     );
-    let asked = &fake.asked()[0];
-    assert_eq!(asked.what, "POST /v1/config");
+    let request = &fake.requests()[0];
+    assert_eq!(request.method_and_uri, "POST /v1/config");
     assert_eq!(
-        asked.body,
+        request.body,
         json!({"base": 4, "submission": ID, "operator": "asha", "body": TESFA})
     );
 }
 
 #[test]
-fn each_submission_has_an_id_of_its_own() {
-    let accepted = Answer::Say(200, json!({"version": 5}));
-    let fake = Fake::new(&[accepted.clone(), accepted]);
+fn each_submission_has_a_unique_id() {
+    let accepted = Answer::Respond(200, json!({"version": 5}));
+    let fake = FakeHost::new(&[accepted.clone(), accepted]);
     let workdir = Workdir::new();
     workdir.file("fleet.ini", TESFA);
     for _ in 0..2 {
@@ -61,13 +61,16 @@
             0
         );
     }
-    let asked = fake.asked();
-    assert_ne!(asked[0].body["submission"], asked[1].body["submission"]);
+    let requests = fake.requests();
+    assert_ne!(
+        requests[0].body["submission"],
+        requests[1].body["submission"]
+    );
 }
 
 #[test]
-fn an_invalid_file_is_not_even_sent() {
-    let fake = Fake::new(&[]);
+fn an_invalid_file_is_not_sent() {
+    let fake = FakeHost::new(&[]);
     let workdir = Workdir::new();
     workdir.file("fleet.ini", "[fleet]\n");
     assert_eq!(
@@ -76,14 +79,14 @@
             .code,
         3
     );
-    assert!(fake.asked().is_empty());
+    assert!(fake.requests().is_empty());
 }
 
 // Two operators submit at the same moment, both from version 4. One of them must learn that the
 // other came first, and who that was; nothing of theirs may be in force.
 #[test]
-fn the_loser_of_a_race_learns_who_won() {
-    let fake = Fake::new(&[conflict("another")]);
+fn a_conflict_reports_the_winning_submission() {
+    let fake = FakeHost::new(&[conflict("another")]);
     let run = submit(&fake);
     assert_eq!(run.code, 4);
     let error = run.json();
@@ -95,47 +98,47 @@
 // The controller accepts version 5 and the connection breaks before its answer arrives. The
 // operator must be told "accepted", not an error on which they would submit again.
 #[test]
-fn a_lost_answer_is_settled_by_the_history() {
-    let history = Answer::Say(200, json!([record(5, ID), record(4, "another")]));
-    let fake = Fake::new(&[Answer::Lose, history.clone()]);
+fn a_lost_answer_is_resolved_from_the_history() {
+    let history = Answer::Respond(200, json!([record(5, ID), record(4, "another")]));
+    let fake = FakeHost::new(&[Answer::Disconnect, history.clone()]);
     let run = submit(&fake);
     assert_eq!((run.code, run.json()["version"].clone()), (0, json!(5)));
 
-    let unknown = Answer::Say(503, json!({"type": "unknown"}));
-    let fake = Fake::new(&[unknown, history]);
+    let unknown = Answer::Respond(503, json!({"type": "unknown"}));
+    let fake = FakeHost::new(&[unknown, history]);
     assert_eq!(submit(&fake).code, 0);
 }
 
 // The answer is lost and the operator runs the command again with the same id, as they are told.
 // The first try had been accepted, so the second one meets itself as the winner.
 #[test]
-fn a_submission_that_lost_against_itself_was_accepted() {
-    let run = submit(&Fake::new(&[conflict(ID)]));
+fn a_conflict_with_the_same_submission_id_means_accepted() {
+    let run = submit(&FakeHost::new(&[conflict(ID)]));
     assert_eq!((run.code, run.json()["version"].clone()), (0, json!(5)));
 }
 
 // The answer is lost and the history does not name the submission yet. It may still be accepted,
 // so neither "accepted" nor "refused" would be true.
 #[test]
-fn what_cannot_be_settled_is_called_unknown() {
-    let history = Answer::Say(200, json!([record(4, "another")]));
-    let mut answers = vec![Answer::Lose];
+fn an_unresolved_outcome_is_reported_as_unknown() {
+    let history = Answer::Respond(200, json!([record(4, "another")]));
+    let mut answers = vec![Answer::Disconnect];
     answers.extend(std::iter::repeat_n(history, 4));
-    let run = submit(&Fake::new(&answers));
+    let run = submit(&FakeHost::new(&answers));
     assert_eq!(run.code, 7);
     assert_eq!(run.json()["submission"], ID);
 }
 
 #[test]
-fn an_unavailable_platform_and_a_refusal_by_the_host_have_their_codes() {
-    let run = submit(&Fake::new(&[Answer::Say(
+fn an_unavailable_platform_and_an_invalid_configuration_have_their_exit_codes() {
+    let run = submit(&FakeHost::new(&[Answer::Respond(
         503,
         json!({"type": "unavailable"}),
     )]));
     assert_eq!(run.code, 5);
     let problem = json!({"file": "fleet.ini", "line": 1, "what": "w", "fix": "f"});
     let invalid = json!({"type": "invalid", "problems": [problem]});
-    let run = submit(&Fake::new(&[Answer::Say(422, invalid)]));
+    let run = submit(&FakeHost::new(&[Answer::Respond(422, invalid)]));
     assert_eq!(
         (run.code, run.json()["problems"][0]["line"].clone()),
         (3, json!(1))
--- a/crates/ctl/tests/ctl/usage.rs
+++ b/crates/ctl/tests/ctl/usage.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::fake::Fake;
+use crate::fake_host::FakeHost;
 use crate::workdir::Workdir;
 
 const COMMANDS: [&str; 10] = [
@@ -17,13 +17,14 @@
     assert_eq!(help.code, 0);
     for command in COMMANDS {
         assert!(help.out.contains(&format!("\n    {command} ")), "{command}");
-        let own = workdir.run(&[command, "--help"]);
-        assert_eq!(own.code, 0);
+        let command_help = workdir.run(&[command, "--help"]);
+        assert_eq!(command_help.code, 0);
         assert!(
-            own.out
+            command_help
+                .out
                 .contains(&format!("EXAMPLES:\n      flamingopostctl {command}")),
             "{}",
-            own.out
+            command_help.out
         );
     }
 }
@@ -46,19 +47,19 @@
 
 #[test]
 fn a_host_that_cannot_be_reached_has_its_exit_code() {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-    let run = Workdir::new().run_at(nobody, &["status", "--json"]);
+    let closed_port = SocketAddr::from(([127, 0, 0, 1], 1));
+    let run = Workdir::new().run_at(closed_port, &["status", "--json"]);
     assert_eq!(run.code, 5);
     assert_eq!(run.json()["error"], "unreachable");
 }
 
 #[test]
 fn a_wrong_token_has_its_exit_code() {
-    let fake = Fake::new(&[]);
+    let fake = FakeHost::new(&[]);
     let workdir = Workdir::new();
     let admin = fake.address.to_string();
     let args = ["history", "--admin", &admin, "--token-file", "token"];
     let run = workdir.file("token", "wrong\n").run(&args);
     assert_eq!(run.code, 6);
-    assert!(fake.asked().is_empty());
+    assert!(fake.requests().is_empty());
 }
--- a/crates/ctl/tests/ctl/verifier.rs
+++ b/crates/ctl/tests/ctl/verifier.rs
@@ -3,7 +3,7 @@
 use crate::workdir::{TESFA, Workdir};
 
 #[test]
-fn a_verifier_fits_into_a_configuration_and_hides_the_password() {
+fn a_verifier_is_valid_in_a_configuration_and_hides_the_password() {
     let workdir = Workdir::new();
     let run = workdir.run_with_input(&["verifier"], "lot-view-demo\n");
     assert_eq!(run.code, 0);
@@ -23,11 +23,11 @@
 #[test]
 fn two_verifiers_of_one_password_differ() {
     let workdir = Workdir::new();
-    let made = || {
+    let generate = || {
         let run = workdir.run_with_input(&["verifier", "--json"], "lot-view-demo");
         run.json()["verifier"].clone()
     };
-    assert_ne!(made(), made());
+    assert_ne!(generate(), generate());
 }
 
 #[test]
--- a/crates/ctl/tests/ctl/workdir.rs
+++ b/crates/ctl/tests/ctl/workdir.rs
@@ -14,7 +14,7 @@
 /// A folder of its own for one test.
 #[derive(Debug)]
 pub struct Workdir {
-    folder: TempDir,
+    directory: TempDir,
 }
 
 /// What a run left.
@@ -33,12 +33,12 @@
 
 impl Workdir {
     pub fn new() -> Workdir {
-        let folder = tempfile::tempdir().expect("a temporary folder");
-        Workdir { folder }
+        let directory = tempfile::tempdir().expect("a temporary folder");
+        Workdir { directory }
     }
 
     pub fn file(&self, name: &str, text: &str) -> &Workdir {
-        fs::write(self.folder.path().join(name), text).expect("a written file");
+        fs::write(self.directory.path().join(name), text).expect("a written file");
         self
     }
 
@@ -65,7 +65,7 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_flamingopostctl"));
         command
             .args(args)
-            .current_dir(self.folder.path())
+            .current_dir(self.directory.path())
             .env_remove("FLAMINGOPOST_ADMIN")
             .env_remove("FLAMINGOPOST_TOKEN")
             .env("USER", "asha")
