--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! A host's operators' HTTP.
+//! Client of a host's operators' HTTP API.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where to ask and with which token.
+/// Address and credentials of the operators' HTTP API, as given on the command line.
 #[derive(Debug, Default)]
 pub struct Access {
-    /// IP:PORT, else `FLAMINGOPOST_ADMIN`.
+    /// IP:PORT of the API. Defaults to `FLAMINGOPOST_ADMIN`.
     pub admin: Option<String>,
-    /// File of the token, else `FLAMINGOPOST_TOKEN`.
+    /// File with the operators' token. Defaults to the value of `FLAMINGOPOST_TOKEN`.
     pub token_file: Option<PathBuf>,
 }
 
-/// A connection to one host.
+/// A blocking HTTP client for one host.
 #[derive(Debug)]
 pub struct Client {
     address: String,
@@ -34,17 +34,22 @@
     runtime: Runtime,
 }
 
-/// What came back.
+/// A decoded response.
 #[derive(Debug)]
 pub enum Reply<T> {
-    /// What was asked for.
+    /// Success, with the decoded body.
     Done(T),
-    /// A typed refusal.
+    /// The host refused the request with a typed reason.
     Refused(Refused),
 }
 
 impl Client {
-    /// Prepares to ask; nothing is sent yet.
+    /// Creates a client. Nothing is sent yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address or the token is missing, the token file cannot be read, or the HTTP client
+    /// or its runtime cannot be created.
     pub fn open(access: Access) -> Result<Client, Error> {
         let address = access.admin.or_else(|| env::var("FLAMINGOPOST_ADMIN").ok());
         let address = address.ok_or(Error::NoAddress)?;
@@ -70,12 +75,12 @@
         })
     }
 
-    /// The host's address.
+    /// Returns the address of the host, as given.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Asks for `path` with `query`.
+    /// Sends a GET request for `path` with `query` and returns the decoded body.
     pub fn get<T: DeserializeOwned>(&self, path: &str, query: &[(&str, &str)]) -> Result<T, Error> {
         let request = self.http.get(self.url(path)?.with_query(query).0);
         match self.send(request, path)? {
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Sends `body` to `path`.
+    /// Sends `body` to `path` in a POST request.
     pub fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -94,7 +99,7 @@
         self.send(request, path)
     }
 
-    /// Takes `body` back at `path`.
+    /// Sends `body` to `path` in a DELETE request, which undoes an earlier POST.
     pub fn delete<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -170,7 +175,8 @@
         })
     }
 
-    // Only a request that found nobody to connect to is known not to have arrived.
+    // Only after a failed connect is the request known not to have reached the host. After any other
+    // error it may have taken effect.
     fn send_error(&self, error: &reqwest::Error) -> Error {
         if error.is_connect() {
             return unreachable(&self.address, error);
@@ -181,12 +187,13 @@
     }
 }
 
-/// What a controller says of an order that the state of the fleet does not allow.
+/// Body of the response to an order that the state of the fleet does not allow.
 #[derive(Debug, Deserialize)]
 struct OrderRefusal {
     reason: Ordered,
 }
 
+/// A request URL.
 struct Url(reqwest::Url);
 
 impl Url {
@@ -198,6 +205,7 @@
     }
 }
 
+/// Returns [`Error::Unreachable`] with the innermost cause of `error` as its reason.
 fn unreachable(address: &str, error: &reqwest::Error) -> Error {
     let mut cause: &dyn std::error::Error = error;
     while let Some(source) = cause.source() {
--- a/crates/ctl/src/cmd/check.rs
+++ b/crates/ctl/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl check`
+//! `flamingopostctl check`: validates a configuration file.
 
 use std::ffi::OsString;
 use std::fs;
@@ -13,21 +13,21 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Checks a configuration file and names everything that is wrong in it, with file, line and
-    /// what would be right. Nothing is sent.
+    /// Checks a configuration file and lists every problem in it, each with its file, line and fix.
+    /// Nothing is sent to a host.
     ///
     /// EXAMPLES:
     ///     flamingopostctl check examples/tesfa.ini
     ///     flamingopostctl check --json fleet.ini | jq '.problems[].line'
     cmd check {
-        /// The configuration.
+        /// Configuration file.
         required file: PathBuf
         /// Print JSON.
         optional --json
     }
 }
 
-/// What a valid configuration describes.
+/// Counts what a valid configuration describes.
 #[derive(Debug, Serialize)]
 struct Summary {
     valid: bool,
@@ -55,17 +55,17 @@
     }
 }
 
-/// A file's text.
+/// Reads a text file.
 pub fn read_file(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path).map_err(|source| Error::file(path, source))
 }
 
-/// The fleet that the configuration `text` of `path` describes.
+/// Parses `text`, the configuration in the file `path`. Its names are added to `directory`.
 pub fn parse(path: &Path, text: &str, directory: &mut Directory) -> Result<Fleet, Error> {
     Ok(config::parse(&path.to_string_lossy(), text, directory)?)
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Check::from_vec(args)?;
     let text = read_file(&args.file)?;
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl diff`
+//! `flamingopostctl diff`: compares two configurations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
@@ -15,18 +15,18 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Compares a configuration file, by sections and keys, with the configuration in force or with
-    /// another file. The order of rules counts; that of other sections does not.
+    /// Compares a configuration file, by section and key, with the configuration in force or with
+    /// another file. The order of rules matters; the order of other sections does not.
     ///
     /// EXAMPLES:
     ///     flamingopostctl diff fleet.ini --admin 10.0.1.4:7080
     ///     flamingopostctl diff fleet.ini --against yesterday.ini
     cmd diff {
-        /// The configuration.
+        /// Configuration file.
         required file: PathBuf
         /// Compare with this file instead of the configuration in force.
         optional --against path: PathBuf
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -35,10 +35,10 @@
     }
 }
 
-/// What differs.
+/// The result of a comparison.
 #[derive(Debug, Serialize)]
 struct Difference {
-    /// Version in force, where the file was compared with that.
+    /// Version in force, or none if the file was compared with another file.
     base: Option<u64>,
     changes: Vec<Change>,
 }
@@ -64,6 +64,7 @@
     },
 }
 
+/// Sections by kind and name.
 type Sections<'a> = BTreeMap<(&'a str, &'a str), &'a Section>;
 
 fn sections(document: &Document) -> Sections<'_> {
@@ -112,7 +113,8 @@
     section.find(key).map(|entry| entry.value.clone())
 }
 
-/// Whether the rules that both have stand in another order.
+/// Reports the new order of the rules if the rules that both documents contain are ordered
+/// differently.
 fn rules_moved(old: &Document, new: &Document) -> Option<Change> {
     let (before, after) = (rules(old), rules(new));
     let in_both = |all: &[String], others: &[String]| -> Vec<String> {
@@ -162,7 +164,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Diff::from_vec(args)?;
     let text = check::read_file(&args.file)?;
--- a/crates/ctl/src/cmd/drain.rs
+++ b/crates/ctl/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl drain`
+//! `flamingopostctl drain`: takes an entry host or a backend server out of service.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -14,8 +14,8 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Lets an entry host or a backend server receive no new work, so that it can leave. What runs
-    /// on it goes on to its end.
+    /// Drains an entry host or a backend server so that it can be removed: it receives no new work,
+    /// and the work that it has already begun runs to completion.
     ///
     /// EXAMPLES:
     ///     flamingopostctl drain auction-ledger-2 --admin 10.0.1.4:7080
@@ -24,11 +24,11 @@
     cmd drain {
         /// Name of the host or server.
         required name: String
-        /// Let it receive new work again.
+        /// Undo an earlier drain: the host or server receives new work again.
         optional --undo
-        /// What it is, host or server, where both have such a name.
+        /// Kind of the name, `host` or `server`; required if a host and a server share it.
         optional --kind kind: Kind
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -37,7 +37,7 @@
     }
 }
 
-/// What is drained.
+/// Kind of the drained process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     Host,
@@ -60,7 +60,7 @@
     }
 }
 
-/// What was ordered.
+/// The order and its answer, as printed.
 #[derive(Debug, Serialize)]
 struct DrainOutcome {
     name: Order,
@@ -68,6 +68,11 @@
     answer: Value,
 }
 
+/// Looks `name` up in the status of the fleet.
+///
+/// # Errors
+///
+/// Fails if the status cannot be read, no host or server has the name, or both have it.
 fn resolve_kind(client: &Client, name: &str) -> Result<Kind, Error> {
     let status: Status = client.get("/v1/status", &[])?;
     let host = status.hosts.iter().any(|host| host.host == name);
@@ -81,7 +86,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Drain::from_vec(args)?;
     let client = Client::open(Access {
--- a/crates/ctl/src/cmd/explain.rs
+++ b/crates/ctl/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl explain`
+//! `flamingopostctl explain`: shows how a statement is treated.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -15,8 +15,8 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Tells which rule applies to a statement and how it is treated: by a file, or by an entry
-    /// host, which also tells where the statement would go now.
+    /// Explains which rule applies to a statement and how the statement is treated: according to a
+    /// configuration file, or to an entry host, which also reports where it would go now.
     ///
     /// EXAMPLES:
     ///     flamingopostctl explain --file examples/tesfa.ini --service auction-ledger \
@@ -24,15 +24,15 @@
     ///     flamingopostctl explain --admin 10.0.1.4:7081 --service auction-ledger \
     ///         --caller member 'INSERT INTO bids VALUES (1, 2)'
     cmd explain {
-        /// The statement, with its marker comment if it has one.
+        /// SQL statement, with its marker comment if it has one.
         required sql: String
-        /// The service that it is sent to.
+        /// Service that the statement is sent to.
         required --service name: String
-        /// The caller that sends it.
+        /// Caller that sends the statement.
         required --caller name: String
-        /// Explain by this configuration, without asking a host.
+        /// Configuration file to use instead of asking a host.
         optional --file path: PathBuf
-        /// IP:PORT of an entry host's operators' HTTP.
+        /// IP:PORT of an entry host's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -41,6 +41,7 @@
     }
 }
 
+/// Explains the statement by the configuration in the file `path`.
 fn from_file(path: &Path, args: &Explain) -> Result<Explanation, Error> {
     let text = check::read_file(path)?;
     let mut directory = Directory::default();
@@ -54,6 +55,7 @@
     })
 }
 
+/// Asks an entry host to explain the statement.
 fn from_host(args: &Explain) -> Result<Explanation, Error> {
     let client = Client::open(Access {
         admin: args.admin.clone(),
@@ -112,7 +114,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Explain::from_vec(args)?;
     let explanation = match &args.file {
--- a/crates/ctl/src/cmd/history.rs
+++ b/crates/ctl/src/cmd/history.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl history`
+//! `flamingopostctl history`: lists the accepted configurations.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
     ///     flamingopostctl history --admin 10.0.1.4:7080
     ///     flamingopostctl history --json | jq '.[0].version'
     cmd history {
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -26,6 +26,7 @@
     }
 }
 
+/// Number of characters of a digest that the table shows.
 const DIGEST_PREFIX_CHARS: usize = 12;
 
 fn show(records: &Vec<Record>) -> String {
@@ -42,6 +43,7 @@
     rows.to_string()
 }
 
+/// Formats a Unix time in seconds as an HTTP date, or as a number if it has none.
 fn format_time(seconds: u64) -> String {
     match SystemTime::UNIX_EPOCH.checked_add(Duration::from_secs(seconds)) {
         Some(time) if seconds < YEAR_10000_SECONDS => httpdate::fmt_http_date(time),
@@ -49,10 +51,10 @@
     }
 }
 
-/// Later moments have no HTTP date.
+/// Unix time, in seconds, of the start of the year 10000. An HTTP date has a year of four digits.
 const YEAR_10000_SECONDS: u64 = 253_402_300_800;
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = History::from_vec(args)?;
     let client = Client::open(Access {
--- a/crates/ctl/src/cmd/promote.rs
+++ b/crates/ctl/src/cmd/promote.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl promote`
+//! `flamingopostctl promote`: orders a planned promotion.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -11,15 +11,15 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Moves the primary of a service to the replica that has the most data, for instance before
-    /// the primary's machine is taken away. Writes wait while it moves.
+    /// Promotes the replica of a service that has the most data, for example before the machine of
+    /// the current primary is removed. Writes wait during the promotion.
     ///
     /// EXAMPLES:
     ///     flamingopostctl promote auction-ledger --admin 10.0.1.4:7080
     cmd promote {
-        /// The service.
+        /// Name of the service.
         required service: String
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -28,13 +28,13 @@
     }
 }
 
-/// What is ordered.
+/// Body of the request.
 #[derive(Debug, Serialize)]
 struct Order {
     service: String,
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Promote::from_vec(args)?;
     let client = Client::open(Access {
--- a/crates/ctl/src/cmd/show.rs
+++ b/crates/ctl/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl show`
+//! `flamingopostctl show`: prints a configuration.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -16,9 +16,9 @@
     ///     flamingopostctl show > fleet.ini
     ///     flamingopostctl show --number 41 --json | jq -r .submitted_by
     cmd show {
-        /// The version; else the one in force.
+        /// Version to print. Defaults to the version in force.
         optional --number version: u64
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -27,7 +27,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Show::from_vec(args)?;
     let client = Client::open(Access {
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl status`
+//! `flamingopostctl status`: shows the status of a fleet or of one entry host.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -13,13 +13,13 @@
 
 xflags::xflags! {
     /// Shows hosts, services and controllers as a controller sees them, or one entry host as it
-    /// sees itself.
+    /// sees itself, depending on which host is asked.
     ///
     /// EXAMPLES:
     ///     flamingopostctl status --admin 10.0.1.4:7080
     ///     flamingopostctl status --json | jq '.services[] | select(.state != "open")'
     cmd status {
-        /// IP:PORT of the operators' HTTP of a controller or an entry host.
+        /// IP:PORT of the operators' HTTP API of a controller or an entry host.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -28,7 +28,7 @@
     }
 }
 
-/// What was asked tells a fleet's status or its own, by what it is.
+/// The status of the fleet from a controller, or of the host itself from an entry host.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 enum StatusReport {
@@ -37,6 +37,7 @@
 }
 
 impl StatusReport {
+    /// Formats the status as tables.
     fn show(&self) -> String {
         match self {
             StatusReport::Fleet(fleet) => fleet_tables::show(fleet),
@@ -45,7 +46,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Status::from_vec(args)?;
     let client = Client::open(Access {
--- a/crates/ctl/src/cmd/submit.rs
+++ b/crates/ctl/src/cmd/submit.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl submit`
+//! `flamingopostctl submit`: submits a new configuration.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -15,22 +15,22 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Submits a configuration file. It is checked first; the fleet takes it only if the version in
-    /// force is still the one it was made from.
+    /// Submits a configuration file. The file is checked first; the fleet accepts it only if the
+    /// version in force is still the one that the file was made from.
     ///
     /// EXAMPLES:
     ///     flamingopostctl submit fleet.ini --base 41 --admin 10.0.1.4:7080
     ///     flamingopostctl submit fleet.ini --base 0 --operator asha --token-file token
     cmd submit {
-        /// The configuration.
+        /// Configuration file.
         required file: PathBuf
-        /// Version that the file was made from; 0 for the first.
+        /// Version that the file was made from; 0 for the first configuration.
         required --base version: u64
-        /// Who submits it; else the USER of the environment.
+        /// Operator who submits the file. Defaults to the environment variable USER.
         optional --operator name: String
-        /// Id of an earlier try whose outcome is unknown.
+        /// Id of an earlier attempt whose outcome is unknown.
         optional --submission id: String
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -39,22 +39,24 @@
     }
 }
 
-/// Looks into the history after a lost answer.
+/// Number of times that the history is read after a lost answer.
 const HISTORY_LOOKUPS: u32 = 4;
+/// Pause before each read of the history.
 const HISTORY_LOOKUP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What became of it.
+/// An accepted submission, as printed.
 #[derive(Debug, Serialize)]
 struct Outcome {
     version: u64,
     submission: String,
 }
 
+/// Sends `submission` and returns the version under which it was accepted.
 fn submit(client: &Client, submission: &Submission) -> Result<u64, Error> {
     let id = &submission.submission;
     match client.post("/v1/config", submission) {
         Ok(Reply::Done(Accepted { version })) => Ok(version),
-        // The winner is this very submission: an earlier try was accepted and its answer lost.
+        // The winner is this submission: an earlier attempt was accepted and its answer was lost.
         Ok(Reply::Refused(Refused::Conflict { winner })) if winner.submission == *id => {
             Ok(winner.version)
         }
@@ -66,9 +68,12 @@
     }
 }
 
-// An answer can be lost after the submission took effect. The operator would see an error and
-// submit again, now as a conflict with themselves. The history names the id of each version, so
-// finding ours there is proof; not finding it proves nothing, since it may still be under way.
+/// Looks for the submission `id` in the history, after its answer was lost.
+///
+/// An answer can be lost after the submission took effect. Without this lookup the operator would
+/// see an error, submit again and conflict with their own submission. The history lists the
+/// submission id of each version: an entry with `id` proves that the submission was accepted. A
+/// missing entry proves nothing, because the submission may still be in progress.
 fn resolve_from_history(client: &Client, id: &str) -> Result<u64, Error> {
     for _ in 0..HISTORY_LOOKUPS {
         thread::sleep(HISTORY_LOOKUP_INTERVAL);
@@ -86,7 +91,7 @@
     format!("{:016x}", rand::random::<u64>())
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Submit::from_vec(args)?;
     let body = check::read_file(&args.file)?;
--- a/crates/ctl/src/cmd/verifier.rs
+++ b/crates/ctl/src/cmd/verifier.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl verifier`
+//! `flamingopostctl verifier`: generates a password verifier.
 
 use std::ffi::OsString;
 use std::io;
@@ -10,8 +10,9 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Makes the SCRAM-SHA-256 verifier of the password on standard input, for `verifier = ...` in
-    /// a [caller] section. The password is never an argument, which other users could see.
+    /// Generates the SCRAM-SHA-256 verifier of the password on standard input, for
+    /// `verifier = ...` in a [caller] section. The password is never an argument, because other
+    /// users of the machine can see arguments.
     ///
     /// EXAMPLES:
     ///     flamingopostctl verifier < password.txt
@@ -22,13 +23,13 @@
     }
 }
 
-/// What goes into a configuration.
+/// The generated verifier, as printed.
 #[derive(Debug, Serialize)]
 struct VerifierOutput {
     verifier: String,
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Verifier::from_vec(args)?;
     let mut password = String::new();
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! Which subcommand runs, and how its error becomes an exit code.
+//! Dispatches to a subcommand and maps its error to an exit code.
 
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -6,8 +6,10 @@
 use crate::cmd;
 use crate::error::Error;
 
+/// Runs one subcommand with the arguments that follow its name.
 type Run = fn(Vec<OsString>) -> Result<(), Error>;
 
+/// A subcommand, as the general help lists it.
 struct Command {
     name: &'static str,
     summary: &'static str,
@@ -42,7 +44,7 @@
     },
     Command {
         name: "explain",
-        summary: "Tell which rule applies to a statement and where it would go",
+        summary: "Explain which rule applies to a statement and where it would go",
         run: cmd::explain::run,
     },
     Command {
@@ -52,7 +54,7 @@
     },
     Command {
         name: "drain",
-        summary: "Let an entry host or a backend server receive no new work",
+        summary: "Drain an entry host or a backend server: it receives no new work",
         run: cmd::drain::run,
     },
     Command {
@@ -62,7 +64,7 @@
     },
     Command {
         name: "verifier",
-        summary: "Make the verifier of a password",
+        summary: "Generate the SCRAM verifier of a password",
         run: cmd::verifier::run,
     },
 ];
@@ -79,8 +81,8 @@
 
 const HELP_FOOTER: &str = "
 ENVIRONMENT:
-    FLAMINGOPOST_ADMIN   IP:PORT of a host's operators' HTTP, where --admin is not given
-    FLAMINGOPOST_TOKEN   the operators' token, where --token-file is not given
+    FLAMINGOPOST_ADMIN   IP:PORT of a host's operators' HTTP API, used when --admin is not given
+    FLAMINGOPOST_TOKEN   the operators' token, used when --token-file is not given
 
 EXIT CODES:
     0  done
@@ -93,7 +95,7 @@
     7  outcome unknown: run the same command again
 ";
 
-/// Runs the subcommand that `args` start with.
+/// Runs the subcommand named by the first element of `args` and returns its exit code.
 pub fn main(mut args: Vec<OsString>) -> ExitCode {
     if args.is_empty() {
         eprint!("{}", help());
@@ -125,6 +127,7 @@
     }
 }
 
+/// Returns the general help, with one line per subcommand.
 fn help() -> String {
     let mut text = HELP_HEADER.to_owned();
     for command in &COMMANDS {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, and the exit code of each.
+//! Errors of the subcommands and their exit codes.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 use flamingopost_wire::submission::{Problem, Refused, Winner};
 use serde_json::json;
 
-/// Why a subcommand did not do what it was asked.
+/// Why a subcommand ended without doing its work.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// {0}
@@ -23,80 +23,80 @@
     NoToken,
     /// {path}: {source}
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// the configuration is invalid
     Invalid(Vec<Problem>),
     /// version {version} came first: {operator} submitted it as {submission}; run diff against it and submit again with --base {version}
     Conflict {
-        /// Its version.
+        /// Version that was accepted first.
         version: u64,
-        /// Who submitted it.
+        /// Operator who submitted it.
         operator: String,
-        /// Its submission.
+        /// Id of its submission.
         submission: String,
     },
     /// {address} cannot be reached: {reason}
     Unreachable {
-        /// Where.
+        /// Address of the host's operators' HTTP API.
         address: String,
-        /// Why.
+        /// Innermost cause of the failure.
         reason: String,
     },
     /// the platform is not available to {address}; nothing was changed, try again
     Unavailable {
-        /// Where.
+        /// Address of the host's operators' HTTP API.
         address: String,
     },
     /// {address} does not accept the token
     Unauthorised {
-        /// Where.
+        /// Address of the host's operators' HTTP API.
         address: String,
     },
-    /// whether it was accepted is not known; run the same command with --submission {submission}
+    /// it is unknown whether the configuration was accepted; run the same command with --submission {submission}
     Unknown {
         /// Id of the submission.
         submission: String,
     },
-    /// {address} was asked and nobody knows whether it was done; run the same command again
+    /// the outcome of the request to {address} is unknown; run the same command again
     AnswerLost {
-        /// Where.
+        /// Address of the host's operators' HTTP API.
         address: String,
     },
     /// {address} has nothing at {path}
     NotFound {
-        /// Where.
+        /// Address of the host's operators' HTTP API.
         address: String,
-        /// What.
+        /// Path of the request.
         path: String,
     },
     /// not now: {reason}
     OrderRefused {
-        /// Why.
+        /// Reason that the controller gives.
         reason: Ordered,
     },
     /// {address} answered {status}: {body}
     Unexpected {
-        /// Where.
+        /// Address of the host's operators' HTTP API.
         address: String,
         /// HTTP status.
         status: u16,
-        /// What it said.
+        /// Body of the response.
         body: String,
     },
     /// the configuration has no service `{service}` or no caller `{caller}`
     NotInConfiguration {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The caller.
+        /// Name of the caller.
         caller: String,
     },
-    /// there is no host or server called `{0}`
+    /// there is no host or server named `{0}`
     NameNotFound(String),
-    /// both a host and a server are called `{0}`; give --kind host or --kind server
+    /// both a host and a server are named `{0}`; give --kind host or --kind server
     AmbiguousName(String),
     /// the password on standard input is empty
     EmptyPassword,
@@ -116,7 +116,7 @@
     const UNAUTHORISED: u8 = 6;
     const UNKNOWN: u8 = 7;
 
-    /// The exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Help(_) => 0,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A fixed word that scripts may test.
+    /// Returns the fixed word that scripts match in the JSON field `error`.
     fn category(&self) -> &'static str {
         match self.exit_code() {
             Error::USAGE => "usage",
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Tells the operator: a sentence on standard error, or with `json` an object on standard output.
+    /// Prints the error: as text on standard error, or with `json` as an object on standard output.
     pub fn print(&self, json: bool) {
         if json {
             println!("{}", self.to_json());
@@ -195,7 +195,7 @@
         object
     }
 
-    /// What a refusal means.
+    /// Converts the refusal of a request to the host at `address`.
     pub fn from_refusal(refused: Refused, address: &str) -> Error {
         match refused {
             Refused::Conflict { winner } => Error::Conflict {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A file that could not be read.
+    /// Returns the error for a file that could not be read.
     pub fn file(path: &Path, source: io::Error) -> Error {
         let path = path.to_owned();
         Error::File { path, source }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for scripts.
+//! Output on standard output: tables for people, JSON for scripts.
 
 use std::io::{self, Write};
 
@@ -10,7 +10,7 @@
 pub mod fleet_tables;
 pub mod host_tables;
 
-/// A table with `headings`.
+/// Returns an empty table with the column titles `headings`.
 pub fn table(headings: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
@@ -18,7 +18,7 @@
     table
 }
 
-/// Prints `value` as JSON, or else the text that `to_text` makes of it.
+/// Prints `value` as JSON if `json` is set, otherwise as the text that `to_text` returns.
 pub fn print<T: Serialize>(
     json: bool,
     value: &T,
@@ -31,12 +31,12 @@
     print_lines(&text)
 }
 
-/// Prints a text without the blanks that end its lines.
+/// Prints `text` without trailing spaces on its lines.
 fn print_lines(text: &str) -> Result<(), Error> {
     let mut out = io::stdout().lock();
     for line in text.trim_end().lines() {
         match writeln!(out, "{}", line.trim_end()) {
-            // The reader, `head` for instance, has seen enough.
+            // The reader, for example `head`, has closed the pipe.
             Err(error) if error.kind() == io::ErrorKind::BrokenPipe => break,
             written => written.map_err(Error::Output)?,
         }
@@ -44,12 +44,12 @@
     Ok(())
 }
 
-/// A text for what may be absent.
+/// Returns the text of `value`, or `-` if it is absent.
 pub fn or_dash<T: ToString>(value: &Option<T>) -> String {
     value.as_ref().map_or_else(|| "-".to_owned(), T::to_string)
 }
 
-/// The tables that have rows, with a blank line between them.
+/// Joins the tables that have rows, separated by blank lines.
 fn join_tables<const COUNT: usize>(tables: [Table; COUNT]) -> String {
     let filled = tables.iter().filter(|table| !table.is_empty());
     let texts: Vec<String> = filled.map(Table::to_string).collect();
--- a/crates/ctl/src/output/fleet_tables.rs
+++ b/crates/ctl/src/output/fleet_tables.rs
@@ -1,11 +1,11 @@
-//! A fleet's status, as a controller tells it, in tables.
+//! Tables of a fleet's status, as a controller reports it.
 
 use comfy_table::Table;
 use flamingopost_wire::status::Status;
 
 use super::{join_tables, or_dash, table};
 
-/// Every table that has something to say.
+/// Returns every table that has rows.
 pub fn show(fleet: &Status) -> String {
     join_tables([
         hosts(fleet),
--- a/crates/ctl/src/output/host_tables.rs
+++ b/crates/ctl/src/output/host_tables.rs
@@ -1,11 +1,11 @@
-//! An entry host's status, as it tells it itself, in tables.
+//! Tables of an entry host's status, as the host itself reports it.
 
 use comfy_table::Table;
 use flamingopost_wire::host_status::Status;
 
 use super::{join_tables, or_dash, table};
 
-/// Every table that has something to say.
+/// Returns every table that has rows.
 pub fn show(host: &Status) -> String {
     join_tables([summary(host), leases(host), services(host), pools(host)])
 }
--- a/crates/ctl/tests/ctl/check.rs
+++ b/crates/ctl/tests/ctl/check.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl check`
+//! `flamingopostctl check`: validation of a configuration file.
 
 use crate::workdir::{TESFA, Workdir};
 
--- a/crates/ctl/tests/ctl/diff.rs
+++ b/crates/ctl/tests/ctl/diff.rs
@@ -1,10 +1,11 @@
-//! `flamingopostctl diff`
+//! `flamingopostctl diff`: comparison of two configurations.
 
 use serde_json::json;
 
 use crate::fake_host::{Answer, FakeHost};
 use crate::workdir::{TESFA, Workdir};
 
+/// Returns the example configuration with a changed key, a new section and a moved rule.
 fn changed() -> String {
     let text = TESFA.replace("deadline = 400ms", "deadline = 300ms");
     let (head, tail) = text.split_once("[rule batch-writes]").expect("the rule");
@@ -21,7 +22,7 @@
 #[test]
 fn two_files_are_compared_by_section_and_key() {
     let workdir = Workdir::new();
-    // The rule that moved to the end is hidden there by no other: buyers and batch differ in role.
+    // No rule shadows the one that moved to the end: buyers and batch differ in role.
     workdir.file("old.ini", TESFA).file("new.ini", &changed());
     let run = workdir.run(&["diff", "new.ini", "--against", "old.ini"]);
     assert_eq!((run.code, run.out.as_str()), (0, EXPECTED), "{}", run.err);
--- a/crates/ctl/tests/ctl/drain.rs
+++ b/crates/ctl/tests/ctl/drain.rs
@@ -1,10 +1,11 @@
-//! `flamingopostctl drain`
+//! `flamingopostctl drain`: draining hosts and servers, and undoing it.
 
 use serde_json::{Value, json};
 
 use crate::fake_host::{Answer, FakeHost};
 use crate::workdir::Workdir;
 
+/// Returns a fleet status with one host and one server.
 fn status(host: &str, server: &str) -> Answer {
     let server = json!({"server": server, "zone": "z", "role": null, "position": null,
                         "age_ms": null, "leaving": []});
@@ -18,6 +19,7 @@
     )
 }
 
+/// Returns the answer to an order that was carried out.
 fn done() -> Answer {
     Answer::Respond(200, Value::Null)
 }
@@ -80,8 +82,8 @@
     );
 }
 
-// The platform takes the order and its answer is lost. Draining twice is harmless, so the operator
-// is told to run the command again, with an exit code that a script can act on.
+// The platform carries out the order and its answer is lost. Draining is idempotent, so the message
+// asks the operator to run the command again, with an exit code that a script can act on.
 #[test]
 fn an_unknown_outcome_asks_for_the_same_command_again() {
     let unknown_outcome = Answer::Respond(503, json!({"type": "unknown"}));
--- a/crates/ctl/tests/ctl/explain.rs
+++ b/crates/ctl/tests/ctl/explain.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl explain`
+//! `flamingopostctl explain`: the treatment of a statement, by a file and by an entry host.
 
 use serde_json::json;
 
@@ -7,6 +7,7 @@
 
 const SQL: &str = "SELECT * FROM lots";
 
+/// Arguments that explain `sql` of `caller` as JSON.
 fn args<'a>(caller: &'a str, sql: &'a str) -> Vec<&'a str> {
     vec![
         "explain",
@@ -19,6 +20,7 @@
     ]
 }
 
+/// The same arguments, with a configuration file.
 fn by_file<'a>(caller: &'a str, sql: &'a str) -> Vec<&'a str> {
     [args(caller, sql), vec!["--file", "fleet.ini"]].concat()
 }
--- a/crates/ctl/tests/ctl/fake_host.rs
+++ b/crates/ctl/tests/ctl/fake_host.rs
@@ -1,4 +1,4 @@
-//! A host's operators' HTTP that answers from a list and remembers what it was asked.
+//! A fake of a host's operators' HTTP API that answers from a list and records the requests.
 
 use std::collections::VecDeque;
 use std::io;
@@ -14,19 +14,21 @@
 
 use crate::workdir::TOKEN;
 
-/// One answer.
+/// Answer to one request.
 #[derive(Debug, Clone)]
 pub enum Answer {
-    /// A status and a body.
+    /// A response with this status and JSON body.
     Respond(u16, Value),
-    /// The request is taken, and the connection breaks before the answer.
+    /// The host accepts the request and the connection breaks before the body of the response.
     Disconnect,
 }
 
-/// One request.
+/// A request that was received.
 #[derive(Debug, Clone)]
 pub struct Request {
+    /// Method and URI, separated by a space.
     pub method_and_uri: String,
+    /// JSON body, or null if there is none.
     pub body: Value,
 }
 
@@ -36,7 +38,7 @@
     requests: Vec<Request>,
 }
 
-/// The host.
+/// A fake host on a free loopback port. Requests beyond its list of answers get 404.
 #[derive(Debug)]
 pub struct FakeHost {
     pub address: SocketAddr,
@@ -44,6 +46,7 @@
 }
 
 impl FakeHost {
+    /// Starts a host that gives `answers` in order.
     pub fn new(answers: &[Answer]) -> FakeHost {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -56,6 +59,7 @@
         FakeHost { address, state }
     }
 
+    /// Returns the requests received so far that carried the right token.
     pub fn requests(&self) -> Vec<Request> {
         self.state.lock().expect("no panic").requests.clone()
     }
--- a/crates/ctl/tests/ctl/history.rs
+++ b/crates/ctl/tests/ctl/history.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl history`
+//! `flamingopostctl history`: the list of accepted versions.
 
 use serde_json::json;
 
--- a/crates/ctl/tests/ctl/main.rs
+++ b/crates/ctl/tests/ctl/main.rs
@@ -1,4 +1,4 @@
-//! Every subcommand of `flamingopostctl`, as an operator runs it.
+//! Runs the `flamingopostctl` binary against a fake host, one module per subcommand.
 
 mod check;
 mod diff;
--- a/crates/ctl/tests/ctl/promote.rs
+++ b/crates/ctl/tests/ctl/promote.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl promote`
+//! `flamingopostctl promote`: the order of a planned promotion.
 
 use serde_json::json;
 
--- a/crates/ctl/tests/ctl/show.rs
+++ b/crates/ctl/tests/ctl/show.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl show`
+//! `flamingopostctl show`: printing a configuration.
 
 use serde_json::{Value, json};
 
--- a/crates/ctl/tests/ctl/status.rs
+++ b/crates/ctl/tests/ctl/status.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl status`
+//! `flamingopostctl status`: the status of a fleet and of an entry host.
 
 use serde_json::{Value, json};
 
--- a/crates/ctl/tests/ctl/submit.rs
+++ b/crates/ctl/tests/ctl/submit.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl submit`
+//! `flamingopostctl submit`: acceptance, conflicts and lost answers.
 
 use serde_json::{Value, json};
 
@@ -7,6 +7,7 @@
 
 const ID: &str = "0123456789abcdef";
 
+/// Submits the example configuration, made from version 4, with the id `ID`.
 fn submit(fake: &FakeHost) -> Run {
     let workdir = Workdir::new();
     workdir.file("fleet.ini", TESFA);
@@ -22,10 +23,12 @@
     workdir.run_at(fake.address, &args)
 }
 
+/// Returns an entry of the history.
 fn record(version: u64, submission: &str) -> Value {
     json!({"version": version, "digest": "", "submission": submission, "operator": "asha", "at": 0})
 }
 
+/// Returns the refusal of a submission that lost against `submission`.
 fn conflict(submission: &str) -> Answer {
     let winner = json!({"version": 5, "operator": "bela", "submission": submission});
     Answer::Respond(409, json!({"type": "conflict", "winner": winner}))
@@ -82,8 +85,8 @@
     assert!(fake.requests().is_empty());
 }
 
-// Two operators submit at the same moment, both from version 4. One of them must learn that the
-// other came first, and who that was; nothing of theirs may be in force.
+// Two operators submit concurrently, both from version 4. The losing operator must see that another
+// submission was accepted first, and whose; nothing of the losing submission may be in force.
 #[test]
 fn a_conflict_reports_the_winning_submission() {
     let fake = FakeHost::new(&[conflict("another")]);
@@ -95,8 +98,8 @@
     assert_eq!(error["winner"]["version"], 5);
 }
 
-// The controller accepts version 5 and the connection breaks before its answer arrives. The
-// operator must be told "accepted", not an error on which they would submit again.
+// The controller accepts version 5 and the connection breaks before its answer arrives. The command
+// must report success: after an error the operator would submit again.
 #[test]
 fn a_lost_answer_is_resolved_from_the_history() {
     let history = Answer::Respond(200, json!([record(5, ID), record(4, "another")]));
@@ -109,16 +112,16 @@
     assert_eq!(submit(&fake).code, 0);
 }
 
-// The answer is lost and the operator runs the command again with the same id, as they are told.
-// The first try had been accepted, so the second one meets itself as the winner.
+// The answer is lost and the operator runs the command again with the same id, as the message asks.
+// The first attempt was accepted, so the second one conflicts with its own submission.
 #[test]
 fn a_conflict_with_the_same_submission_id_means_accepted() {
     let run = submit(&FakeHost::new(&[conflict(ID)]));
     assert_eq!((run.code, run.json()["version"].clone()), (0, json!(5)));
 }
 
-// The answer is lost and the history does not name the submission yet. It may still be accepted,
-// so neither "accepted" nor "refused" would be true.
+// The answer is lost and the history does not list the submission yet. It may still be accepted, so
+// reporting either "accepted" or "refused" could be wrong.
 #[test]
 fn an_unresolved_outcome_is_reported_as_unknown() {
     let history = Answer::Respond(200, json!([record(4, "another")]));
--- a/crates/ctl/tests/ctl/usage.rs
+++ b/crates/ctl/tests/ctl/usage.rs
@@ -1,4 +1,4 @@
-//! Wrong usage, help, and hosts that cannot be asked.
+//! Help, wrong usage, unreachable hosts and refused tokens.
 
 use std::net::SocketAddr;
 
--- a/crates/ctl/tests/ctl/verifier.rs
+++ b/crates/ctl/tests/ctl/verifier.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl verifier`
+//! `flamingopostctl verifier`: the SCRAM verifier of a password.
 
 use crate::workdir::{TESFA, Workdir};
 
--- a/crates/ctl/tests/ctl/workdir.rs
+++ b/crates/ctl/tests/ctl/workdir.rs
@@ -1,4 +1,4 @@
-//! A folder of its own for one test, and the binary run in it.
+//! Runs the binary in a temporary directory.
 
 use std::fs;
 use std::io::Write;
@@ -11,48 +11,54 @@
 pub const TESFA: &str = include_str!("../../../../examples/tesfa.ini");
 pub const TOKEN: &str = "a-token-of-the-operators";
 
-/// A folder of its own for one test.
+/// A temporary directory for one test.
 #[derive(Debug)]
 pub struct Workdir {
     directory: TempDir,
 }
 
-/// What a run left.
+/// Exit code and output of a finished run.
 #[derive(Debug)]
 pub struct Run {
+    /// Exit code; -1 if a signal ended the process.
     pub code: i32,
+    /// Standard output.
     pub out: String,
+    /// Standard error.
     pub err: String,
 }
 
 impl Run {
+    /// Parses standard output as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.out).unwrap_or_else(|error| panic!("{error} in {self:?}"))
     }
 }
 
 impl Workdir {
+    /// Creates an empty directory.
     pub fn new() -> Workdir {
-        let directory = tempfile::tempdir().expect("a temporary folder");
+        let directory = tempfile::tempdir().expect("a temporary directory");
         Workdir { directory }
     }
 
+    /// Writes `text` to the file `name`.
     pub fn file(&self, name: &str, text: &str) -> &Workdir {
         fs::write(self.directory.path().join(name), text).expect("a written file");
         self
     }
 
-    /// Runs without address or token.
+    /// Runs the binary without an address or a token.
     pub fn run(&self, args: &[&str]) -> Run {
         self.finish(self.command(args), "")
     }
 
-    /// Runs with `input` on standard input.
+    /// Runs the binary with `input` on standard input.
     pub fn run_with_input(&self, args: &[&str], input: &str) -> Run {
         self.finish(self.command(args), input)
     }
 
-    /// Runs against the host at `address`, with the operators' token.
+    /// Runs the binary against the host at `address`, with the operators' token.
     pub fn run_at(&self, address: SocketAddr, args: &[&str]) -> Run {
         let mut command = self.command(args);
         command
@@ -78,7 +84,7 @@
     fn finish(&self, mut command: Command, input: &str) -> Run {
         let mut child = command.spawn().expect("a started binary");
         let mut stdin = child.stdin.take().expect("a pipe");
-        // A binary that reads no input may be gone already.
+        // A subcommand that reads no input may have exited already.
         let _ = stdin.write_all(input.as_bytes());
         drop(stdin);
         let output = child.wait_with_output().expect("a finished binary");
