--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -48,8 +48,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address or the token is missing, the token file cannot be read, or the HTTP client
-    /// or its runtime cannot be created.
+    /// Fails if the address or the token is missing, the token file cannot be read, or the HTTP
+    /// client or its runtime cannot be created.
     pub fn open(access: Access) -> Result<Client, Error> {
         let address = access.admin.or_else(|| env::var("FLAMINGOPOST_ADMIN").ok());
         let address = address.ok_or(Error::NoAddress)?;
@@ -175,8 +175,8 @@
         })
     }
 
-    // Only after a failed connect is the request known not to have reached the host. After any other
-    // error it may have taken effect.
+    // Only after a failed connect is the request known not to have reached the host. After any
+    // other error it may have taken effect.
     fn send_error(&self, error: &reqwest::Error) -> Error {
         if error.is_connect() {
             return unreachable(&self.address, error);
--- a/crates/ctl/src/cmd/check.rs
+++ b/crates/ctl/src/cmd/check.rs
@@ -60,7 +60,7 @@
     fs::read_to_string(path).map_err(|source| Error::file(path, source))
 }
 
-/// Parses `text`, the configuration in the file `path`. Its names are added to `directory`.
+/// Parses `text`, the configuration in the file `path`. Its names are interned in `directory`.
 pub fn parse(path: &Path, text: &str, directory: &mut Directory) -> Result<Fleet, Error> {
     Ok(config::parse(&path.to_string_lossy(), text, directory)?)
 }
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -113,8 +113,8 @@
     section.find(key).map(|entry| entry.value.clone())
 }
 
-/// Reports the new order of the rules if the rules that both documents contain are ordered
-/// differently.
+/// Reports the new order of the rules if those that both documents contain changed their relative
+/// order.
 fn rules_moved(old: &Document, new: &Document) -> Option<Change> {
     let (before, after) = (rules(old), rules(new));
     let in_both = |all: &[String], others: &[String]| -> Vec<String> {
