--- a/crates/ctl/src/cmd/submit.rs
+++ b/crates/ctl/src/cmd/submit.rs
@@ -60,9 +60,7 @@
         Ok(Reply::Refused(Refused::Conflict { winner })) if winner.submission == *id => {
             Ok(winner.version)
         }
-        Ok(Reply::Refused(Refused::Unknown)) | Err(Error::AnswerLost { .. }) => {
-            resolve_from_history(client, id)
-        }
+        Ok(Reply::Refused(Refused::Unknown)) | Err(Error::AnswerLost { .. }) => lookup(client, id),
         Ok(Reply::Refused(refused)) => Err(Error::from_refusal(refused, client.address())),
         Err(error) => Err(error),
     }
@@ -74,7 +72,7 @@
 /// see an error, submit again and conflict with their own submission. The history lists the
 /// submission id of each version: an entry with `id` proves that the submission was accepted. A
 /// missing entry proves nothing, because the submission may still be in progress.
-fn resolve_from_history(client: &Client, id: &str) -> Result<u64, Error> {
+fn lookup(client: &Client, id: &str) -> Result<u64, Error> {
     for _ in 0..HISTORY_LOOKUPS {
         thread::sleep(HISTORY_LOOKUP_INTERVAL);
         let history: Vec<Record> = client.get("/v1/history", &[]).unwrap_or_default();
--- a/crates/ctl/src/cmd/verifier.rs
+++ b/crates/ctl/src/cmd/verifier.rs
@@ -41,7 +41,7 @@
         return Err(Error::EmptyPassword);
     }
     let verifier = password::scram_sha_256(password.as_bytes());
-    output::print(args.json, &VerifierOutput { verifier }, |generated| {
-        generated.verifier.clone()
+    output::print(args.json, &VerifierOutput { verifier }, |output| {
+        output.verifier.clone()
     })
 }
--- a/crates/ctl/tests/ctl/status.rs
+++ b/crates/ctl/tests/ctl/status.rs
@@ -49,8 +49,9 @@
                          "primary": "auction-ledger-1", "acknowledged": null, "servers": [server]});
     let shard = json!({"shard": 2, "controller": {"epoch": 1, "rpc": "10.0.1.4:7070"},
                        "view": "1.8", "lease_left_ms": 2100});
-    let host_status = json!({"host": "entry-1", "zone": "bole-hall", "incarnation": 255, "phase": "draining",
-                     "version": 3, "digest": "ab", "heard": 4, "shards": [shard], "services": [service]});
+    let host_status = json!({"host": "entry-1", "zone": "bole-hall", "incarnation": 255,
+                             "phase": "draining", "version": 3, "digest": "ab", "heard": 4,
+                             "shards": [shard], "services": [service]});
     let fake = FakeHost::new(&[
         Answer::Respond(200, host_status.clone()),
         Answer::Respond(200, host_status.clone()),
