--- a/crates/ctl/src/cmd/verifier.rs
+++ b/crates/ctl/src/cmd/verifier.rs
@@ -25,7 +25,7 @@
 
 /// The generated verifier, as printed.
 #[derive(Debug, Serialize)]
-struct VerifierOutput {
+struct Output {
     verifier: String,
 }
 
@@ -41,7 +41,5 @@
         return Err(Error::EmptyPassword);
     }
     let verifier = password::scram_sha_256(password.as_bytes());
-    output::print(args.json, &VerifierOutput { verifier }, |output| {
-        output.verifier.clone()
-    })
+    output::print(args.json, &Output { verifier }, |out| out.verifier.clone())
 }
