--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -94,9 +94,9 @@
         /// Name of the caller.
         caller: String,
     },
-    /// there is no host or server named `{0}`
+    /// there is no host or server called `{0}`
     NameNotFound(String),
-    /// both a host and a server are named `{0}`; give --kind host or --kind server
+    /// both a host and a server are called `{0}`; give --kind host or --kind server
     AmbiguousName(String),
     /// the password on standard input is empty
     EmptyPassword,
