--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! A host's operators' HTTP.
+//! Client of a host's operators' HTTP API.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -14,18 +14,18 @@
 use crate::error::Error;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-const TIMEOUT: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where to ask and with which token.
+/// Address and credentials of the operators' HTTP API, as given on the command line.
 #[derive(Debug, Default)]
 pub struct Access {
-    /// IP:PORT, else `FLAMINGOPOST_ADMIN`.
+    /// IP:PORT of the API. Defaults to `FLAMINGOPOST_ADMIN`.
     pub admin: Option<String>,
-    /// File of the token, else `FLAMINGOPOST_TOKEN`.
+    /// File with the operators' token. Defaults to the value of `FLAMINGOPOST_TOKEN`.
     pub token_file: Option<PathBuf>,
 }
 
-/// A connection to one host.
+/// A blocking HTTP client for one host.
 #[derive(Debug)]
 pub struct Client {
     address: String,
@@ -34,17 +34,22 @@
     runtime: Runtime,
 }
 
-/// What came back.
+/// A decoded response.
 #[derive(Debug)]
 pub enum Reply<T> {
-    /// What was asked for.
+    /// Success, with the decoded body.
     Done(T),
-    /// A typed refusal.
+    /// The host refused the request with a typed reason.
     Refused(Refused),
 }
 
 impl Client {
-    /// Prepares to ask; nothing is sent yet.
+    /// Creates a client. Nothing is sent yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address or the token is missing, the token file cannot be read, or the HTTP
+    /// client or its runtime cannot be created.
     pub fn open(access: Access) -> Result<Client, Error> {
         let address = access.admin.or_else(|| env::var("FLAMINGOPOST_ADMIN").ok());
         let address = address.ok_or(Error::NoAddress)?;
@@ -54,7 +59,7 @@
         };
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .no_proxy()
             .build()
             .map_err(|error| unreachable(&address, &error))?;
@@ -70,21 +75,21 @@
         })
     }
 
-    /// The host's address.
+    /// Returns the address of the host, as given.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Asks for `path` with `query`.
+    /// Sends a GET request for `path` with `query` and returns the decoded body.
     pub fn get<T: DeserializeOwned>(&self, path: &str, query: &[(&str, &str)]) -> Result<T, Error> {
-        let request = self.http.get(self.url(path)?.with(query).0);
+        let request = self.http.get(self.url(path)?.with_query(query).0);
         match self.send(request, path)? {
             Reply::Done(body) => Ok(body),
-            Reply::Refused(refused) => Err(Error::refused(refused, &self.address)),
+            Reply::Refused(refused) => Err(Error::from_refusal(refused, &self.address)),
         }
     }
 
-    /// Sends `body` to `path`.
+    /// Sends `body` to `path` in a POST request.
     pub fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -94,7 +99,7 @@
         self.send(request, path)
     }
 
-    /// Takes `body` back at `path`.
+    /// Sends `body` to `path` in a DELETE request, which undoes an earlier POST.
     pub fn delete<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -122,18 +127,21 @@
     ) -> Result<Reply<T>, Error> {
         let request = request.bearer_auth(&self.token);
         let (status, body) = self.runtime.block_on(async {
-            let response = request.send().await.map_err(|error| self.failed(&error))?;
+            let response = request
+                .send()
+                .await
+                .map_err(|error| self.send_error(&error))?;
             let status = response.status();
             let body = response
                 .bytes()
                 .await
-                .map_err(|error| self.failed(&error))?;
+                .map_err(|error| self.send_error(&error))?;
             Ok::<_, Error>((status, body))
         })?;
-        self.judge(status, &body, path)
+        self.decode_reply(status, &body, path)
     }
 
-    fn judge<T: DeserializeOwned>(
+    fn decode_reply<T: DeserializeOwned>(
         &self,
         status: StatusCode,
         body: &[u8],
@@ -157,8 +165,8 @@
             }
         } else if let Ok(refused) = serde_json::from_slice(body) {
             return Ok(Reply::Refused(refused));
-        } else if let Ok(NotNow { reason }) = serde_json::from_slice(body) {
-            return Err(Error::NotNow { reason });
+        } else if let Ok(OrderRefusal { reason }) = serde_json::from_slice(body) {
+            return Err(Error::OrderRefused { reason });
         }
         Err(Error::Unexpected {
             address,
@@ -167,8 +175,9 @@
         })
     }
 
-    // Only a request that found nobody to connect to is known not to have arrived.
-    fn failed(&self, error: &reqwest::Error) -> Error {
+    // Only after a failed connect is the request known not to have reached the host. After any
+    // other error it may have taken effect.
+    fn send_error(&self, error: &reqwest::Error) -> Error {
         if error.is_connect() {
             return unreachable(&self.address, error);
         }
@@ -178,16 +187,17 @@
     }
 }
 
-/// What a controller says of an order that the state of the fleet does not allow.
+/// Body of the response to an order that the state of the fleet does not allow.
 #[derive(Debug, Deserialize)]
-struct NotNow {
+struct OrderRefusal {
     reason: Ordered,
 }
 
+/// A request URL.
 struct Url(reqwest::Url);
 
 impl Url {
-    fn with(mut self, query: &[(&str, &str)]) -> Url {
+    fn with_query(mut self, query: &[(&str, &str)]) -> Url {
         if !query.is_empty() {
             self.0.query_pairs_mut().extend_pairs(query);
         }
@@ -195,10 +205,11 @@
     }
 }
 
+/// Returns [`Error::Unreachable`] with the innermost cause of `error` as its reason.
 fn unreachable(address: &str, error: &reqwest::Error) -> Error {
     let mut cause: &dyn std::error::Error = error;
-    while let Some(deeper) = cause.source() {
-        cause = deeper;
+    while let Some(source) = cause.source() {
+        cause = source;
     }
     Error::Unreachable {
         address: address.to_owned(),
--- a/crates/ctl/src/cmd/drain.rs
+++ b/crates/ctl/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl drain`
+//! `flamingopostctl drain`: takes an entry host or a backend server out of service.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -14,8 +14,8 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Lets an entry host or a backend server receive no new work, so that it can leave. What runs
-    /// on it goes on to its end.
+    /// Drains an entry host or a backend server so that it can be removed: it receives no new work,
+    /// and the work that it has already begun runs to completion.
     ///
     /// EXAMPLES:
     ///     flamingopostctl drain auction-ledger-2 --admin 10.0.1.4:7080
@@ -24,11 +24,11 @@
     cmd drain {
         /// Name of the host or server.
         required name: String
-        /// Let it receive new work again.
+        /// Undo an earlier drain: the host or server receives new work again.
         optional --undo
-        /// What it is, host or server, where both have such a name.
+        /// Kind of the name, `host` or `server`; required if a host and a server share it.
         optional --kind kind: Kind
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -37,7 +37,7 @@
     }
 }
 
-/// What is drained.
+/// Kind of the drained process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     Host,
@@ -60,15 +60,20 @@
     }
 }
 
-/// What was ordered.
+/// The order and its answer, as printed.
 #[derive(Debug, Serialize)]
-struct Ordered {
+struct DrainOutcome {
     name: Order,
     undone: bool,
     answer: Value,
 }
 
-fn find(client: &Client, name: &str) -> Result<Kind, Error> {
+/// Looks `name` up in the status of the fleet.
+///
+/// # Errors
+///
+/// Fails if the status cannot be read, no host or server has the name, or both have it.
+fn resolve_kind(client: &Client, name: &str) -> Result<Kind, Error> {
     let status: Status = client.get("/v1/status", &[])?;
     let host = status.hosts.iter().any(|host| host.host == name);
     let mut servers = status.services.iter().flat_map(|service| &service.servers);
@@ -76,12 +81,12 @@
     match (host, server) {
         (true, false) => Ok(Kind::Host),
         (false, true) => Ok(Kind::Server),
-        (true, true) => Err(Error::TwoCalled(name.to_owned())),
-        (false, false) => Err(Error::NobodyCalled(name.to_owned())),
+        (true, true) => Err(Error::AmbiguousName(name.to_owned())),
+        (false, false) => Err(Error::NameNotFound(name.to_owned())),
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Drain::from_vec(args)?;
     let client = Client::open(Access {
@@ -90,7 +95,7 @@
     })?;
     let kind = match args.kind {
         Some(kind) => kind,
-        None => find(&client, &args.name)?,
+        None => resolve_kind(&client, &args.name)?,
     };
     let order = match kind {
         Kind::Host => Order::Host(args.name.clone()),
@@ -102,19 +107,19 @@
     };
     let answer = match reply {
         Reply::Done(answer) => answer,
-        Reply::Refused(refused) => return Err(Error::refused(refused, client.address())),
+        Reply::Refused(refused) => return Err(Error::from_refusal(refused, client.address())),
     };
-    let ordered = Ordered {
+    let outcome = DrainOutcome {
         name: order,
         undone: args.undo,
         answer,
     };
-    output::print(args.json, &ordered, |_| {
-        let now = if args.undo {
+    output::print(args.json, &outcome, |_| {
+        let work = if args.undo {
             "new work again"
         } else {
             "no new work"
         };
-        format!("{} receives {now}", args.name)
+        format!("{} receives {work}", args.name)
     })
 }
--- a/crates/ctl/src/cmd/history.rs
+++ b/crates/ctl/src/cmd/history.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl history`
+//! `flamingopostctl history`: lists the accepted configurations.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
     ///     flamingopostctl history --admin 10.0.1.4:7080
     ///     flamingopostctl history --json | jq '.[0].version'
     cmd history {
-        /// IP:PORT of a controller's operators' HTTP.
+        /// IP:PORT of a controller's operators' HTTP API.
         optional --admin address: String
         /// File with the operators' token.
         optional --token-file path: PathBuf
@@ -26,7 +26,8 @@
     }
 }
 
-const DIGEST_SHOWN: usize = 12;
+/// Number of characters of a digest that the table shows.
+const DIGEST_PREFIX_CHARS: usize = 12;
 
 fn show(records: &Vec<Record>) -> String {
     let mut rows = output::table(&["version", "operator", "at", "submission", "digest"]);
@@ -34,25 +35,26 @@
         rows.add_row([
             record.version.to_string(),
             record.operator.clone(),
-            output::or_dash(&record.at.map(date)),
+            output::or_dash(&record.at.map(format_time)),
             record.submission.clone(),
-            record.digest.chars().take(DIGEST_SHOWN).collect(),
+            record.digest.chars().take(DIGEST_PREFIX_CHARS).collect(),
         ]);
     }
     rows.to_string()
 }
 
-fn date(seconds: u64) -> String {
+/// Formats a Unix time in seconds as an HTTP date, or as a number if it has none.
+fn format_time(seconds: u64) -> String {
     match SystemTime::UNIX_EPOCH.checked_add(Duration::from_secs(seconds)) {
-        Some(time) if seconds < YEAR_9999 => httpdate::fmt_http_date(time),
+        Some(time) if seconds < YEAR_10000_SECONDS => httpdate::fmt_http_date(time),
         _ => seconds.to_string(),
     }
 }
 
-/// Later moments have no HTTP date.
-const YEAR_9999: u64 = 253_402_300_800;
+/// Unix time, in seconds, of the start of the year 10000. An HTTP date has a year of four digits.
+const YEAR_10000_SECONDS: u64 = 253_402_300_800;
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = History::from_vec(args)?;
     let client = Client::open(Access {
--- a/crates/ctl/src/cmd/verifier.rs
+++ b/crates/ctl/src/cmd/verifier.rs
@@ -1,4 +1,4 @@
-//! `flamingopostctl verifier`
+//! `flamingopostctl verifier`: generates a password verifier.
 
 use std::ffi::OsString;
 use std::io;
@@ -10,8 +10,9 @@
 use crate::output;
 
 xflags::xflags! {
-    /// Makes the SCRAM-SHA-256 verifier of the password on standard input, for `verifier = ...` in
-    /// a [caller] section. The password is never an argument, which other users could see.
+    /// Generates the SCRAM-SHA-256 verifier of the password on standard input, for
+    /// `verifier = ...` in a [caller] section. The password is never an argument, because other
+    /// users of the machine can see arguments.
     ///
     /// EXAMPLES:
     ///     flamingopostctl verifier < password.txt
@@ -22,13 +23,13 @@
     }
 }
 
-/// What goes into a configuration.
+/// The generated verifier, as printed.
 #[derive(Debug, Serialize)]
-struct Made {
+struct Output {
     verifier: String,
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 pub fn run(args: Vec<OsString>) -> Result<(), Error> {
     let args = Verifier::from_vec(args)?;
     let mut password = String::new();
@@ -40,5 +41,5 @@
         return Err(Error::EmptyPassword);
     }
     let verifier = password::scram_sha_256(password.as_bytes());
-    output::print(args.json, &Made { verifier }, |made| made.verifier.clone())
+    output::print(args.json, &Output { verifier }, |out| out.verifier.clone())
 }
--- a/crates/ctl/src/output/host_tables.rs
+++ b/crates/ctl/src/output/host_tables.rs
@@ -1,16 +1,16 @@
-//! An entry host's status, as it tells it itself, in tables.
+//! Tables of an entry host's status, as the host itself reports it.
 
 use comfy_table::Table;
 use flamingopost_wire::host_status::Status;
 
-use super::{or_dash, paragraphs, table};
+use super::{join_tables, or_dash, table};
 
-/// Every table that has something to say.
+/// Returns every table that has rows.
 pub fn show(host: &Status) -> String {
-    paragraphs([own(host), leases(host), services(host), pools(host)])
+    join_tables([summary(host), leases(host), services(host), pools(host)])
 }
 
-fn own(host: &Status) -> Table {
+fn summary(host: &Status) -> Table {
     let mut rows = table(&["host", "zone", "phase", "config", "heard of", "incarnation"]);
     rows.add_row([
         host.host.clone(),
--- a/crates/ctl/tests/ctl/main.rs
+++ b/crates/ctl/tests/ctl/main.rs
@@ -1,10 +1,10 @@
-//! Every subcommand of `flamingopostctl`, as an operator runs it.
+//! Runs the `flamingopostctl` binary against a fake host, one module per subcommand.
 
 mod check;
 mod diff;
 mod drain;
 mod explain;
-mod fake;
+mod fake_host;
 mod history;
 mod promote;
 mod show;
