--- a/crates/control/examples/measure.rs
+++ b/crates/control/examples/measure.rs
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 use common::holder::Host;
-use common::{Fleet, all_see, another, server_name};
+use common::{Fleet, server_name, wait_for_new_primary, wait_for_primary};
 use flamingopost_daemon::log::{Format, Level};
 use flamingopost_standin::backend::fault::Faults;
 
 const ROUNDS: u32 = 10;
-const GLANCE: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How long leases are watched after a controller's end: longer than any takeover.
 const WATCH: Duration = Duration::from_secs(8);
@@ -51,7 +51,7 @@
         fleet.in_force(base + 1).await;
         controls.push(since.elapsed());
         while !hosts.iter().all(|host| host.config() > base) {
-            tokio::time::sleep(GLANCE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         everywhere.push(since.elapsed());
         // Submissions at any phase of the processes' polls.
@@ -75,10 +75,10 @@
         });
         let since = Instant::now();
         for host in &hosts {
-            host.cannot_reach(&[&server_name(0)]);
+            host.set_unreachable(&[&server_name(0)]);
         }
-        let next = another(&hosts[0], &server_name(0)).await;
-        all_see(&hosts, &next).await;
+        let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+        wait_for_primary(&hosts, &next).await;
         gaps.push(since.elapsed());
         fleet.stop();
     }
@@ -126,7 +126,7 @@
         }
         let gap = since.map_or(Duration::ZERO, |begin| begin.elapsed());
         longest = longest.max(gap);
-        tokio::time::sleep(GLANCE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     longest
 }
--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -17,7 +17,7 @@
 use crate::shared::Shared;
 use crate::submit;
 
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Submits the configuration in `file` as version 1, unless there is one. All hosts may be given
 /// the same file: its digest is the submission's id, so they submit the same thing.
@@ -38,7 +38,7 @@
             }
             Err(_) => {}
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
--- a/crates/control/src/budgets.rs
+++ b/crates/control/src/budgets.rs
@@ -13,14 +13,14 @@
 };
 use flamingopost_core::key::{ServerKey, ZoneKey};
 
-use crate::servers::RESERVED;
+use crate::servers::RESERVED_CONNECTIONS;
 
 /// Servers of a shard up to which a host is given connections that it has not asked for, so that
 /// its first statement does not wait for a renewal. Beyond, messages would grow with the fleet.
-const UNASKED: usize = 32;
+const MAX_UNREQUESTED_SERVERS: usize = 32;
 
 /// Part of a span by which a controller counts it longer than its holder: clocks drift.
-const DRIFT: u32 = 50;
+const CLOCK_DRIFT_DIVISOR: u32 = 50;
 
 /// What a budget needs to know of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,7 +53,7 @@
     /// Whether the predecessor's floors have been read since this process became controller.
     loaded: bool,
     /// Floors that the table is known to hold; absent while that has to be read.
-    kept: Option<Floors>,
+    persisted: Option<Floors>,
 }
 
 impl Budgets {
@@ -69,12 +69,12 @@
     pub fn restart(&mut self) {
         self.shares.clear();
         self.loaded = false;
-        self.kept = None;
+        self.persisted = None;
     }
 
     /// Whether it is known what the table holds.
     pub fn is_loaded(&self) -> bool {
-        self.kept.is_some()
+        self.persisted.is_some()
     }
 
     /// Takes over the floors that the table holds.
@@ -82,12 +82,12 @@
         for ((server, holder), connections) in &floors {
             if let Some(share) = self.share(*server, now) {
                 // Given at some time before now, so they end before this.
-                let until = now + FLOOR_VALID + FLOOR_VALID / DRIFT;
+                let until = now + FLOOR_VALID + FLOOR_VALID / CLOCK_DRIFT_DIVISOR;
                 let connections = *connections;
                 share.restore(*holder, Floor { connections, until });
             }
         }
-        self.kept = Some(floors);
+        self.persisted = Some(floors);
         self.loaded = true;
         self.set_limits();
     }
@@ -99,15 +99,15 @@
         demand: &BTreeMap<ServerKey, u16>,
         now: Duration,
     ) -> BTreeMap<ServerKey, Grant> {
-        let all = self.servers.len() <= UNASKED;
-        let asked: Vec<ServerKey> = self
+        let all = self.servers.len() <= MAX_UNREQUESTED_SERVERS;
+        let granted_servers: Vec<ServerKey> = self
             .servers
             .keys()
             .filter(|key| all || demand.contains_key(key))
             .copied()
             .collect();
         let mut grants = BTreeMap::new();
-        for key in asked {
+        for key in granted_servers {
             let wanted = demand.get(&key).copied().unwrap_or_default();
             if let Some(grant) = self.renew_one(key, renewer, wanted, now) {
                 grants.insert(key, grant);
@@ -117,23 +117,23 @@
     }
 
     /// The floors in force, where the table does not hold all of them.
-    pub fn unkept(&self) -> Option<Floors> {
-        let kept = self.kept.as_ref()?;
+    pub fn unpersisted(&self) -> Option<Floors> {
+        let persisted = self.persisted.as_ref()?;
         let floors = self.floors();
         let missing = floors
             .iter()
-            .any(|(key, count)| kept.get(key) < Some(count));
+            .any(|(key, count)| persisted.get(key) < Some(count));
         missing.then_some(floors)
     }
 
     /// The table holds `floors` now.
-    pub fn keep(&mut self, floors: Floors) {
-        self.kept = Some(floors);
+    pub fn record_persisted(&mut self, floors: Floors) {
+        self.persisted = Some(floors);
     }
 
     /// What the table holds is not known any more and has to be read again.
-    pub fn doubt(&mut self) {
-        self.kept = None;
+    pub fn invalidate_persisted(&mut self) {
+        self.persisted = None;
     }
 
     /// A process stopped and has closed everything.
@@ -158,10 +158,10 @@
             valid: renewer.valid,
         };
         let mut grant = self.share(key, now)?.renew(renewal, now);
-        let kept = self.kept.as_ref();
-        let kept = kept.and_then(|kept| kept.get(&(key, renewer.holder)));
+        let persisted = self.persisted.as_ref();
+        let persisted = persisted.and_then(|persisted| persisted.get(&(key, renewer.holder)));
         // A successor that does not know of a floor would give its connections to others.
-        if kept < Some(&grant.floor) {
+        if persisted < Some(&grant.floor) {
             grant.floor = 0;
             grant.floor_valid = Duration::ZERO;
         }
@@ -198,7 +198,10 @@
 
     /// Floors that are not known yet may take up to half of what hosts share.
     fn limit(&self, server: &Server) -> u16 {
-        let shared = server.connections.saturating_sub(RESERVED).max(1);
+        let shared = server
+            .connections
+            .saturating_sub(RESERVED_CONNECTIONS)
+            .max(1);
         match self.loaded {
             true => shared,
             false => shared - shared / 2,
--- a/crates/control/src/candidate.rs
+++ b/crates/control/src/candidate.rs
@@ -24,11 +24,11 @@
 /// let order = candidate::order(0, "a", heard);
 /// assert_eq!(order.last().map(String::as_str), Some("a2"));
 /// ```
-pub fn order(shard: u16, own: &str, mut heard: Vec<Process>) -> Vec<String> {
-    heard.sort_by_key(|process| rank(shard, &process.host));
+pub fn order(shard: u16, own: &str, mut live: Vec<Process>) -> Vec<String> {
+    live.sort_by_key(|process| rank(shard, &process.host));
     let mut zones = BTreeSet::new();
     let (mut first, mut rest, mut last) = (Vec::new(), Vec::new(), Vec::new());
-    for process in heard {
+    for process in live {
         if process.zone == own {
             last.push(process.host);
         } else if zones.insert(process.zone) {
@@ -43,11 +43,9 @@
 }
 
 /// Whether `host` comes first for `shard` among itself and all that were `heard`.
-pub fn is_first(shard: u16, host: &str, heard: &[Process]) -> bool {
+pub fn is_first(shard: u16, host: &str, live: &[Process]) -> bool {
     let own = rank(shard, host);
-    heard
-        .iter()
-        .all(|process| rank(shard, &process.host) >= own)
+    live.iter().all(|process| rank(shard, &process.host) >= own)
 }
 
 fn rank(shard: u16, host: &str) -> Digest {
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -7,7 +7,7 @@
 
 use flamingopost_platform::error::Effect;
 use flamingopost_platform::table::{Change, Guard, Outcome, Row, Table as _};
-use flamingopost_wire::submission::Drain as Order;
+use flamingopost_wire::submission::Drain as Target;
 use serde::{Deserialize, Serialize};
 
 use crate::fleet_status;
@@ -17,8 +17,8 @@
 /// Key of the row.
 pub const KEY: &str = "fleet/drain";
 
-const TRIES: u8 = 5;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_ATTEMPTS: u8 = 5;
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// What operators have drained.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
 
 /// Whether a drain is ordered or taken back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wish {
+pub enum Action {
     /// No new work from now on.
     Drain,
     /// As before.
@@ -55,14 +55,14 @@
         serde_json::from_str(body).unwrap_or_default()
     }
 
-    fn apply(&mut self, order: &Order, wish: Wish) {
-        let (names, name) = match order {
-            Order::Server(name) => (&mut self.servers, name),
-            Order::Host(name) => (&mut self.hosts, name),
+    fn apply(&mut self, target: &Target, action: Action) {
+        let (names, name) = match target {
+            Target::Server(name) => (&mut self.servers, name),
+            Target::Host(name) => (&mut self.hosts, name),
         };
-        match wish {
-            Wish::Drain => names.insert(name.clone()),
-            Wish::Undo => names.remove(name),
+        match action {
+            Action::Drain => names.insert(name.clone()),
+            Action::Undo => names.remove(name),
         };
     }
 }
@@ -74,20 +74,20 @@
 pub async fn run(
     shared: &Shared,
     shards: &Shards,
-    order: &Order,
-    wish: Wish,
+    target: &Target,
+    action: Action,
 ) -> Result<Drain, Error> {
-    check(shared, shards, order).await?;
+    check(shared, shards, target).await?;
     let mut in_doubt = false;
-    for _ in 0..TRIES {
-        match attempt(shared, order, wish).await {
+    for _ in 0..MAX_ATTEMPTS {
+        match attempt(shared, target, action).await {
             Ok(Some(drain)) => return Ok(drain),
             Ok(None) => {}
             Err(Effect::None) => {}
             // An order says what is to be, not what is to change: sending it again is harmless.
             Err(Effect::Unknown) => in_doubt = true,
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     match in_doubt {
         true => Err(Error::Unknown),
@@ -95,10 +95,10 @@
     }
 }
 
-async fn check(shared: &Shared, shards: &Shards, order: &Order) -> Result<(), Error> {
-    let known = match order {
-        Order::Server(name) => shared.directory().servers.find(name).is_some(),
-        Order::Host(name) => is_host(shared, shards, name).await,
+async fn check(shared: &Shared, shards: &Shards, target: &Target) -> Result<(), Error> {
+    let known = match target {
+        Target::Server(name) => shared.directory().servers.find(name).is_some(),
+        Target::Host(name) => is_host(shared, shards, name).await,
     };
     match known {
         true => Ok(()),
@@ -115,12 +115,16 @@
 }
 
 /// `None` where another operator's order came in between.
-async fn attempt(shared: &Shared, order: &Order, wish: Wish) -> Result<Option<Drain>, Effect> {
+async fn attempt(
+    shared: &Shared,
+    target: &Target,
+    action: Action,
+) -> Result<Option<Drain>, Effect> {
     let table = shared.platform();
     let row = table.read(KEY).await.map_err(|_| Effect::None)?;
-    let mut drain = row.as_ref().map_or_else(Drain::default, current);
+    let mut drain = row.as_ref().map_or_else(Drain::default, decode_row);
     let before = drain.clone();
-    drain.apply(order, wish);
+    drain.apply(target, action);
     if drain == before {
         return Ok(Some(drain));
     }
@@ -136,6 +140,6 @@
     }
 }
 
-fn current(row: &Row) -> Drain {
+fn decode_row(row: &Row) -> Drain {
     Drain::decode(&row.body)
 }
--- a/crates/control/src/fleet_status.rs
+++ b/crates/control/src/fleet_status.rs
@@ -6,7 +6,7 @@
 use flamingopost_wire::status::{Host, Ordered, Status};
 use futures::future::join_all;
 
-use crate::shard_message::{Order, Report};
+use crate::shard_message::{GetStatus, SwitchOver};
 use crate::shards::Shards;
 use crate::shared::Shared;
 
@@ -35,7 +35,7 @@
 pub async fn local(shards: &Shards) -> Status {
     let mut status = Status::default();
     for actor in shards.all() {
-        if let Ok(Some(report)) = actor.send(Report).await {
+        if let Ok(Some(report)) = actor.send(GetStatus).await {
             merge(&mut status, report);
         }
     }
@@ -43,12 +43,12 @@
 }
 
 /// Orders a planned promotion where `service` is led; `None` where nobody answers.
-pub async fn order(shared: &Shared, shards: &Shards, service: &str) -> Option<Ordered> {
+pub async fn switch_over(shared: &Shared, shards: &Shards, service: &str) -> Option<Ordered> {
     let Some(number) = shard_of(shared, service) else {
         return shared.is_current().then_some(Ordered::NoSuchService);
     };
     if let Some(actor) = shards.get(number)
-        && let Ok(ordered) = actor.send(Order(service.to_owned())).await
+        && let Ok(ordered) = actor.send(SwitchOver(service.to_owned())).await
         && ordered != Ordered::NoSuchService
     {
         return Some(ordered);
--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -15,10 +15,10 @@
 
 /// How often peers are asked while the platform answers: the head row tells of versions then, and
 /// this only keeps known who is there.
-const CALM: Duration = Duration::from_secs(2);
+const INTERVAL: Duration = Duration::from_secs(2);
 
 /// The same while it does not.
-const ALONE: Duration = Duration::from_secs(1);
+const OUTAGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many are asked each time. Who knows of a version at least doubles with each round, so all of
 /// a fleet of 480 do after ten.
@@ -27,18 +27,22 @@
 /// Asks all peers of the settings once, then some at random until the process stops.
 pub async fn run(shared: Arc<Shared>, spread: Handle) {
     let first: Vec<String> = shared.peers().all().into_keys().collect();
-    let asked = first.iter().map(|address| ask(&shared, address));
-    for answer in join_all(asked).await {
-        spread.tell(Event::Asked(answer.map(Box::new)));
+    let queries = first.iter().map(|address| query(&shared, address));
+    for answer in join_all(queries).await {
+        spread.send(Event::StartupAnswer(answer.map(Box::new)));
     }
     while shared.stop().phase() != Phase::Stopped {
-        let interval = if shared.is_silent() { ALONE } else { CALM };
+        let interval = if shared.is_platform_silent() {
+            OUTAGE_INTERVAL
+        } else {
+            INTERVAL
+        };
         tokio::time::sleep(jittered(interval)).await;
-        shared.peers().forget(shared.now());
+        shared.peers().remove_expired(shared.now());
         let chosen = choose(&shared);
-        let asked = chosen.iter().map(|address| ask(&shared, address));
-        for knowledge in join_all(asked).await.into_iter().flatten() {
-            spread.tell(Event::Told(Box::new(knowledge)));
+        let queries = chosen.iter().map(|address| query(&shared, address));
+        for knowledge in join_all(queries).await.into_iter().flatten() {
+            spread.send(Event::PeerAnswer(Box::new(knowledge)));
         }
     }
 }
@@ -48,21 +52,21 @@
     known.sample(&mut rand::rng(), FANOUT).cloned().collect()
 }
 
-async fn ask(shared: &Shared, address: &str) -> Option<Knowledge> {
+async fn query(shared: &Shared, address: &str) -> Option<Knowledge> {
     let client = shared.links().get(address).ok()?;
     let version = shared.config().map_or(0, |config| config.version);
     let knowledge = client.knowledge(version).await.ok()?;
-    learn(shared, address, &knowledge);
+    record_knowledge(shared, address, &knowledge);
     Some(knowledge)
 }
 
-fn learn(shared: &Shared, address: &str, knowledge: &Knowledge) {
+fn record_knowledge(shared: &Shared, address: &str, knowledge: &Knowledge) {
     let process = knowledge.process.clone();
-    shared.peers().answered(address, process, shared.now());
+    shared.peers().record_answer(address, process, shared.now());
     for (host, address) in &knowledge.peers {
-        shared.learn_host(host, address);
+        shared.record_host(host, address);
     }
     for (shard, controller) in &knowledge.controllers {
-        shared.lead_at(*shard, controller.epoch, &controller.rpc);
+        shared.record_controller_address(*shard, controller.epoch, &controller.rpc);
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -55,18 +55,18 @@
 use crate::relay::Relay;
 use crate::rpc::Remote;
 use crate::settings::Settings;
-use crate::shard_message::Quit;
+use crate::shard_message::Shutdown;
 use crate::shards::Shards;
 use crate::shared::Shared;
 
 /// Connections to a process's remote calls at the same time: a fleet's hosts, and room.
-const CONNECTIONS: u32 = 2_048;
+const MAX_CONNECTIONS: u32 = 2_048;
 
 /// How long a process that is asked to end waits for others to take over what it leads.
-const RETIRE: Duration = Duration::from_secs(12);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Largest message between processes: the view of a large shard.
-const MESSAGE: u32 = 16 << 20;
+const MAX_MESSAGE_BYTES: u32 = 16 << 20;
 
 /// Runs a control process until `stop` is stopped. Runs inside an actix system, whose thread
 /// carries the shards' actors.
@@ -138,7 +138,7 @@
     );
     let result = served.await.map_err(Error::Http);
     shared.stop().stop();
-    shards.tell(|| Quit);
+    shards.broadcast(|| Shutdown);
     // Fails only when it has stopped already.
     let _ = handle.stop();
     handle.stopped().await;
@@ -150,7 +150,7 @@
 async fn retire(shared: Arc<Shared>, shards: Shards) {
     shared.stop().draining().await;
     if shared.stop().phase() == Phase::Draining {
-        shards.retire(RETIRE).await;
+        shards.retire(HANDOVER_TIMEOUT).await;
     }
     shared.stop().stop();
 }
@@ -161,9 +161,9 @@
     shared: &Shared,
 ) -> Result<jsonrpsee::server::ServerHandle, Error> {
     let config = ServerConfig::builder()
-        .max_connections(CONNECTIONS)
-        .max_request_body_size(MESSAGE)
-        .max_response_body_size(MESSAGE)
+        .max_connections(MAX_CONNECTIONS)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
         .http_only()
         .build();
     let failed = |error| Error::Listen(shared.settings().rpc, error);
--- a/crates/control/src/meter.rs
+++ b/crates/control/src/meter.rs
@@ -15,10 +15,10 @@
 use flamingopost_platform::table::{self, Change, Outcome, Row};
 
 /// Requests a second that one process makes at most, once its burst is used up.
-const READS: f64 = 10.0;
-const WRITES: f64 = 5.0;
+const READS_PER_SECOND: f64 = 10.0;
+const WRITES_PER_SECOND: f64 = 5.0;
 /// Requests that may follow each other at once.
-const BURST: f64 = 20.0;
+const BURST_REQUESTS: f64 = 20.0;
 
 const COUNTER: &str = "flamingopost_platform_requests_total";
 
@@ -43,8 +43,8 @@
             table: client.clone(),
             store: client.clone(),
             list: client,
-            reads: Arc::new(Bucket::new(READS, clock.clone())),
-            writes: Arc::new(Bucket::new(WRITES, clock)),
+            reads: Arc::new(Bucket::new(READS_PER_SECOND, clock.clone())),
+            writes: Arc::new(Bucket::new(WRITES_PER_SECOND, clock)),
         }
     }
 }
@@ -111,16 +111,19 @@
 
 struct Level {
     tokens: f64,
-    at: Duration,
+    updated: Duration,
 }
 
 impl Bucket {
     fn new(rate: f64, clock: Arc<dyn Clock>) -> Bucket {
-        let at = clock.now();
+        let updated = clock.now();
         Bucket {
             rate,
             clock,
-            level: Mutex::new(Level { tokens: BURST, at }),
+            level: Mutex::new(Level {
+                tokens: BURST_REQUESTS,
+                updated,
+            }),
         }
     }
 
@@ -135,9 +138,9 @@
     fn reserve(&self) -> Duration {
         let mut level = self.level.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
-        let gained = now.saturating_sub(level.at).as_secs_f64() * self.rate;
-        level.tokens = (level.tokens + gained).min(BURST) - 1.0;
-        level.at = now;
+        let gained = now.saturating_sub(level.updated).as_secs_f64() * self.rate;
+        level.tokens = (level.tokens + gained).min(BURST_REQUESTS) - 1.0;
+        level.updated = now;
         Duration::from_secs_f64((-level.tokens).max(0.0) / self.rate)
     }
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -156,7 +156,7 @@
             return unavailable();
         };
         let heads = rows.iter().filter_map(|row| Head::decode(&row.body).ok());
-        entries.extend(heads.map(|head| (head.version, listed(head))));
+        entries.extend(heads.map(|head| (head.version, history_entry(head))));
     }
     let newest_first: Vec<wire::Record> = entries.into_values().rev().collect();
     HttpResponse::Ok().json(newest_first)
@@ -191,7 +191,7 @@
     if outcome == Outcome::Accepted {
         // In force here at once; every other process hears of it by its next message.
         let head = Head::new(&record, Duration::ZERO);
-        operators.spread.tell(spread::Event::Head(Some(head)));
+        operators.spread.send(spread::Event::Head(Some(head)));
     }
     answer(outcome, record.version)
 }
@@ -201,13 +201,15 @@
 fn problems(shared: &Shared, body: &str) -> Vec<wire::Problem> {
     match config::parse(FILE, body, &mut Directory::default()) {
         Err(report) => wire::Problem::all(&report),
-        Ok(fleet) => moved_shards(shared, &fleet, body).into_iter().collect(),
+        Ok(fleet) => changed_shard_count(shared, &fleet, body)
+            .into_iter()
+            .collect(),
     }
 }
 
 /// Another number of shards gives services to other controllers. For a while the old and the new
 /// one would both believe that a service is theirs, and could open two terms of it.
-fn moved_shards(shared: &Shared, fleet: &Fleet, body: &str) -> Option<wire::Problem> {
+fn changed_shard_count(shared: &Shared, fleet: &Fleet, body: &str) -> Option<wire::Problem> {
     let current = shared.config()?.fleet.shards;
     if fleet.shards == current {
         return None;
@@ -261,15 +263,19 @@
 }
 
 async fn drain(operators: Data<Operators>, order: Json<wire::Drain>) -> HttpResponse {
-    drained(&operators, &order, drain::Wish::Drain).await
+    change_drain(&operators, &order, drain::Action::Drain).await
 }
 
 async fn undrain(operators: Data<Operators>, order: Json<wire::Drain>) -> HttpResponse {
-    drained(&operators, &order, drain::Wish::Undo).await
+    change_drain(&operators, &order, drain::Action::Undo).await
 }
 
-async fn drained(operators: &Operators, order: &wire::Drain, wish: drain::Wish) -> HttpResponse {
-    match drain::run(&operators.shared, &operators.shards, order, wish).await {
+async fn change_drain(
+    operators: &Operators,
+    order: &wire::Drain,
+    action: drain::Action,
+) -> HttpResponse {
+    match drain::run(&operators.shared, &operators.shards, order, action).await {
         Ok(drain) => HttpResponse::Ok().json(drain),
         Err(drain::Error::NoSuchName) => fail(Failure::NotFound),
         Err(drain::Error::Unavailable) => fail(Failure::Unavailable),
@@ -283,7 +289,7 @@
 }
 
 async fn promote(operators: Data<Operators>, order: Json<Promote>) -> HttpResponse {
-    match fleet_status::order(&operators.shared, &operators.shards, &order.service).await {
+    match fleet_status::switch_over(&operators.shared, &operators.shards, &order.service).await {
         Some(Ordered::Begun) => HttpResponse::Accepted().json(Ordered::Begun),
         Some(Ordered::NoSuchService) => fail(Failure::NotFound),
         Some(reason) => fail(Failure::Refused { reason }),
@@ -321,7 +327,7 @@
     response.json(failure)
 }
 
-fn listed(head: Head) -> wire::Record {
+fn history_entry(head: Head) -> wire::Record {
     wire::Record {
         version: head.version,
         digest: head.digest,
--- a/crates/control/src/peer.rs
+++ b/crates/control/src/peer.rs
@@ -13,7 +13,7 @@
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Connections kept at most; a fleet's entry hosts and some.
-const KEPT: usize = 1_024;
+const MAX_CLIENTS: usize = 1_024;
 
 /// Connections to other processes, by the address of their remote calls.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
         }
         let client = remote::client_in(&self.zone, address, &self.token, CALL_TIMEOUT)?;
         // Hosts are replaced by the hundred a day; their addresses would pile up.
-        if clients.len() >= KEPT {
+        if clients.len() >= MAX_CLIENTS {
             clients.clear();
         }
         clients.insert(address.to_owned(), client.clone());
@@ -67,46 +67,46 @@
     /// Who it says it is; absent until it has answered.
     pub process: Option<Process>,
     /// When it last answered.
-    pub heard: Option<Duration>,
+    pub last_answer: Option<Duration>,
     /// When a row or another process last told of it.
-    pub told: Option<Duration>,
+    pub last_mention: Option<Duration>,
     /// Whether the settings name it.
-    pub fixed: bool,
+    pub configured: bool,
 }
 
 /// For how long a process that neither answers nor is told of is remembered. Hundreds of hosts are
 /// replaced a day, and their successors have other addresses.
-const REMEMBERED: Duration = Duration::from_secs(600);
+const PEER_EXPIRY: Duration = Duration::from_secs(600);
 
 impl Peers {
     /// Makes `address`, which the settings name, known for good.
-    pub fn fix(&self, address: &str) {
+    pub fn add_configured(&self, address: &str) {
         let mut known = lock(&self.known);
-        known.entry(address.to_owned()).or_default().fixed = true;
+        known.entry(address.to_owned()).or_default().configured = true;
     }
 
     /// The process at `address` has answered at `now`.
-    pub fn answered(&self, address: &str, process: Option<Process>, now: Duration) {
+    pub fn record_answer(&self, address: &str, process: Option<Process>, now: Duration) {
         let mut known = lock(&self.known);
         let peer = known.entry(address.to_owned()).or_default();
         peer.host = process.as_ref().map(|process| process.host.clone());
         peer.process = process;
-        peer.heard = Some(now);
+        peer.last_answer = Some(now);
     }
 
     /// Somebody told at `now` that `host` is reached at `address`.
-    pub fn told(&self, host: &str, address: &str, now: Duration) {
+    pub fn record_mention(&self, host: &str, address: &str, now: Duration) {
         let mut known = lock(&self.known);
         let peer = known.entry(address.to_owned()).or_default();
         peer.host.get_or_insert_with(|| host.to_owned());
-        peer.told = Some(now);
+        peer.last_mention = Some(now);
     }
 
     /// Forgets processes that have neither answered nor been told of for long.
-    pub fn forget(&self, now: Duration) {
+    pub fn remove_expired(&self, now: Duration) {
         lock(&self.known).retain(|_, peer| {
-            let last = peer.heard.max(peer.told).unwrap_or_default();
-            peer.fixed || now < last + REMEMBERED
+            let last = peer.last_answer.max(peer.last_mention).unwrap_or_default();
+            peer.configured || now < last + PEER_EXPIRY
         });
     }
 
@@ -116,7 +116,7 @@
         let of_host = known
             .iter()
             .filter(|(_, peer)| peer.host.as_deref() == Some(host));
-        let latest = of_host.max_by_key(|(_, peer)| peer.heard);
+        let latest = of_host.max_by_key(|(_, peer)| peer.last_answer);
         latest.map(|(address, _)| address.clone())
     }
 
@@ -126,11 +126,11 @@
     }
 
     /// Those that have answered since `since`.
-    pub fn heard_since(&self, since: Duration) -> Vec<Process> {
+    pub fn answered_since(&self, since: Duration) -> Vec<Process> {
         let known = lock(&self.known);
         known
             .values()
-            .filter(|peer| peer.heard.is_some_and(|heard| heard >= since))
+            .filter(|peer| peer.last_answer.is_some_and(|at| at >= since))
             .filter_map(|peer| peer.process.clone())
             .collect()
     }
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -22,24 +22,24 @@
 use crate::spread;
 
 /// Least time between two reads of all rows, so that many shards that ask share one.
-const SPACING: Duration = Duration::from_millis(100);
+const MIN_READ_SPACING: Duration = Duration::from_millis(100);
 
 /// Bytes of all rows beyond which they are read rarely. A host's share of the network is 23 KB a
 /// second, and all rows would be read several times a second.
-const LARGE: usize = 32 << 10;
+const LARGE_FLEET_BYTES: usize = 32 << 10;
 
 /// The same in a large fleet.
-const LARGE_SPACING: Duration = Duration::from_millis(400);
+const LARGE_FLEET_READ_SPACING: Duration = Duration::from_millis(400);
 
 /// Time between two reads of all rows in a large fleet, where nobody asks.
-const LARGE_INTERVAL: Duration = Duration::from_secs(60);
+const LARGE_FLEET_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Rows that are read one by one at most; each is asked for twice a second, of the ten requests a
 /// second that a process makes.
-const MANY: usize = 4;
+const MAX_SINGLE_ROW_READS: usize = 4;
 
 /// How long a row counts as asked for.
-const NAMED_FOR: Duration = Duration::from_secs(2);
+const NAMED_ROW_EXPIRY: Duration = Duration::from_secs(2);
 
 /// Time between two reads of the head alone in a large fleet.
 const HEAD_INTERVAL: Duration = Duration::from_secs(2);
@@ -55,66 +55,68 @@
 
 /// What a process is to a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum Participation {
     /// It leads it or is named as a standby: its row has to be read often.
     Named,
     /// It is not named.
-    Other,
+    Unnamed,
 }
 
 /// Where reads are asked for.
 #[derive(Clone)]
 pub struct Reader {
     shared: Arc<Shared>,
-    asked: mpsc::UnboundedSender<oneshot::Sender<Read>>,
-    seen: Arc<Seen>,
+    requests: mpsc::UnboundedSender<oneshot::Sender<Read>>,
+    last_read: Arc<LastRead>,
 }
 
 /// What the last read of all rows showed.
 #[derive(Default)]
-struct Seen {
+struct LastRead {
     large: AtomicBool,
     latest: Mutex<Read>,
     /// When rows of shards that name this process were last asked for.
-    named: Mutex<BTreeMap<String, Duration>>,
+    named_reads: Mutex<BTreeMap<String, Duration>>,
 }
 
 impl Reader {
     /// A read that finds the row `key`, sent after this call: an authority that dated an old read
     /// as new would outlive its row.
-    pub async fn read(&self, key: &str, part: Part) -> Read {
-        match (self.is_large(), part) {
-            (true, Part::Other) => self.latest(),
-            (true, Part::Named) if !self.names_many(key) => self.read_one(key).await,
+    pub async fn read(&self, key: &str, participation: Participation) -> Read {
+        match (self.is_large(), participation) {
+            (true, Participation::Unnamed) => self.latest(),
+            (true, Participation::Named) if !self.names_many_shards(key) => {
+                self.read_one(key).await
+            }
             _ => self.read_all().await,
         }
     }
 
     async fn read_all(&self) -> Read {
         let (sender, receiver) = oneshot::channel();
-        let _stopped = self.asked.send(sender);
+        let _stopped = self.requests.send(sender);
         receiver.await.unwrap_or_default()
     }
 
     /// Whether so many shards name this process that one read of all rows is asked for less often
     /// than a read of each. After takeovers shards gather on a process; row by row their reads
     /// would wait for each other by the bound on requests until every authority had run out.
-    fn names_many(&self, key: &str) -> bool {
+    fn names_many_shards(&self, key: &str) -> bool {
         let now = self.shared.now();
-        let named = self.seen.named.lock();
+        let named = self.last_read.named_reads.lock();
         let mut named = named.unwrap_or_else(PoisonError::into_inner);
         named.insert(key.to_owned(), now);
-        named.retain(|_, asked| now < *asked + NAMED_FOR);
-        named.len() > MANY
+        named.retain(|_, asked| now < *asked + NAMED_ROW_EXPIRY);
+        named.len() > MAX_SINGLE_ROW_READS
     }
 
     fn latest(&self) -> Read {
-        let latest = self.seen.latest.lock();
+        let latest = self.last_read.latest.lock();
         latest.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// The row `key` as it was a moment ago; read anew where all rows are not read often.
-    pub async fn glance(&self, key: &str) -> Read {
+    pub async fn read_recent(&self, key: &str) -> Read {
         if self.is_large() {
             return self.read_one(key).await;
         }
@@ -128,7 +130,7 @@
     }
 
     fn is_large(&self) -> bool {
-        self.seen.large.load(Ordering::Relaxed)
+        self.last_read.large.load(Ordering::Relaxed)
     }
 }
 
@@ -137,70 +139,72 @@
     let (sender, receiver) = mpsc::unbounded_channel();
     let reader = Reader {
         shared,
-        asked: sender,
-        seen: Arc::default(),
+        requests: sender,
+        last_read: Arc::default(),
     };
-    tokio::spawn(all(reader.clone(), spread.clone(), receiver));
-    tokio::spawn(head(reader.clone(), spread));
+    tokio::spawn(poll_rows(reader.clone(), spread.clone(), receiver));
+    tokio::spawn(poll_head(reader.clone(), spread));
     reader
 }
 
 /// Reads all rows, when somebody asks and at least once each poll interval.
-async fn all(
+async fn poll_rows(
     reader: Reader,
     spread: spread::Handle,
-    mut asked: mpsc::UnboundedReceiver<oneshot::Sender<Read>>,
+    mut requests: mpsc::UnboundedReceiver<oneshot::Sender<Read>>,
 ) {
     let shared = reader.shared.clone();
     let interval = shared.settings().platform.poll;
     let mut silent_since = None;
     while shared.stop().phase() != Phase::Stopped {
-        let patience = match reader.is_large() {
-            true => LARGE_INTERVAL,
+        let poll_interval = match reader.is_large() {
+            true => LARGE_FLEET_POLL_INTERVAL,
             false => interval,
         };
-        let first = tokio::time::timeout(jittered(patience), asked.recv()).await;
+        let first = tokio::time::timeout(jittered(poll_interval), requests.recv()).await;
         let first = first.ok().flatten();
         let mut waiting: Vec<oneshot::Sender<Read>> = first.into_iter().collect();
-        while let Ok(another) = asked.try_recv() {
+        while let Ok(another) = requests.try_recv() {
             waiting.push(another);
         }
         let sent = shared.now();
         let result = shared.platform().list(FLEET).await;
-        note(&mut silent_since, shared.now(), result.as_ref().err());
-        shared.set_silent(result.is_err());
+        log_availability(&mut silent_since, shared.now(), result.as_ref().err());
+        shared.set_platform_silent(result.is_err());
         let read = read(sent, result);
-        reader.see(&read);
-        spread.tell(event(&read));
+        reader.record(&read);
+        spread.send(head_event(&read));
         for sender in waiting {
             let _gone = sender.send(read.clone());
         }
         let spacing = match reader.is_large() {
-            true => LARGE_SPACING,
-            false => SPACING,
+            true => LARGE_FLEET_READ_SPACING,
+            false => MIN_READ_SPACING,
         };
         tokio::time::sleep(spacing).await;
     }
 }
 
 impl Reader {
-    fn see(&self, read: &Read) {
+    fn record(&self, read: &Read) {
         let Some(rows) = &read.rows else {
             return;
         };
         let bytes: usize = rows.values().map(|row| row.body.len()).sum();
-        self.seen.large.store(bytes > LARGE, Ordering::Relaxed);
-        let latest = self.seen.latest.lock();
+        self.last_read
+            .large
+            .store(bytes > LARGE_FLEET_BYTES, Ordering::Relaxed);
+        let latest = self.last_read.latest.lock();
         *latest.unwrap_or_else(PoisonError::into_inner) = read.clone();
     }
 }
 
 /// Reads the head alone while all rows are not read often.
-async fn head(reader: Reader, spread: spread::Handle) {
+async fn poll_head(reader: Reader, spread: spread::Handle) {
     while reader.shared.stop().phase() != Phase::Stopped {
         tokio::time::sleep(jittered(HEAD_INTERVAL)).await;
         if reader.is_large() {
-            spread.tell(event(&reader.read_one(HEAD).await));
+            spread.send(head_event(&reader.read_one(HEAD).await));
         }
     }
 }
@@ -213,7 +217,7 @@
     Read { sent, rows }
 }
 
-fn event(read: &Read) -> spread::Event {
+fn head_event(read: &Read) -> spread::Event {
     let Some(rows) = &read.rows else {
         return spread::Event::HeadFailed;
     };
@@ -230,7 +234,7 @@
     }
 }
 
-fn note(silent_since: &mut Option<Duration>, now: Duration, error: Option<&Error>) {
+fn log_availability(silent_since: &mut Option<Duration>, now: Duration, error: Option<&Error>) {
     match (&silent_since, error) {
         (None, Some(error)) => {
             *silent_since = Some(now);
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -12,18 +12,18 @@
 
 /// How long renewals wait for others that go the same way. A host counts its lease from the
 /// sending of its renewal, so this is taken from what is left of the lease.
-const HOLD: Duration = Duration::from_millis(200);
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 
 /// Renewals in one call at most.
-const BUNDLE: usize = 512;
+const MAX_BUNDLE: usize = 512;
 
 /// Renewals that wait for their call, by the address of the controller.
 pub struct Relay {
     shared: Arc<Shared>,
-    waiting: Mutex<BTreeMap<String, Vec<Waiting>>>,
+    waiting: Mutex<BTreeMap<String, Vec<Pending>>>,
 }
 
-struct Waiting {
+struct Pending {
     renewal: Renewal,
     reply: oneshot::Sender<Reply>,
 }
@@ -51,14 +51,17 @@
     pub async fn renew(self: &Arc<Self>, address: String, renewal: Renewal) -> Reply {
         let urgent = is_urgent(&renewal);
         let (sender, receiver) = oneshot::channel();
-        let waiting = Waiting {
+        let waiting = Pending {
             renewal,
             reply: sender,
         };
         if self.enqueue(&address, waiting) || urgent {
-            let (relay, hold) = (self.clone(), if urgent { Duration::ZERO } else { HOLD });
+            let (relay, delay) = (
+                self.clone(),
+                if urgent { Duration::ZERO } else { BATCH_DELAY },
+            );
             tokio::spawn(async move {
-                tokio::time::sleep(hold).await;
+                tokio::time::sleep(delay).await;
                 relay.flush(&address).await;
             });
         }
@@ -66,7 +69,7 @@
     }
 
     /// Whether the queue was empty, so that a call has to be made for it.
-    fn enqueue(&self, address: &str, waiting: Waiting) -> bool {
+    fn enqueue(&self, address: &str, waiting: Pending) -> bool {
         let mut queues = self.queues();
         let queue = queues.entry(address.to_owned()).or_default();
         queue.push(waiting);
@@ -77,12 +80,12 @@
         let queue = self.queues().remove(address).unwrap_or_default();
         let mut queue = queue.into_iter().peekable();
         while queue.peek().is_some() {
-            let bundle: Vec<Waiting> = queue.by_ref().take(BUNDLE).collect();
+            let bundle: Vec<Pending> = queue.by_ref().take(MAX_BUNDLE).collect();
             self.send(address, bundle).await;
         }
     }
 
-    async fn send(&self, address: &str, bundle: Vec<Waiting>) {
+    async fn send(&self, address: &str, bundle: Vec<Pending>) {
         metrics::histogram!("flamingopost_relay_bundle").record(bundle.len() as f64);
         let (renewals, senders): (Vec<Renewal>, Vec<_>) = bundle
             .into_iter()
@@ -104,11 +107,11 @@
     fn refused(&self) -> Reply {
         Reply::Refused(Refusal {
             redirect: None,
-            config: self.shared.heard(),
+            config: self.shared.highest_version(),
         })
     }
 
-    fn queues(&self) -> MutexGuard<'_, BTreeMap<String, Vec<Waiting>>> {
+    fn queues(&self) -> MutexGuard<'_, BTreeMap<String, Vec<Pending>>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/control/src/row.rs
+++ b/crates/control/src/row.rs
@@ -65,9 +65,9 @@
     let stored: Stored = serde_json::from_str(body).map_err(ReadError::Json)?;
     let decoded = shared.intern(|directory| stored.row.decode(directory));
     let decoded = decoded.map_err(ReadError::Row)?;
-    shared.lead(shard, stored.row.epoch, &stored.row.controller, &stored.rpc);
+    shared.record_controller(shard, stored.row.epoch, &stored.row.controller, &stored.rpc);
     for (host, rpc) in &stored.addresses {
-        shared.learn_host(host, rpc);
+        shared.record_host(host, rpc);
     }
     Ok(decoded)
 }
--- a/crates/control/src/rpc.rs
+++ b/crates/control/src/rpc.rs
@@ -13,7 +13,7 @@
 
 use crate::fleet_status;
 use crate::relay::Relay;
-use crate::shard_message::{Asked, GiveUp, Order, Renew};
+use crate::shard_message::{Heartbeat, ReleaseShard, Renew, SwitchOver};
 use crate::shards::Shards;
 use crate::shared::Shared;
 use crate::spread::{Event, Handle};
@@ -44,9 +44,9 @@
     async fn renew_one(&self, renewal: Renewal) -> Reply {
         let refused = Reply::Refused(Refusal {
             redirect: None,
-            config: self.shared.heard(),
+            config: self.shared.highest_version(),
         });
-        self.spread.tell(Event::Heard {
+        self.spread.send(Event::VersionSeen {
             version: renewal.config,
             from: None,
         });
@@ -72,20 +72,20 @@
 
     async fn promise(&self, ask: Ask) -> RpcResult<Promise> {
         let actor = self.shards.get(ask.shard).ok_or_else(no_such_shard)?;
-        let promise = actor.send(Asked(ask)).await.ok().flatten();
+        let promise = actor.send(Heartbeat(ask)).await.ok().flatten();
         promise.ok_or_else(no_such_shard)
     }
 
     async fn release(&self, release: Release) -> RpcResult<Released> {
         let actor = self.shards.get(release.shard).ok_or_else(no_such_shard)?;
         actor
-            .send(GiveUp(release))
+            .send(ReleaseShard(release))
             .await
             .map_err(|_| no_such_shard())
     }
 
     async fn knowledge(&self, version: u64) -> RpcResult<Knowledge> {
-        self.spread.tell(Event::Heard {
+        self.spread.send(Event::VersionSeen {
             version,
             from: None,
         });
@@ -101,7 +101,7 @@
         let Some(actor) = number.and_then(|number| self.shards.get(number)) else {
             return Ok(Ordered::NoSuchService);
         };
-        let ordered = actor.send(Order(service)).await;
+        let ordered = actor.send(SwitchOver(service)).await;
         Ok(ordered.unwrap_or(Ordered::NoSuchService))
     }
 }
--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -13,7 +13,7 @@
 
 /// Connections that a controller and its successor may have to one server at the same time;
 /// hosts share the rest of the server's limit.
-pub const RESERVED: u16 = 2;
+pub const RESERVED_CONNECTIONS: u16 = 2;
 
 /// Where a server is and which group it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -103,7 +103,7 @@
             return OrderOutcome::Unknown;
         };
         let ordered = connected.promote(term, Some(at_least)).await;
-        forget_broken(&mut client, &ordered);
+        discard_broken(&mut client, &ordered);
         match ordered {
             Ok(()) => OrderOutcome::Done,
             Err(Error::Refused(_)) => OrderOutcome::Refused,
@@ -121,7 +121,7 @@
             return;
         };
         let ordered = connected.follow(leader.address.address, term).await;
-        forget_broken(&mut client, &ordered);
+        discard_broken(&mut client, &ordered);
     }
 
     fn link(&self, server: ServerKey) -> Option<Arc<Link>> {
@@ -148,7 +148,7 @@
 
 /// After a timeout the answer to the old order may still come, and must not be read as that to
 /// the next.
-fn forget_broken(client: &mut Option<Client>, ordered: &Result<(), Error>) {
+fn discard_broken(client: &mut Option<Client>, ordered: &Result<(), Error>) {
     if matches!(ordered, Err(error) if !matches!(error, Error::Refused(_))) {
         *client = None;
     }
--- a/crates/control/src/shard.rs
+++ b/crates/control/src/shard.rs
@@ -24,34 +24,34 @@
 use crate::hints::Hints;
 use crate::poll::Reader;
 use crate::servers::{Address, Servers};
-use crate::shard_floors::Keeper;
+use crate::shard_floors::RowState;
 use crate::shard_status;
 use crate::shared::Shared;
 
 /// How often the machine of a controller is asked what is due.
-const STEP: Duration = Duration::from_millis(25);
+const LEADER_STEP_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The same where this process stands by. It does so for every shard of the fleet.
-const STANDBY_STEP: Duration = Duration::from_millis(100);
+const STANDBY_STEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often standbys are chosen anew and what is long gone is forgotten.
-const REVIEW: Duration = Duration::from_secs(1);
+const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often floors are looked after.
-const FLOORS: Duration = Duration::from_millis(500);
+const FLOORS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a shard without a row is left to the process that comes first for it.
-const COURTESY: Duration = Duration::from_millis(1_000);
+const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Silence of a control process after which it is no candidate for a standby. Long, for each is
 /// asked rarely in a large fleet; only one that answers at once is named.
-const CANDIDATE: Duration = Duration::from_secs(30);
+const CANDIDATE_EXPIRY: Duration = Duration::from_secs(30);
 
 /// The controller of one shard.
 pub struct Shard {
     pub(crate) number: u16,
     /// When this process learnt of the shard.
-    pub(crate) born: Duration,
+    pub(crate) created: Duration,
     pub(crate) shared: Arc<Shared>,
     pub(crate) reader: Reader,
     pub(crate) controller: Controller,
@@ -59,23 +59,23 @@
     /// Tag of the row's revision that was last seen, for the next compare-and-set.
     pub(crate) tag: Option<(u64, Tag)>,
     /// Where lease holders are reached.
-    pub(crate) holders: BTreeMap<Instance, String>,
+    pub(crate) holder_addresses: BTreeMap<Instance, String>,
     /// When the lease of each ends at the latest.
-    pub(crate) leases: BTreeMap<Instance, Duration>,
+    pub(crate) lease_ends: BTreeMap<Instance, Duration>,
     pub(crate) budgets: Budgets,
-    pub(crate) keeper: Keeper,
+    pub(crate) floors_row: RowState,
     /// Connections granted to each, for operators.
-    pub(crate) granted: BTreeMap<Instance, u32>,
+    pub(crate) granted_connections: BTreeMap<Instance, u32>,
     pub(crate) membership: Membership,
     pub(crate) leaving: LeavingServers,
     /// Entry hosts that operators want to end.
-    pub(crate) drained: BTreeSet<HostKey>,
+    pub(crate) drained_hosts: BTreeSet<HostKey>,
     /// What each server last said, and when it was asked.
     pub(crate) statuses: BTreeMap<ServerKey, (Duration, Status)>,
     pub(crate) config: Option<Arc<Config>>,
-    pub(crate) led: bool,
+    pub(crate) was_leading: bool,
     /// What the metrics say of it.
-    pub(crate) shown: Option<bool>,
+    pub(crate) reported_leading: Option<bool>,
     /// Whether the process is about to end and wants a standby to take over.
     pub(crate) retiring: bool,
 }
@@ -89,24 +89,24 @@
         let controller = Controller::new(me, shared.process().incarnation, shared.now());
         Shard {
             number,
-            born: shared.now(),
+            created: shared.now(),
             controller,
             reader,
             shared,
             servers: Arc::new(Servers::new(&name)),
             tag: None,
-            holders: BTreeMap::new(),
-            leases: BTreeMap::new(),
+            holder_addresses: BTreeMap::new(),
+            lease_ends: BTreeMap::new(),
             budgets: Budgets::default(),
-            keeper: Keeper::default(),
-            granted: BTreeMap::new(),
+            floors_row: RowState::default(),
+            granted_connections: BTreeMap::new(),
             membership: Membership::default(),
             leaving: LeavingServers::default(),
-            drained: BTreeSet::new(),
+            drained_hosts: BTreeSet::new(),
             statuses: BTreeMap::new(),
             config: None,
-            led: false,
-            shown: None,
+            was_leading: false,
+            reported_leading: None,
             retiring: false,
         }
     }
@@ -117,24 +117,24 @@
         for action in self.controller.step(now) {
             self.perform(action, ctx);
         }
-        self.note_lead(now);
+        self.update_leadership(now);
     }
 
-    fn note_lead(&mut self, now: Duration) {
+    fn update_leadership(&mut self, now: Duration) {
         let leads = self.controller.leading_epoch(now).is_some();
-        if leads && !self.led {
+        if leads && !self.was_leading {
             self.budgets.restart();
         }
         // An authority that has only run out for a moment keeps its connections; one that is
         // over gives them back, for they count against the server's limit.
-        if self.led && !leads && self.controller.view().is_none() {
+        if self.was_leading && !leads && self.controller.view().is_none() {
             self.servers.close();
-            self.leases.clear();
-            self.granted.clear();
+            self.lease_ends.clear();
+            self.granted_connections.clear();
         }
-        self.led = leads || (self.led && self.controller.view().is_some());
-        if self.shown != Some(leads) {
-            self.shown = Some(leads);
+        self.was_leading = leads || (self.was_leading && self.controller.view().is_some());
+        if self.reported_leading != Some(leads) {
+            self.reported_leading = Some(leads);
             let shard = self.number.to_string();
             metrics::gauge!("flamingopost_shard_leads", "shard" => shard)
                 .set(f64::from(u8::from(leads)));
@@ -145,8 +145,8 @@
     fn tick(&mut self, ctx: &mut Context<Self>) {
         self.step(ctx);
         let pause = match self.controller.view() {
-            Some(_) => STEP,
-            None => STANDBY_STEP,
+            Some(_) => LEADER_STEP_INTERVAL,
+            None => STANDBY_STEP_INTERVAL,
         };
         ctx.run_later(pause, Self::tick);
     }
@@ -224,20 +224,20 @@
         self.controller.configure(groups);
     }
 
-    pub(crate) fn take_hints(&mut self, hints: &Hints) {
+    pub(crate) fn apply_hints(&mut self, hints: &Hints) {
         let mut changed = false;
         changed |= self
             .leaving
-            .replace(Reason::Operator, hints.drained.clone());
+            .replace(Reason::Operator, hints.drained_servers.clone());
         changed |= self
             .leaving
-            .replace(Reason::Platform, hints.leaving.clone());
-        self.drained.clone_from(&hints.ended);
+            .replace(Reason::Platform, hints.leaving_servers.clone());
+        self.drained_hosts.clone_from(&hints.drained_hosts);
         let hosts = hints.hosts.iter();
         self.membership
             .set_listed_hosts(hosts.map(|(host, hint)| (*host, *hint)).collect());
-        if !hints.zones.is_empty() {
-            self.controller.set_listed_zones(hints.zones.clone());
+        if !hints.live_zones.is_empty() {
+            self.controller.set_listed_zones(hints.live_zones.clone());
         }
         if changed {
             self.set_groups();
@@ -247,33 +247,35 @@
     /// Chooses candidates for standbys and forgets what is long gone.
     fn review(&mut self) {
         let now = self.shared.now();
-        let since = now.saturating_sub(CANDIDATE);
-        let heard = self.shared.peers().heard_since(since);
-        let order = candidate::order(self.number, &self.shared.process().zone, heard);
+        let since = now.saturating_sub(CANDIDATE_EXPIRY);
+        let live = self.shared.peers().answered_since(since);
+        let order = candidate::order(self.number, &self.shared.process().zone, live);
         let hosts = self.shared.intern(|directory| {
             let names = order.iter();
             names.map(|host| directory.hosts.intern(host)).collect()
         });
         self.controller.set_standby_candidates(hosts);
         self.membership.forget(now);
-        self.leases.retain(|_, until| *until > now);
+        self.lease_ends.retain(|_, until| *until > now);
         let known: Vec<Instance> = self.membership.members().map(instance).collect();
-        self.holders.retain(|holder, _| known.contains(holder));
-        self.granted.retain(|holder, _| known.contains(holder));
+        self.holder_addresses
+            .retain(|holder, _| known.contains(holder));
+        self.granted_connections
+            .retain(|holder, _| known.contains(holder));
     }
 
     /// Whether a shard that nobody has claimed yet is left to another process for a moment. The
     /// first process of a fresh fleet would otherwise claim every shard.
-    pub(crate) fn leaves_to_another(&self) -> bool {
+    pub(crate) fn defers_first_claim(&self) -> bool {
         let now = self.shared.now();
-        let heard = self.shared.peers().heard_since(Duration::ZERO);
-        now < self.born + COURTESY
-            && !candidate::is_first(self.number, &self.shared.process().host, &heard)
+        let live = self.shared.peers().answered_since(Duration::ZERO);
+        now < self.created + FIRST_CLAIM_DELAY
+            && !candidate::is_first(self.number, &self.shared.process().host, &live)
     }
 
-    pub(crate) fn asked(&mut self, ask: &Ask) -> Option<Promise> {
+    pub(crate) fn on_heartbeat(&mut self, ask: &Ask) -> Option<Promise> {
         self.shared
-            .lead(self.number, ask.epoch, &ask.controller, &ask.rpc);
+            .record_controller(self.number, ask.epoch, &ask.controller, &ask.rpc);
         let row: Option<row::Row> = match &ask.row {
             None => None,
             Some(row) => {
@@ -290,7 +292,7 @@
         Some(self.controller.on_heartbeat(&ask, self.shared.now()).into())
     }
 
-    pub(crate) fn give_up(&mut self, release: &Release) -> Released {
+    pub(crate) fn on_release(&mut self, release: &Release) -> Released {
         let released = self.controller.release(release.epoch, self.shared.now());
         let directory = self.shared.directory();
         let row = released.row.as_ref();
@@ -302,7 +304,7 @@
         }
     }
 
-    pub(crate) fn order(&mut self, name: &str) -> Ordered {
+    pub(crate) fn switch_over(&mut self, name: &str) -> Ordered {
         let now = self.shared.now();
         let key = self.shared.directory().services.find(name);
         let Some(key) = key.filter(|key| self.serves(*key)) else {
@@ -321,7 +323,7 @@
         if !open {
             return Ordered::UnderWay;
         }
-        if !shard_status::has_heir(self, key) {
+        if !shard_status::has_promotable_replica(self, key) {
             return Ordered::NoCandidate;
         }
         self.controller.switch_over(key, now);
@@ -379,7 +381,7 @@
 
     fn started(&mut self, ctx: &mut Self::Context) {
         self.tick(ctx);
-        ctx.run_interval(REVIEW, |shard, _| shard.review());
-        ctx.run_interval(FLOORS, |shard, ctx| shard.keep_floors(ctx));
+        ctx.run_interval(REVIEW_INTERVAL, |shard, _| shard.review());
+        ctx.run_interval(FLOORS_INTERVAL, |shard, ctx| shard.sync_floors(ctx));
     }
 }
--- a/crates/control/src/shard_effect.rs
+++ b/crates/control/src/shard_effect.rs
@@ -23,7 +23,7 @@
 use flamingopost_wire::view;
 
 use crate::event::Event as Log;
-use crate::poll::{Part, Read};
+use crate::poll::{Participation, Read};
 use crate::row;
 use crate::shard::Shard;
 use crate::shard_note;
@@ -34,26 +34,26 @@
     /// Starts `action`.
     pub(crate) fn perform(&mut self, action: Action, ctx: &mut Ctx) {
         match action {
-            Action::Read => self.read(ctx),
-            Action::Write { row, replaces } => self.write(&row, replaces, ctx),
+            Action::Read => self.read_row(ctx),
+            Action::Write { row, replaces } => self.write_row(&row, replaces, ctx),
             // A standby that no longer hears of this controller claims the shard and asks for
             // its release. Until then leases are granted as ever, so writes hardly notice.
             Action::Heartbeat { .. } if self.retiring => {}
-            Action::Heartbeat { host, heartbeat } => self.ask(host, heartbeat, ctx),
-            Action::Release { host, epoch } => self.release(host, epoch, ctx),
+            Action::Heartbeat { host, heartbeat } => self.send_heartbeat(host, heartbeat, ctx),
+            Action::Release { host, epoch } => self.request_release(host, epoch, ctx),
             Action::Close { to, view } => {
-                let message = self.message(&view);
+                let message = self.view_message(&view);
                 for holder in to {
-                    self.close(holder, message.clone(), ctx);
+                    self.send_close(holder, message.clone(), ctx);
                 }
             }
             Action::Publish { to, view } => {
-                let message = self.message(&view);
+                let message = self.view_message(&view);
                 for holder in to {
                     self.publish(holder, message.clone(), ctx);
                 }
             }
-            Action::QueryStatus(server) => self.status(server, ctx),
+            Action::QueryStatus(server) => self.query_status(server, ctx),
             Action::Promote {
                 server,
                 term,
@@ -68,17 +68,17 @@
         }
     }
 
-    fn read(&mut self, ctx: &mut Ctx) {
+    fn read_row(&mut self, ctx: &mut Ctx) {
         let reader = self.reader.clone();
-        let (key, part) = (row::key(self.number), self.part());
-        let reading = async move { reader.read(&key, part).await }.into_actor(self);
+        let (key, participation) = (row::key(self.number), self.participation());
+        let reading = async move { reader.read(&key, participation).await }.into_actor(self);
         ctx.spawn(reading.map(|read, shard, ctx| {
-            shard.take_read(&read);
+            shard.on_row_read(&read);
             shard.step(ctx);
         }));
     }
 
-    fn part(&self) -> Part {
+    fn participation(&self) -> Participation {
         let process = self.shared.process();
         let me = self.shared.directory().hosts.find(&process.host);
         let row = self.controller.row();
@@ -87,19 +87,19 @@
             hosts.into_iter().any(|host| Some(*host) == me)
         });
         match named {
-            true => Part::Named,
-            false => Part::Other,
+            true => Participation::Named,
+            false => Participation::Unnamed,
         }
     }
 
-    fn take_read(&mut self, read: &Read) {
+    fn on_row_read(&mut self, read: &Read) {
         let Some(rows) = &read.rows else {
             return;
         };
         let now = self.shared.now();
         let Some(stored) = rows.get(&row::key(self.number)) else {
             self.tag = None;
-            if self.leaves_to_another() {
+            if self.defers_first_claim() {
                 return;
             }
             return self.controller.on_row_read(read.sent, None, now);
@@ -117,9 +117,9 @@
         }
     }
 
-    fn write(&mut self, row: &Row, over: Option<u64>, ctx: &mut Ctx) {
+    fn write_row(&mut self, row: &Row, replaces: Option<u64>, ctx: &mut Ctx) {
         let revision = row.revision;
-        let Some(change) = self.change(row, over) else {
+        let Some(change) = self.change(row, replaces) else {
             // Nothing is sent: the table's row is not the one to replace, as far as known. The
             // machine reads at once and tries again.
             let now = self.shared.now();
@@ -130,15 +130,17 @@
         let shared = self.shared.clone();
         let writing = async move { shared.platform().write(vec![change]).await };
         ctx.spawn(writing.into_actor(self).map(move |result, shard, ctx| {
-            shard.take_written(revision, result);
+            shard.on_written(revision, result);
             shard.step(ctx);
         }));
     }
 
-    fn change(&self, row: &Row, over: Option<u64>) -> Option<Change> {
-        let guard = match (over, &self.tag) {
+    fn change(&self, row: &Row, replaces: Option<u64>) -> Option<Change> {
+        let guard = match (replaces, &self.tag) {
             (None, _) => Guard::Absent,
-            (Some(over), Some((revision, tag))) if over == *revision => Guard::Tag(tag.clone()),
+            (Some(replaces), Some((revision, tag))) if replaces == *revision => {
+                Guard::Tag(tag.clone())
+            }
             (Some(_), _) => return None,
         };
         match row::encode(row, &self.shared) {
@@ -155,7 +157,7 @@
         }
     }
 
-    fn take_written(&mut self, revision: u64, result: Result<Outcome, Error>) {
+    fn on_written(&mut self, revision: u64, result: Result<Outcome, Error>) {
         let written = match result {
             Ok(Outcome::Done(tags)) => {
                 let tag: Option<Tag> = tags.into_iter().next();
@@ -172,20 +174,20 @@
         self.controller.on_write_outcome(revision, written, now);
     }
 
-    fn ask(&mut self, host: HostKey, ask: authority::Heartbeat, ctx: &mut Ctx) {
+    fn send_heartbeat(&mut self, host: HostKey, heartbeat: authority::Heartbeat, ctx: &mut Ctx) {
         let Some(address) = self.address(host) else {
             return;
         };
         let directory = self.shared.directory();
-        let row = ask.row.as_ref();
+        let row = heartbeat.row.as_ref();
         let row = row.and_then(|row| flamingopost_wire::row::Row::encode(row, &directory).ok());
         let message = Ask {
             shard: self.number,
-            epoch: ask.epoch,
+            epoch: heartbeat.epoch,
             controller: self.shared.process().host.clone(),
             rpc: self.shared.process().rpc.clone(),
-            promise: ask.wants_promise,
-            revision: ask.revision,
+            promise: heartbeat.wants_promise,
+            revision: heartbeat.revision,
             row,
         };
         let shared = self.shared.clone();
@@ -205,7 +207,7 @@
         }));
     }
 
-    fn release(&mut self, host: HostKey, epoch: u32, ctx: &mut Ctx) {
+    fn request_release(&mut self, host: HostKey, epoch: u32, ctx: &mut Ctx) {
         let Some(address) = self.address(host) else {
             return;
         };
@@ -234,16 +236,16 @@
         }));
     }
 
-    fn message(&self, view: &flamingopost_core::view::Shard) -> Close {
+    fn view_message(&self, view: &flamingopost_core::view::Shard) -> Close {
         Close {
             shard: self.number,
             view: view::Shard::encode(view, &self.shared.directory()),
-            config: self.shared.heard(),
+            config: self.shared.highest_version(),
         }
     }
 
-    fn close(&mut self, holder: Instance, message: Close, ctx: &mut Ctx) {
-        let Some(address) = self.holders.get(&holder).cloned() else {
+    fn send_close(&mut self, holder: Instance, message: Close, ctx: &mut Ctx) {
+        let Some(address) = self.holder_addresses.get(&holder).cloned() else {
             return;
         };
         let shared = self.shared.clone();
@@ -253,14 +255,14 @@
         };
         ctx.spawn(closing.into_actor(self).map(move |closed, shard, ctx| {
             if let Some(closed) = closed {
-                shard.take_closed(holder, &closed);
+                shard.on_closed(holder, &closed);
                 shard.step(ctx);
             }
         }));
     }
 
-    fn take_closed(&mut self, holder: Instance, closed: &Closed) {
-        self.shared.hear(closed.config);
+    fn on_closed(&mut self, holder: Instance, closed: &Closed) {
+        self.shared.observe_version(closed.config);
         // The host was restarted: this process knows nothing of what the one before it
         // acknowledged, and that one's lease has to lapse.
         if closed.incarnation != holder.incarnation {
@@ -283,7 +285,7 @@
     }
 
     fn publish(&mut self, holder: Instance, message: Close, ctx: &mut Ctx) {
-        let Some(address) = self.holders.get(&holder).cloned() else {
+        let Some(address) = self.holder_addresses.get(&holder).cloned() else {
             return;
         };
         let shared = self.shared.clone();
@@ -292,23 +294,23 @@
                 return;
             };
             if let Ok(config) = client.view(message).await {
-                shared.hear(config);
+                shared.observe_version(config);
             }
         };
         ctx.spawn(publishing.into_actor(self));
     }
 
-    fn status(&mut self, server: ServerKey, ctx: &mut Ctx) {
+    fn query_status(&mut self, server: ServerKey, ctx: &mut Ctx) {
         let servers = self.servers.clone();
         let sent = self.shared.now();
         let asking = async move { servers.status(server).await };
         ctx.spawn(asking.into_actor(self).map(move |status, shard, ctx| {
-            shard.take_status(server, sent, status);
+            shard.on_status(server, sent, status);
             shard.step(ctx);
         }));
     }
 
-    fn take_status(&mut self, server: ServerKey, sent: Duration, status: Option<group::Status>) {
+    fn on_status(&mut self, server: ServerKey, sent: Duration, status: Option<group::Status>) {
         match status {
             Some(status) => {
                 self.statuses.insert(server, (sent, status));
--- a/crates/control/src/shard_floors.rs
+++ b/crates/control/src/shard_floors.rs
@@ -13,45 +13,45 @@
 
 /// What is known of the row and whether a request is under way.
 #[derive(Debug, Default)]
-pub(crate) struct Keeper {
+pub(crate) struct RowState {
     /// Tag of the row; absent where there is none, or none is known.
     tag: Option<Tag>,
-    busy: bool,
+    in_flight: bool,
 }
 
 impl Shard {
     /// Reads or writes the row where that is due; called now and then.
-    pub(crate) fn keep_floors(&mut self, ctx: &mut Context<Self>) {
-        if !self.led || self.keeper.busy {
+    pub(crate) fn sync_floors(&mut self, ctx: &mut Context<Self>) {
+        if !self.was_leading || self.floors_row.in_flight {
             return;
         }
         if !self.budgets.is_loaded() {
             self.load_floors(ctx);
-        } else if let Some(floors) = self.budgets.unkept() {
+        } else if let Some(floors) = self.budgets.unpersisted() {
             self.write_floors(floors, ctx);
         }
     }
 
     fn load_floors(&mut self, ctx: &mut Context<Self>) {
-        self.keeper.busy = true;
+        self.floors_row.in_flight = true;
         let (shared, key) = (self.shared.clone(), floors::key(self.number));
         let epoch = self.controller.row().map(|row| row.epoch);
         let reading = async move { shared.platform().read(&key).await };
         ctx.spawn(reading.into_actor(self).map(move |result, shard, _| {
-            shard.keeper.busy = false;
+            shard.floors_row.in_flight = false;
             // Read for an authority that has ended meanwhile: another may have written since.
             if shard.controller.row().map(|row| row.epoch) == epoch {
-                shard.take_floors(result);
+                shard.on_floors_read(result);
             }
         }));
     }
 
-    fn take_floors(&mut self, result: Result<Option<Row>, Error>) {
+    fn on_floors_read(&mut self, result: Result<Option<Row>, Error>) {
         let now = self.shared.now();
         let Ok(row) = result else {
             return;
         };
-        self.keeper.tag = row.as_ref().map(|row| row.tag.clone());
+        self.floors_row.tag = row.as_ref().map(|row| row.tag.clone());
         let Some(row) = row else {
             return self.budgets.load(Floors::new(), now);
         };
@@ -68,29 +68,33 @@
     }
 
     fn write_floors(&mut self, floors: Floors, ctx: &mut Context<Self>) {
-        self.keeper.busy = true;
+        self.floors_row.in_flight = true;
         let change = Change {
             key: floors::key(self.number),
-            guard: self.keeper.tag.clone().map_or(Guard::Absent, Guard::Tag),
+            guard: self
+                .floors_row
+                .tag
+                .clone()
+                .map_or(Guard::Absent, Guard::Tag),
             body: floors::encode(&floors, &self.shared.directory()),
         };
         let shared = self.shared.clone();
         let writing = async move { shared.platform().write(vec![change]).await };
         ctx.spawn(writing.into_actor(self).map(move |result, shard, _| {
-            shard.keeper.busy = false;
-            shard.take_kept(floors, result);
+            shard.floors_row.in_flight = false;
+            shard.on_floors_written(floors, result);
         }));
     }
 
-    fn take_kept(&mut self, floors: Floors, result: Result<Outcome, Error>) {
+    fn on_floors_written(&mut self, floors: Floors, result: Result<Outcome, Error>) {
         match result {
             Ok(Outcome::Done(tags)) => {
-                self.keeper.tag = tags.into_iter().next();
-                self.budgets.keep(floors);
+                self.floors_row.tag = tags.into_iter().next();
+                self.budgets.record_persisted(floors);
             }
             // Another controller has written, or the answer to an earlier write was lost: what
             // the table holds has to be read before anything is promised on it.
-            Ok(Outcome::Lost) | Err(_) => self.budgets.doubt(),
+            Ok(Outcome::Lost) | Err(_) => self.budgets.invalidate_persisted(),
         }
     }
 }
--- a/crates/control/src/shard_lease.rs
+++ b/crates/control/src/shard_lease.rs
@@ -17,7 +17,7 @@
 impl Shard {
     pub(crate) fn renew(&mut self, renewal: lease::Renewal) -> lease::Reply {
         let now = self.shared.now();
-        self.shared.hear(renewal.config);
+        self.shared.observe_version(renewal.config);
         let decoded = self.decode(&renewal);
         let holder = decoded.holder;
         let member = Member {
@@ -34,7 +34,7 @@
                 valid,
                 view,
             } => {
-                let grants = self.allot(&renewal, holder, valid, now);
+                let grants = self.grant_connections(&renewal, holder, valid, now);
                 let directory = self.shared.directory();
                 let view =
                     view.map(|view| flamingopost_wire::view::Shard::encode(&view, &directory));
@@ -46,40 +46,40 @@
                         .iter()
                         .map(|(name, g)| (name.clone(), g.leased))
                         .collect(),
-                    floors: floors(&grants),
-                    drain: self.drained.contains(&holder.host),
-                    config: self.shared.heard(),
+                    floors: encode_floors(&grants),
+                    drain: self.drained_hosts.contains(&holder.host),
+                    config: self.shared.highest_version(),
                 })
             }
         }
     }
 
-    fn allot(
+    fn grant_connections(
         &mut self,
         renewal: &lease::Renewal,
         holder: Instance,
         valid: Duration,
         now: Duration,
     ) -> BTreeMap<String, Grant> {
-        let of_budget = HostInstance {
+        let budget_holder = HostInstance {
             host: holder.host,
             incarnation: holder.incarnation,
         };
         if renewal.stopping {
-            self.budgets.release(of_budget);
-            self.leases.remove(&holder);
-            self.granted.remove(&holder);
+            self.budgets.release(budget_holder);
+            self.lease_ends.remove(&holder);
+            self.granted_connections.remove(&holder);
             return BTreeMap::new();
         }
-        self.holders.insert(holder, renewal.rpc.clone());
-        self.leases.insert(holder, now + valid);
+        self.holder_addresses.insert(holder, renewal.rpc.clone());
+        self.lease_ends.insert(holder, now + valid);
         let directory = self.shared.directory();
         let demand = renewal.demand.iter();
         let demand = demand
             .filter_map(|(name, count)| Some((directory.servers.find(name)?, *count)))
             .collect();
         let renewer = Renewer {
-            holder: of_budget,
+            holder: budget_holder,
             zone: self
                 .shared
                 .intern(|names| names.zones.intern(&renewal.zone)),
@@ -87,7 +87,7 @@
         };
         let grants = self.budgets.renew(renewer, &demand, now);
         let total = grants.values().map(|grant| u32::from(grant.leased)).sum();
-        self.granted.insert(holder, total);
+        self.granted_connections.insert(holder, total);
         let named = grants.iter().filter_map(|(key, grant)| {
             let name = directory.servers.name(*key)?.to_owned();
             Some((name, *grant))
@@ -120,12 +120,12 @@
             .and_then(|host| self.shared.rpc_of(host));
         lease::Refusal {
             redirect,
-            config: self.shared.heard(),
+            config: self.shared.highest_version(),
         }
     }
 }
 
-fn floors(grants: &BTreeMap<String, Grant>) -> BTreeMap<String, lease::Floor> {
+fn encode_floors(grants: &BTreeMap<String, Grant>) -> BTreeMap<String, lease::Floor> {
     let given = grants.iter().filter(|(_, grant)| grant.floor > 0);
     given
         .map(|(name, grant)| {
--- a/crates/control/src/shard_message.rs
+++ b/crates/control/src/shard_message.rs
@@ -21,7 +21,7 @@
 /// The platform's list or the operators' drains have changed.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Hinted(pub Arc<Hints>);
+pub struct UpdateHints(pub Arc<Hints>);
 
 /// An entry host renews its lease.
 #[derive(Message)]
@@ -31,22 +31,22 @@
 /// A controller is there, or asks for a promise.
 #[derive(Message)]
 #[rtype(result = "Option<Promise>")]
-pub struct Asked(pub Ask);
+pub struct Heartbeat(pub Ask);
 
 /// A successor wants this process to give up.
 #[derive(Message)]
 #[rtype(result = "Released")]
-pub struct GiveUp(pub Release);
+pub struct ReleaseShard(pub Release);
 
 /// An operator wants a planned promotion.
 #[derive(Message)]
 #[rtype(result = "Ordered")]
-pub struct Order(pub String);
+pub struct SwitchOver(pub String);
 
 /// An operator wants to know the state; `None` where another process leads the shard.
 #[derive(Message)]
 #[rtype(result = "Option<status::Status>")]
-pub struct Report;
+pub struct GetStatus;
 
 /// An operator has made sure that these hosts are gone, and wants this process to take over.
 #[derive(Message)]
@@ -62,7 +62,7 @@
 /// The process is over.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Quit;
+pub struct Shutdown;
 
 impl Handler<Configure> for Shard {
     type Result = ();
@@ -73,11 +73,11 @@
     }
 }
 
-impl Handler<Hinted> for Shard {
+impl Handler<UpdateHints> for Shard {
     type Result = ();
 
-    fn handle(&mut self, message: Hinted, ctx: &mut Self::Context) {
-        self.take_hints(&message.0);
+    fn handle(&mut self, message: UpdateHints, ctx: &mut Self::Context) {
+        self.apply_hints(&message.0);
         self.step(ctx);
     }
 }
@@ -101,10 +101,10 @@
     }
 }
 
-impl Handler<Quit> for Shard {
+impl Handler<Shutdown> for Shard {
     type Result = ();
 
-    fn handle(&mut self, _: Quit, ctx: &mut Self::Context) {
+    fn handle(&mut self, _: Shutdown, ctx: &mut Self::Context) {
         ctx.stop();
     }
 }
@@ -122,38 +122,38 @@
     }
 }
 
-impl Handler<Asked> for Shard {
-    type Result = MessageResult<Asked>;
+impl Handler<Heartbeat> for Shard {
+    type Result = MessageResult<Heartbeat>;
 
-    fn handle(&mut self, message: Asked, _: &mut Self::Context) -> Self::Result {
-        MessageResult(self.asked(&message.0))
+    fn handle(&mut self, message: Heartbeat, _: &mut Self::Context) -> Self::Result {
+        MessageResult(self.on_heartbeat(&message.0))
     }
 }
 
-impl Handler<GiveUp> for Shard {
-    type Result = MessageResult<GiveUp>;
+impl Handler<ReleaseShard> for Shard {
+    type Result = MessageResult<ReleaseShard>;
 
-    fn handle(&mut self, message: GiveUp, ctx: &mut Self::Context) -> Self::Result {
-        let released = self.give_up(&message.0);
+    fn handle(&mut self, message: ReleaseShard, ctx: &mut Self::Context) -> Self::Result {
+        let released = self.on_release(&message.0);
         self.step(ctx);
         MessageResult(released)
     }
 }
 
-impl Handler<Order> for Shard {
-    type Result = MessageResult<Order>;
+impl Handler<SwitchOver> for Shard {
+    type Result = MessageResult<SwitchOver>;
 
-    fn handle(&mut self, message: Order, ctx: &mut Self::Context) -> Self::Result {
-        let ordered = self.order(&message.0);
+    fn handle(&mut self, message: SwitchOver, ctx: &mut Self::Context) -> Self::Result {
+        let ordered = self.switch_over(&message.0);
         self.step(ctx);
         MessageResult(ordered)
     }
 }
 
-impl Handler<Report> for Shard {
-    type Result = MessageResult<Report>;
+impl Handler<GetStatus> for Shard {
+    type Result = MessageResult<GetStatus>;
 
-    fn handle(&mut self, _: Report, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: GetStatus, _: &mut Self::Context) -> Self::Result {
         MessageResult(shard_status::report(self))
     }
 }
--- a/crates/control/src/shard_status.rs
+++ b/crates/control/src/shard_status.rs
@@ -34,7 +34,7 @@
 }
 
 /// Whether a replica of `service` could lead it now.
-pub(crate) fn has_heir(shard: &Shard, service: ServiceKey) -> bool {
+pub(crate) fn has_promotable_replica(shard: &Shard, service: ServiceKey) -> bool {
     let Some(config) = &shard.config else {
         return false;
     };
@@ -65,7 +65,7 @@
         host: process.host,
         incarnation: process.incarnation,
     };
-    let until = shard.leases.get(&instance).copied().unwrap_or_default();
+    let until = shard.lease_ends.get(&instance).copied().unwrap_or_default();
     let state = shard.membership.state(process, now);
     Host {
         host: name(directory.hosts.name(process.host)),
@@ -74,7 +74,11 @@
         config: member.config,
         state: state.to_string(),
         lease_left_ms: millis(until.saturating_sub(now)),
-        connections: shard.granted.get(&instance).copied().unwrap_or_default(),
+        connections: shard
+            .granted_connections
+            .get(&instance)
+            .copied()
+            .unwrap_or_default(),
     }
 }
 
--- a/crates/control/src/shards.rs
+++ b/crates/control/src/shards.rs
@@ -14,7 +14,7 @@
 use crate::shared::Shared;
 
 /// How often a process that ends looks whether its shards have been taken over.
-const RETIRE_POLL: Duration = Duration::from_millis(50);
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The actors of all shards, by number.
 #[derive(Clone, Default)]
@@ -36,7 +36,7 @@
     }
 
     /// Sends every actor a message.
-    pub fn tell<M>(&self, message: impl Fn() -> M)
+    pub fn broadcast<M>(&self, message: impl Fn() -> M)
     where
         M: Message<Result = ()> + Send + 'static,
         Shard: Handler<M>,
@@ -49,13 +49,13 @@
 
     /// Lets standbys take over what this process leads, and returns when they have, or after
     /// `patience`: without the platform nobody can.
-    pub async fn retire(&self, patience: Duration) {
+    pub async fn retire(&self, timeout: Duration) {
         let retiring = async {
             while self.is_leading().await {
-                tokio::time::sleep(RETIRE_POLL).await;
+                tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
             }
         };
-        let _given_up = tokio::time::timeout(patience, retiring).await;
+        let _given_up = tokio::time::timeout(timeout, retiring).await;
     }
 
     async fn is_leading(&self) -> bool {
@@ -69,12 +69,12 @@
     /// Starts an actor for each shard of each new configuration, until the process stops. Runs
     /// on the thread on which the actors live.
     pub async fn run(self, shared: Arc<Shared>, reader: Reader) {
-        let mut configs = shared.configs();
+        let mut configs = shared.watch_config();
         loop {
             let config = configs.borrow_and_update().clone();
             if let Some(config) = config {
                 self.start(config.fleet.shards, &shared, &reader);
-                self.tell(|| Configure(config.clone()));
+                self.broadcast(|| Configure(config.clone()));
             }
             if shared.stop().phase() == Phase::Stopped || configs.changed().await.is_err() {
                 return;
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -20,10 +20,10 @@
 use crate::settings::Settings;
 
 /// Other processes that one answer tells of at most.
-const TOLD: usize = 8;
+const MAX_SHARED_PEERS: usize = 8;
 
 /// How long ago a process may have answered to be told of.
-const LATELY: Duration = Duration::from_secs(60);
+const RECENT_ANSWER: Duration = Duration::from_secs(60);
 
 /// Shared by all tasks of a control process.
 pub struct Shared {
@@ -36,9 +36,9 @@
     peers: Peers,
     directory: RwLock<Arc<Directory>>,
     config: watch::Sender<Option<Arc<Config>>>,
-    heard: AtomicU64,
+    highest_version: AtomicU64,
     /// Whether the platform did not answer the last read.
-    silent: AtomicBool,
+    platform_silent: AtomicBool,
     controllers: Mutex<BTreeMap<u16, knowledge::Controller>>,
 }
 
@@ -60,7 +60,7 @@
         let peers = Peers::default();
         for peer in &settings.peers {
             if peer.to_string() != process.rpc {
-                peers.fix(&peer.to_string());
+                peers.add_configured(&peer.to_string());
             }
         }
         let links = Links::new(&settings.zone, settings.token.clone());
@@ -74,8 +74,8 @@
             peers,
             directory: RwLock::default(),
             config: watch::Sender::new(None),
-            heard: AtomicU64::new(0),
-            silent: AtomicBool::new(false),
+            highest_version: AtomicU64::new(0),
+            platform_silent: AtomicBool::new(false),
             controllers: Mutex::default(),
         }
     }
@@ -139,40 +139,40 @@
     }
 
     /// Wakes whoever waits for a change of the configuration in force.
-    pub fn configs(&self) -> watch::Receiver<Option<Arc<Config>>> {
+    pub fn watch_config(&self) -> watch::Receiver<Option<Arc<Config>>> {
         self.config.subscribe()
     }
 
     /// Puts `config` in force.
-    pub fn put(&self, config: Config) {
-        self.hear(config.version);
+    pub fn set_config(&self, config: Config) {
+        self.observe_version(config.version);
         self.config.send_replace(Some(Arc::new(config)));
     }
 
     /// The highest configuration version heard of; every message carries it.
-    pub fn heard(&self) -> u64 {
-        self.heard.load(Ordering::Relaxed)
+    pub fn highest_version(&self) -> u64 {
+        self.highest_version.load(Ordering::Relaxed)
     }
 
     /// Whether the newest version heard of is in force, so that a name it lacks does not exist.
     pub fn is_current(&self) -> bool {
         self.config()
-            .is_some_and(|config| config.version >= self.heard())
+            .is_some_and(|config| config.version >= self.highest_version())
     }
 
     /// Notes whether the platform has answered the last read.
-    pub fn set_silent(&self, silent: bool) {
-        self.silent.store(silent, Ordering::Relaxed);
+    pub fn set_platform_silent(&self, silent: bool) {
+        self.platform_silent.store(silent, Ordering::Relaxed);
     }
 
     /// Whether the platform did not answer the last read.
-    pub fn is_silent(&self) -> bool {
-        self.silent.load(Ordering::Relaxed)
+    pub fn is_platform_silent(&self) -> bool {
+        self.platform_silent.load(Ordering::Relaxed)
     }
 
-    /// Raises what [`Shared::heard`] says; whether `version` is news.
-    pub fn hear(&self, version: u64) -> bool {
-        self.heard.fetch_max(version, Ordering::Relaxed) < version
+    /// Raises what [`Shared::highest_version`] says; whether `version` is news.
+    pub fn observe_version(&self, version: u64) -> bool {
+        self.highest_version.fetch_max(version, Ordering::Relaxed) < version
     }
 
     /// Where the controller of each shard is, as far as known.
@@ -183,13 +183,13 @@
 
     /// Notes that `host`, reached at `rpc`, has authority `epoch` over a shard, unless a newer
     /// one is known.
-    pub fn lead(&self, shard: u16, epoch: u32, host: &str, rpc: &str) {
-        self.learn_host(host, rpc);
-        self.lead_at(shard, epoch, rpc);
+    pub fn record_controller(&self, shard: u16, epoch: u32, host: &str, rpc: &str) {
+        self.record_host(host, rpc);
+        self.record_controller_address(shard, epoch, rpc);
     }
 
-    /// As [`Shared::lead`], where the host's name is not known.
-    pub fn lead_at(&self, shard: u16, epoch: u32, rpc: &str) {
+    /// As [`Shared::record_controller`], where the host's name is not known.
+    pub fn record_controller_address(&self, shard: u16, epoch: u32, rpc: &str) {
         let controllers = self.controllers.lock();
         let mut controllers = controllers.unwrap_or_else(PoisonError::into_inner);
         let known = controllers.get(&shard).map_or(0, |known| known.epoch);
@@ -208,9 +208,9 @@
     }
 
     /// Notes where a host is reached.
-    pub fn learn_host(&self, host: &str, rpc: &str) {
+    pub fn record_host(&self, host: &str, rpc: &str) {
         if rpc != self.process.rpc && !rpc.is_empty() {
-            self.peers.told(host, rpc, self.now());
+            self.peers.record_mention(host, rpc, self.now());
         }
     }
 
@@ -234,16 +234,16 @@
             body: newer.map(|config| config.body.to_string()),
             controllers: self.controllers(),
             process: Some(self.process.clone()),
-            peers: self.known_peers(),
+            peers: self.sample_peers(),
         }
     }
 
     /// Some of the processes that have answered lately. All of a large fleet's would fill each
     /// answer, and a few from everybody asked are enough to know many.
-    fn known_peers(&self) -> BTreeMap<String, String> {
-        let since = self.now().saturating_sub(LATELY);
-        let heard = self.peers.heard_since(since);
-        let some = heard.sample(&mut rand::rng(), TOLD);
+    fn sample_peers(&self) -> BTreeMap<String, String> {
+        let since = self.now().saturating_sub(RECENT_ANSWER);
+        let answered = self.peers.answered_since(since);
+        let some = answered.sample(&mut rand::rng(), MAX_SHARED_PEERS);
         some.map(|process| (process.host.clone(), process.rpc.clone()))
             .collect()
     }
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -30,16 +30,16 @@
     /// The head row could not be read.
     HeadFailed,
     /// A message from the process at `from` carried `version`.
-    Heard {
+    VersionSeen {
         /// The version.
         version: u64,
         /// Address of the sender's remote calls, where it may be asked for the body.
         from: Option<String>,
     },
     /// A peer that is asked at the start has answered, or not.
-    Asked(Option<Box<Knowledge>>),
+    StartupAnswer(Option<Box<Knowledge>>),
     /// A peer has told what it knows.
-    Told(Box<Knowledge>),
+    PeerAnswer(Box<Knowledge>),
 }
 
 /// Where events go.
@@ -48,7 +48,7 @@
 
 impl Handle {
     /// Tells of `event`. One that finds the backlog full is dropped: the poll repeats it.
-    pub fn tell(&self, event: Event) {
+    pub fn send(&self, event: Event) {
         let _full = self.0.try_send(event);
     }
 }
@@ -75,7 +75,7 @@
 }
 
 /// A body and what it is said to be.
-struct Offer {
+struct Candidate {
     version: u64,
     digest: Digest,
     body: String,
@@ -84,35 +84,35 @@
 impl Spread {
     async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
-            let next = self.take(event);
+            let next = self.handle(event);
             if let AdoptionStep::Fetch { version } = next {
                 self.fetch(version).await;
             }
-            self.shared.hear(self.adoption.highest());
+            self.shared.observe_version(self.adoption.highest());
         }
     }
 
-    fn take(&mut self, event: Event) -> AdoptionStep {
+    fn handle(&mut self, event: Event) -> AdoptionStep {
         match event {
-            Event::Head(Some(head)) => self.take_head(&head),
+            Event::Head(Some(head)) => self.handle_head(&head),
             Event::Head(None) => self.adoption.record_empty_head(),
             Event::HeadFailed => self.adoption.record_platform_failure(),
-            Event::Heard { version, from } => {
+            Event::VersionSeen { version, from } => {
                 if let Some(from) = from {
                     self.sources.insert(from, version);
                 }
                 self.adoption.record_version(version)
             }
-            Event::Asked(answer) => {
+            Event::StartupAnswer(answer) => {
                 let version = answer.as_ref().map(|knowledge| knowledge.version);
                 let next = self.adoption.record_peer_answer(version);
-                answer.map_or(next, |knowledge| self.take_knowledge(*knowledge))
+                answer.map_or(next, |knowledge| self.handle_knowledge(*knowledge))
             }
-            Event::Told(knowledge) => self.take_knowledge(*knowledge),
+            Event::PeerAnswer(knowledge) => self.handle_knowledge(*knowledge),
         }
     }
 
-    fn take_head(&mut self, head: &Head) -> AdoptionStep {
+    fn handle_head(&mut self, head: &Head) -> AdoptionStep {
         match Record::try_from(head) {
             Ok(record) => {
                 let next = self.adoption.record_head(record.version, record.digest);
@@ -127,7 +127,7 @@
         }
     }
 
-    fn take_knowledge(&mut self, knowledge: Knowledge) -> AdoptionStep {
+    fn handle_knowledge(&mut self, knowledge: Knowledge) -> AdoptionStep {
         if let Some(process) = knowledge.process {
             self.sources.insert(process.rpc, knowledge.version);
         }
@@ -141,7 +141,7 @@
             AdoptionStep::Fetch { version } if knowledge.version >= version => {}
             _ => return next,
         }
-        self.offer(Offer {
+        self.consider(Candidate {
             version: knowledge.version,
             digest,
             body,
@@ -150,33 +150,33 @@
     }
 
     async fn fetch(&mut self, version: u64) {
-        let offer = match self.fetch_stored(version).await {
-            Some(offer) => Some(offer),
+        let candidate = match self.fetch_stored(version).await {
+            Some(candidate) => Some(candidate),
             None => self.fetch_from_peers(version).await,
         };
-        match offer {
-            Some(offer) => self.offer(offer),
+        match candidate {
+            Some(candidate) => self.consider(candidate),
             None => Log::BodyMissing { version }.log(),
         }
     }
 
-    async fn fetch_stored(&self, version: u64) -> Option<Offer> {
+    async fn fetch_stored(&self, version: u64) -> Option<Candidate> {
         let head = self.head.as_ref()?;
         if head.version < version {
             return None;
         }
         let stored = head::fetch(self.shared.platform(), head.digest).await;
         let body = String::from_utf8(stored.ok()??).ok()?;
-        Some(Offer {
+        Some(Candidate {
             version: head.version,
             digest: head.digest,
             body,
         })
     }
 
-    async fn fetch_from_peers(&self, version: u64) -> Option<Offer> {
-        let fit = self.sources.iter().filter(|(_, known)| **known >= version);
-        for (address, _) in fit {
+    async fn fetch_from_peers(&self, version: u64) -> Option<Candidate> {
+        let holders = self.sources.iter().filter(|(_, known)| **known >= version);
+        for (address, _) in holders {
             let Ok(client) = self.shared.links().get(address) else {
                 continue;
             };
@@ -186,7 +186,7 @@
             let (Some(body), Ok(digest)) = (knowledge.body, knowledge.digest.parse()) else {
                 continue;
             };
-            return Some(Offer {
+            return Some(Candidate {
                 version: knowledge.version,
                 digest,
                 body,
@@ -195,12 +195,12 @@
         None
     }
 
-    fn offer(&mut self, offer: Offer) {
-        let Offer {
+    fn consider(&mut self, candidate: Candidate) {
+        let Candidate {
             version,
             digest,
             body,
-        } = offer;
+        } = candidate;
         match self.adoption.check_body(version, digest, body.as_bytes()) {
             Ok(AdoptionStep::Adopt) => self.adopt(version, digest, body),
             Ok(_) => {}
@@ -219,7 +219,7 @@
         match parsed {
             Ok(fleet) => {
                 self.adoption.record_adopted(version);
-                self.shared.put(Config {
+                self.shared.set_config(Config {
                     version,
                     digest,
                     body: body.into(),
--- a/crates/control/src/submit.rs
+++ b/crates/control/src/submit.rs
@@ -12,7 +12,7 @@
 use flamingopost_platform::table::{self, Change, Guard, Row, Table, Tag};
 
 /// Wait before something that failed is tried again, so that a short outage is outlasted.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Submits `record`, whose body is `body`, and says what came of it.
 pub async fn run<P>(platform: &P, clock: &Arc<dyn Clock>, record: Record, body: &str) -> Outcome
@@ -36,7 +36,7 @@
             Step::Finish(outcome) => return outcome,
         };
         if event.is_failure() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         step = submission.next(event);
     }
--- a/crates/control/tests/budgets.rs
+++ b/crates/control/tests/budgets.rs
@@ -5,7 +5,7 @@
 
 use flamingopost_control::budgets::{Budgets, Floors, Renewer, Server};
 use flamingopost_control::floors;
-use flamingopost_control::servers::RESERVED;
+use flamingopost_control::servers::RESERVED_CONNECTIONS;
 use flamingopost_core::budget::Grant;
 use flamingopost_core::budget::server_budget::HostInstance;
 use flamingopost_core::directory::Directory;
@@ -65,16 +65,18 @@
 /// A host is told of a floor and its controller dies before writing it down. The successor gives
 /// the same connection to another host, and the server refuses somebody in a cut-off zone.
 #[test]
-fn a_floor_is_told_only_once_it_is_kept() {
+fn a_floor_is_granted_only_after_it_is_persisted() {
     let mut names = names();
     let mut budgets = names.budgets();
     budgets.load(Floors::new(), Duration::ZERO);
     let near = names.host("bole-1", names.zone);
     assert_eq!(names.renew(&mut budgets, near, 3, 1).floor, 0);
-    let floors = budgets.unkept().expect("the floor has to be written down");
+    let floors = budgets
+        .unpersisted()
+        .expect("the floor has to be written down");
     assert_eq!(floors[&(names.server, near.holder)], 1);
-    budgets.keep(floors);
-    assert_eq!(budgets.unkept(), None);
+    budgets.record_persisted(floors);
+    assert_eq!(budgets.unpersisted(), None);
     let grant = names.renew(&mut budgets, near, 3, 2);
     assert_eq!(grant.floor, 1);
     assert!(grant.floor_valid > LEASE);
@@ -87,14 +89,14 @@
     budgets.load(Floors::new(), Duration::ZERO);
     let far = names.host("akaki-1", names.other_zone);
     assert_eq!(names.renew(&mut budgets, far, 3, 1).floor, 0);
-    assert_eq!(budgets.unkept(), None);
+    assert_eq!(budgets.unpersisted(), None);
 }
 
 /// A controller has just taken over while the store is down, so it cannot know which floors are
 /// in use. Were it to give out everything, hosts of a cut-off zone and those it serves would
 /// together pass the server's limit.
 #[test]
-fn unread_floors_have_room() {
+fn connections_are_reserved_for_unread_floors() {
     let mut names = names();
     let mut budgets = names.budgets();
     let first = names.host("akaki-1", names.other_zone);
@@ -106,7 +108,7 @@
         .map(|host| names.renew(&mut budgets, host, LIMIT, 10).leased)
         .iter()
         .sum();
-    assert!(given <= (LIMIT - RESERVED) / 2, "{given}");
+    assert!(given <= (LIMIT - RESERVED_CONNECTIONS) / 2, "{given}");
     let lost = names.host("bole-9", names.zone).holder;
     let kept = Floors::from([((names.server, lost), 2)]);
     budgets.load(kept, Duration::from_secs(20));
@@ -114,12 +116,12 @@
         .map(|host| names.renew(&mut budgets, host, LIMIT, 30).leased)
         .iter()
         .sum();
-    assert!(given > (LIMIT - RESERVED) / 2, "{given}");
-    assert!(given <= LIMIT - RESERVED - 2, "{given}");
+    assert!(given > (LIMIT - RESERVED_CONNECTIONS) / 2, "{given}");
+    assert!(given <= LIMIT - RESERVED_CONNECTIONS - 2, "{given}");
 }
 
 #[test]
-fn a_row_of_floors_reads_as_it_was_written() {
+fn a_floors_row_round_trips() {
     let mut names = names();
     let holder = names.host("bole-1", names.zone).holder;
     let written = Floors::from([((names.server, holder), 1)]);
--- a/crates/control/tests/common/holder.rs
+++ b/crates/control/tests/common/holder.rs
@@ -118,7 +118,7 @@
     }
 
     /// From now on the host cannot reach these servers.
-    pub fn cannot_reach(&self, servers: &[&str]) {
+    pub fn set_unreachable(&self, servers: &[&str]) {
         let names = servers.iter().map(|name| (*name).to_owned());
         self.state.lock().unwrap().unreachable = names.collect();
     }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -27,7 +27,7 @@
 const TOKEN: &str = "for-tests-only";
 
 /// How long anything may take before a test gives up; no verdict depends on it otherwise.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Control {
     pub host: String,
@@ -177,7 +177,7 @@
 
     /// The controller that the shard's row in the table names.
     pub async fn named_controller(&self) -> String {
-        let table = Client::new(self.platform.address(), "", PATIENCE).unwrap();
+        let table = Client::new(self.platform.address(), "", TEST_TIMEOUT).unwrap();
         let row = table.read("fleet/shard-0").await.unwrap().unwrap();
         let row: Value = serde_json::from_str(&row.body).unwrap();
         row["controller"].as_str().unwrap().to_owned()
@@ -244,7 +244,7 @@
     /// One entry host a zone, each with a lease on which `primary` leads.
     pub async fn hosts(&self, primary: &str) -> Vec<Host> {
         let hosts = self.hosts_without_leases().await;
-        all_see(&hosts, primary).await;
+        wait_for_primary(&hosts, primary).await;
         hosts
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// One entry host that only knows the control process of its zone.
-    pub async fn host_behind(&self, relay: usize) -> Host {
+    pub async fn host_behind_relay(&self, relay: usize) -> Host {
         let name = format!("{}-behind", ZONES[relay]);
         Host::start(&name, ZONES[relay], vec![self.controls[relay].rpc]).await
     }
@@ -284,7 +284,7 @@
 }
 
 /// Waits until all `hosts` may acknowledge writes of `primary`.
-pub async fn all_see(hosts: &[Host], primary: &str) {
+pub async fn wait_for_primary(hosts: &[Host], primary: &str) {
     eventually("all hosts see the primary", || async {
         let see = |host: &Host| host.primary().as_deref() == Some(primary);
         hosts.iter().all(see).then_some(())
@@ -293,7 +293,7 @@
 }
 
 /// Waits until `host` may acknowledge writes of another server than `primary`.
-pub async fn another(host: &Host, primary: &str) -> String {
+pub async fn wait_for_new_primary(host: &Host, primary: &str) -> String {
     eventually("another server leads", || async {
         let now = host.primary()?;
         (now != primary).then_some(now)
@@ -349,8 +349,8 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    match tokio::time::timeout(PATIENCE, asking).await {
+    match tokio::time::timeout(TEST_TIMEOUT, asking).await {
         Ok(answer) => answer,
-        Err(_) => panic!("not in {PATIENCE:?}: {what}"),
+        Err(_) => panic!("not in {TEST_TIMEOUT:?}: {what}"),
     }
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -65,7 +65,7 @@
 }
 
 #[actix_rt::test]
-async fn an_outage_is_told_as_not_done() {
+async fn a_submission_during_an_outage_is_unavailable() {
     let fleet = Fleet::start().await;
     fleet.open().await;
     fleet.platform.set_faults(Faults {
@@ -95,7 +95,7 @@
 }
 
 #[actix_rt::test]
-async fn wrong_configurations_are_refused_with_all_that_is_wrong() {
+async fn an_invalid_configuration_is_refused_with_all_problems() {
     let fleet = Fleet::start().await;
     fleet.open().await;
     let wrong = fleet
@@ -120,7 +120,7 @@
 // An operator's tool sends the greatest number there is as its base. Counting on from it stopped
 // the request's worker with an overflow, and the operator was left without an answer.
 #[actix_rt::test]
-async fn the_greatest_base_is_refused_like_any_other_that_never_was() {
+async fn the_greatest_base_version_is_refused() {
     let fleet = Fleet::start().await;
     fleet.open().await;
     let (code, answer) = fleet.submit(0, u64::MAX, "second", &fleet.config("")).await;
@@ -128,7 +128,7 @@
 }
 
 #[actix_rt::test]
-async fn nothing_is_told_without_the_token() {
+async fn requests_without_the_token_are_unauthorized() {
     let fleet = Fleet::start().await;
     for path in ["/v1/config", "/v1/history", "/v1/status"] {
         let url = format!("http://{}{path}", fleet.controls[0].admin);
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fleet, SERVICE, all_see, another, eventually, server_name};
+use common::{Fleet, SERVICE, eventually, server_name, wait_for_new_primary, wait_for_primary};
 use flamingopost_standin::backend::fault::Faults;
 use flamingopost_standin::platform::{Announcement, State};
 use serde_json::json;
@@ -33,23 +33,23 @@
         ..Faults::default()
     });
     for host in &hosts {
-        host.cannot_reach(&[&server_name(0)]);
+        host.set_unreachable(&[&server_name(0)]);
     }
-    let next = another(&hosts[0], &server_name(0)).await;
+    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
     for host in &hosts {
         assert_ne!(host.primary().as_deref(), Some(server_name(0).as_str()));
     }
-    all_see(&hosts, &next).await;
+    wait_for_primary(&hosts, &next).await;
 }
 
 /// One host has lost its route to the primary. The others reach it, so it stays: replacing it
 /// would stop everybody's writes for the sake of one.
 #[actix_rt::test]
-async fn one_hosts_own_trouble_moves_nothing() {
+async fn failures_reported_by_one_host_cause_no_promotion() {
     let fleet = Fleet::start().await;
     let before = fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
-    hosts[1].cannot_reach(&[&server_name(0)]);
+    hosts[1].set_unreachable(&[&server_name(0)]);
     // A round trip through the controller of each host that comes after the report.
     tokio::time::sleep(flamingopost_core::timing::SUSPICION_TIMEOUT * 3).await;
     let after = fleet.open_service(0).await;
@@ -57,7 +57,7 @@
 }
 
 #[actix_rt::test]
-async fn an_operator_moves_the_primary() {
+async fn an_operator_switches_the_primary_over() {
     let fleet = Fleet::start().await;
     fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
@@ -70,8 +70,8 @@
     })
     .await;
     assert_eq!((code, answer), (202, json!("begun")));
-    let next = another(&hosts[0], &server_name(0)).await;
-    all_see(&hosts, &next).await;
+    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &next).await;
     let service = fleet.open_service(other).await;
     assert!(service.lost.is_empty(), "{:?}", service.lost);
     let (code, _) = fleet
@@ -145,7 +145,7 @@
 /// An operator drains an entry host through whichever control process is at hand. The host is told
 /// with its next grant; others are not. Taking the drain back is told the same way.
 #[actix_rt::test]
-async fn a_drained_entry_host_is_told() {
+async fn a_drained_entry_host_is_notified() {
     let fleet = Fleet::start().await;
     fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
@@ -178,8 +178,8 @@
         leaving: true,
         ..Faults::default()
     });
-    let next = another(&hosts[0], &server_name(0)).await;
-    all_see(&hosts, &next).await;
+    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &next).await;
     let service = fleet.open_service(0).await;
     assert!(service.lost.is_empty(), "{:?}", service.lost);
     assert!(hosts[0].leaving().contains(&server_name(0)));
--- a/crates/control/tests/takeover.rs
+++ b/crates/control/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Fleet, all_see, another, eventually, server_name};
+use common::{Fleet, eventually, server_name, wait_for_new_primary, wait_for_primary};
 use flamingopost_core::timing;
 use flamingopost_platform::http::Client;
 use flamingopost_platform::table::{Change, Guard, Table as _};
@@ -36,7 +36,7 @@
     })
     .await;
     assert_ne!(new, old);
-    all_see(&hosts, &server_name(0)).await;
+    wait_for_primary(&hosts, &server_name(0)).await;
     let after = fleet.open_service(asked).await;
     assert_eq!(before.term, after.term);
 }
@@ -50,10 +50,10 @@
     let old = fleet.leader(0).await;
     let relay = (old + 1) % 3;
     let hosts = [
-        fleet.host_behind(relay).await,
-        fleet.host_behind(relay).await,
+        fleet.host_behind_relay(relay).await,
+        fleet.host_behind_relay(relay).await,
     ];
-    all_see(&hosts, &server_name(0)).await;
+    wait_for_primary(&hosts, &server_name(0)).await;
     fleet.named_standbys(old).await;
     fleet.controls[old].stop.drain();
     fleet.controls[old].stop.stopped().await;
@@ -67,17 +67,17 @@
     });
     let others = fleet.hosts_in_other_zones(relay).await;
     for host in hosts.iter().chain(&others) {
-        host.cannot_reach(&[&server_name(0)]);
+        host.set_unreachable(&[&server_name(0)]);
     }
-    let next = another(&hosts[0], &server_name(0)).await;
-    all_see(&hosts, &next).await;
+    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &next).await;
 }
 
 /// All control processes are restarted at once while the store is down. Nobody knows anything, so
 /// nobody may acknowledge writes; once the store is back the service goes on where it was, without
 /// waiting for an operator or for hours.
 #[actix_rt::test]
-async fn a_fleet_restarted_in_an_outage_comes_back() {
+async fn a_fleet_restarted_during_an_outage_recovers() {
     let mut fleet = Fleet::start().await;
     let before = fleet.open().await;
     let leader = fleet.leader(0).await;
@@ -88,7 +88,7 @@
     tokio::time::sleep(timing::AUTHORITY_DURATION).await;
     assert!(hosts.iter().all(|host| host.primary().is_none()));
     fleet.platform.set_faults(Faults::default());
-    all_see(&hosts, &server_name(0)).await;
+    wait_for_primary(&hosts, &server_name(0)).await;
     let after = fleet.open_service(0).await;
     assert_eq!(before.term, after.term);
 }
@@ -96,7 +96,7 @@
 /// All hosts that a shard's row names are replaced at once, under new names. Nobody else may claim
 /// the shard for hours; an operator who has made sure that they are gone says so by naming them.
 #[actix_rt::test]
-async fn an_operator_claims_a_shard_for_which_nobody_is_left() {
+async fn an_operator_claims_a_shard_whose_hosts_are_gone() {
     let mut fleet = Fleet::start().await;
     fleet.open().await;
     let old = fleet.leader(0).await;
@@ -129,7 +129,7 @@
 /// In a fleet whose rows have grown large, processes read row by row. Configuration changes still
 /// reach everybody, and a standby still takes over.
 #[actix_rt::test]
-async fn a_large_fleet_works_by_single_rows() {
+async fn a_large_fleet_reads_single_rows() {
     let mut fleet = Fleet::start().await;
     fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
@@ -140,7 +140,7 @@
         guard: Guard::Absent,
         body: format!("\"{}\"", "x".repeat(64 << 10)),
     };
-    let table = Client::new(fleet.platform.address(), "", common::PATIENCE).unwrap();
+    let table = Client::new(fleet.platform.address(), "", common::TEST_TIMEOUT).unwrap();
     table.write(vec![padding]).await.unwrap();
     tokio::time::sleep(timing::ROW_READ_INTERVAL * 3).await;
     let (code, answer) = fleet.submit(old, 1, "second", &fleet.config("")).await;
@@ -152,7 +152,7 @@
         (fleet.leader(asked).await != old).then_some(())
     })
     .await;
-    all_see(&hosts, &server_name(0)).await;
+    wait_for_primary(&hosts, &server_name(0)).await;
 }
 
 /// Hosts keep a connection each to the servers of their own zone for when the zone is cut off.
@@ -174,14 +174,14 @@
     fleet.named_standbys(old).await;
     fleet.controls[old].stop.drain();
     fleet.controls[old].stop.stopped().await;
-    all_see(&hosts, &server_name(0)).await;
+    wait_for_primary(&hosts, &server_name(0)).await;
     eventually("every host has its floor from the successor", have).await;
 }
 
 /// The platform replaces the controller's host and asks it to end. It hands its shard over and
 /// ends by itself; hosts hold leases from the successor.
 #[actix_rt::test]
-async fn a_controller_that_is_asked_to_end_hands_over() {
+async fn a_draining_controller_hands_over() {
     let fleet = Fleet::start().await;
     let before = fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
@@ -193,7 +193,7 @@
     assert_ne!(fleet.named_controller().await, fleet.controls[old].host);
     let asked = (old + 1) % 3;
     assert_ne!(fleet.leader(asked).await, old);
-    all_see(&hosts, &server_name(0)).await;
+    wait_for_primary(&hosts, &server_name(0)).await;
     let after = fleet.open_service(asked).await;
     assert_eq!(before.term, after.term);
 }
@@ -210,21 +210,21 @@
     fleet.platform.set_faults(down());
     // What was read before the outage has long run out by then.
     tokio::time::sleep(timing::AUTHORITY_DURATION * 2).await;
-    all_see(&hosts, &server_name(0)).await;
+    wait_for_primary(&hosts, &server_name(0)).await;
     fleet.server(&server_name(0)).set_faults(ServerFaults {
         dead: true,
         ..ServerFaults::default()
     });
     for host in &hosts {
-        host.cannot_reach(&[&server_name(0)]);
+        host.set_unreachable(&[&server_name(0)]);
     }
-    let next = another(&hosts[0], &server_name(0)).await;
-    all_see(&hosts, &next).await;
+    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &next).await;
     fleet.platform.set_faults(Faults::default());
     // The row follows once the store is back, and nobody has claimed meanwhile.
     tokio::time::sleep(timing::AUTHORITY_DURATION).await;
     assert_eq!(fleet.leader(0).await, leader);
-    all_see(&hosts, &next).await;
+    wait_for_primary(&hosts, &next).await;
 }
 
 /// Answers of the table service are lost while a primary dies: the writes that close and open
@@ -245,16 +245,16 @@
         ..ServerFaults::default()
     });
     for host in &hosts {
-        host.cannot_reach(&[&server_name(0)]);
+        host.set_unreachable(&[&server_name(0)]);
     }
-    let next = another(&hosts[0], &server_name(0)).await;
-    all_see(&hosts, &next).await;
+    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &next).await;
 }
 
 /// The controller's zone loses the platform and its standbys cannot be heard by it any more: it
 /// must stop granting leases by itself, or two controllers would act for one shard.
 #[actix_rt::test]
-async fn a_controller_without_table_and_standbys_stops_itself() {
+async fn a_controller_without_table_and_standbys_stops_granting_leases() {
     let mut fleet = Fleet::start().await;
     fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
