--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -85,9 +85,7 @@
     pub async fn read(&self, key: &str, participation: Participation) -> Read {
         match (self.is_large(), participation) {
             (true, Participation::Unnamed) => self.latest(),
-            (true, Participation::Named) if !self.names_many_shards(key) => {
-                self.read_one(key).await
-            }
+            (true, Participation::Named) if !self.has_many_rows(key) => self.read_one(key).await,
             _ => self.read_all().await,
         }
     }
@@ -101,7 +99,7 @@
     /// Whether so many shards name this process that one read of all rows is asked for less often
     /// than a read of each. After takeovers shards gather on a process; row by row their reads
     /// would wait for each other by the bound on requests until every authority had run out.
-    fn names_many_shards(&self, key: &str) -> bool {
+    fn has_many_rows(&self, key: &str) -> bool {
         let now = self.shared.now();
         let named = self.last_read.named_reads.lock();
         let mut named = named.unwrap_or_else(PoisonError::into_inner);
--- a/crates/control/src/shard_effect.rs
+++ b/crates/control/src/shard_effect.rs
@@ -138,9 +138,7 @@
     fn change(&self, row: &Row, replaces: Option<u64>) -> Option<Change> {
         let guard = match (replaces, &self.tag) {
             (None, _) => Guard::Absent,
-            (Some(replaces), Some((revision, tag))) if replaces == *revision => {
-                Guard::Tag(tag.clone())
-            }
+            (Some(base), Some((revision, tag))) if base == *revision => Guard::Tag(tag.clone()),
             (Some(_), _) => return None,
         };
         match row::encode(row, &self.shared) {
