--- a/crates/control/src/budgets.rs
+++ b/crates/control/src/budgets.rs
@@ -1,8 +1,8 @@
-//! How the connections of a shard's servers are shared out over entry hosts.
+//! Divides the connection limits of a shard's servers among the entry hosts.
 //!
-//! Floors outlive leases by hours, so that a zone that is cut off goes on serving. They therefore
-//! outlive controllers as well and are written down before a host is told of them; a controller
-//! that has not read those of its predecessor yet keeps half of each limit free for them.
+//! Floors outlive leases by hours, so that a partitioned zone continues to serve. They therefore
+//! outlive controllers as well and are persisted before they are granted to a host. A controller
+//! that has not yet read its predecessor's floors reserves half of each limit for them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,73 +15,75 @@
 
 use crate::servers::RESERVED_CONNECTIONS;
 
-/// Servers of a shard up to which a host is given connections that it has not asked for, so that
-/// its first statement does not wait for a renewal. Beyond, messages would grow with the fleet.
+/// Number of servers in a shard up to which a host is granted connections that it has not
+/// requested, so that its first statement does not wait for a renewal. In larger shards these
+/// grants would make messages grow with the fleet.
 const MAX_UNREQUESTED_SERVERS: usize = 32;
 
-/// Part of a span by which a controller counts it longer than its holder: clocks drift.
+/// A controller extends a span of time by this fraction (1/50) over what the holder assumes, to
+/// allow for clock drift.
 const CLOCK_DRIFT_DIVISOR: u32 = 50;
 
-/// What a budget needs to know of a server.
+/// The properties of a server that determine its budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Server {
-    /// Connections it accepts.
+    /// Number of connections that the server accepts.
     pub connections: u16,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: ZoneKey,
 }
 
-/// Who renews and for how long.
+/// The process that renews its lease.
 #[derive(Debug, Clone, Copy)]
 pub struct Renewer {
-    /// The process.
+    /// The lease holder.
     pub holder: HostInstance,
-    /// Its availability zone.
+    /// The holder's availability zone.
     pub zone: ZoneKey,
-    /// How long its lease runs.
+    /// Duration of the renewed lease.
     pub valid: Duration,
 }
 
-/// Floors by server and holder: connections.
+/// Floors in connections, by server and holder.
 pub type Floors = BTreeMap<(ServerKey, HostInstance), u16>;
 
-/// The shares of all servers of one shard.
+/// The connection budgets of all servers of one shard.
 #[derive(Debug, Default)]
 pub struct Budgets {
     servers: BTreeMap<ServerKey, Server>,
     shares: BTreeMap<ServerKey, ServerBudget>,
     /// Whether the predecessor's floors have been read since this process became controller.
     loaded: bool,
-    /// Floors that the table is known to hold; absent while that has to be read.
+    /// Floors that the table holds, `None` until the table's row has been read.
     persisted: Option<Floors>,
 }
 
 impl Budgets {
-    /// Sets the servers there are.
+    /// Sets the servers of the shard and removes the budgets of all others.
     pub fn configure(&mut self, servers: BTreeMap<ServerKey, Server>) {
         self.shares.retain(|key, _| servers.contains_key(key));
         self.servers = servers;
         self.set_limits();
     }
 
-    /// Starts from nothing: this process has just become the controller. Leases of the one before
-    /// it have lapsed by then; its floors may be in use and have to be read.
+    /// Resets all budgets when this process becomes the controller. The predecessor's leases have
+    /// lapsed by then, but its floors may be in use and have to be read.
     pub fn restart(&mut self) {
         self.shares.clear();
         self.loaded = false;
         self.persisted = None;
     }
 
-    /// Whether it is known what the table holds.
+    /// Reports whether the floors in the table are known.
     pub fn is_loaded(&self) -> bool {
         self.persisted.is_some()
     }
 
-    /// Takes over the floors that the table holds.
+    /// Restores the floors that were read from the table.
     pub fn load(&mut self, floors: Floors, now: Duration) {
         for ((server, holder), connections) in &floors {
             if let Some(share) = self.share(*server, now) {
-                // Given at some time before now, so they end before this.
+                // The floors were granted before now, so they expire before this time.
                 let until = now + FLOOR_VALID + FLOOR_VALID / CLOCK_DRIFT_DIVISOR;
                 let connections = *connections;
                 share.restore(*holder, Floor { connections, until });
@@ -92,7 +94,8 @@
         self.set_limits();
     }
 
-    /// Grants what `renewer` may open, for the servers that it has use for.
+    /// Grants connections to `renewer`, for all servers of a small shard and otherwise for the
+    /// servers in `demand`.
     pub fn renew(
         &mut self,
         renewer: Renewer,
@@ -116,7 +119,7 @@
         grants
     }
 
-    /// The floors in force, where the table does not hold all of them.
+    /// Returns the floors in force if the table lacks any of them.
     pub fn unpersisted(&self) -> Option<Floors> {
         let persisted = self.persisted.as_ref()?;
         let floors = self.floors();
@@ -126,17 +129,17 @@
         missing.then_some(floors)
     }
 
-    /// The table holds `floors` now.
+    /// Records that the table holds `floors`.
     pub fn record_persisted(&mut self, floors: Floors) {
         self.persisted = Some(floors);
     }
 
-    /// What the table holds is not known any more and has to be read again.
+    /// Marks the floors in the table as unknown, so that they are read again.
     pub fn invalidate_persisted(&mut self) {
         self.persisted = None;
     }
 
-    /// A process stopped and has closed everything.
+    /// Releases the connections of a process that has stopped and closed all of them.
     pub fn release(&mut self, holder: HostInstance) {
         for share in self.shares.values_mut() {
             share.release(holder);
@@ -160,7 +163,8 @@
         let mut grant = self.share(key, now)?.renew(renewal, now);
         let persisted = self.persisted.as_ref();
         let persisted = persisted.and_then(|persisted| persisted.get(&(key, renewer.holder)));
-        // A successor that does not know of a floor would give its connections to others.
+        // A floor that is not persisted is unknown to a successor, which would grant its
+        // connections to other hosts.
         if persisted < Some(&grant.floor) {
             grant.floor = 0;
             grant.floor_valid = Duration::ZERO;
@@ -196,7 +200,8 @@
         }
     }
 
-    /// Floors that are not known yet may take up to half of what hosts share.
+    /// Returns the number of connections that hosts share. Half of them are withheld until the
+    /// predecessor's floors have been read.
     fn limit(&self, server: &Server) -> u16 {
         let shared = server
             .connections
--- a/crates/control/src/floors.rs
+++ b/crates/control/src/floors.rs
@@ -1,4 +1,4 @@
-//! The row of the table service that keeps a shard's floors.
+//! Encodes the row of the table service that persists a shard's floors.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::budgets::Floors;
 
-/// One floor. By name, for keys do not leave a process.
+/// One persisted floor. It holds names because keys are only valid within a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Stored {
     host: String,
@@ -16,12 +16,12 @@
     connections: u16,
 }
 
-/// Key of the row. It is not among the rows that every host polls.
+/// Returns the key of the row. The key lies outside the prefix that every host polls.
 pub fn key(shard: u16) -> String {
     format!("floors/shard-{shard}")
 }
 
-/// The row's body.
+/// Encodes the row's body.
 pub fn encode(floors: &Floors, directory: &Directory) -> String {
     let mut stored: BTreeMap<&str, Vec<Stored>> = BTreeMap::new();
     for ((server, holder), connections) in floors {
@@ -39,10 +39,10 @@
     serde_json::to_string(&stored).unwrap_or_default()
 }
 
-/// Reads a row's body.
+/// Decodes a row's body.
 ///
 /// # Errors
-/// It is no such row.
+/// The body is not a valid row of floors.
 pub fn decode(body: &str, directory: &mut Directory) -> Result<Floors, serde_json::Error> {
     let stored: BTreeMap<String, Vec<Stored>> = serde_json::from_str(body)?;
     let mut floors = Floors::new();
--- a/crates/control/src/shard.rs
+++ b/crates/control/src/shard.rs
@@ -1,7 +1,8 @@
-//! The controller of one shard, as an actor around the core's state machine.
+//! The controller of one shard: an actor around the core's leadership state machine.
 //!
-//! Every process has one for each shard: it stands by, or leads. The machine says what to do;
-//! each action runs on its own and hands its outcome back, so none waits for another.
+//! Every process runs one actor per shard, which either leads the shard or stands by. The state
+//! machine decides which actions are due. Actions run concurrently and return their outcomes to
+//! the actor, so that no action waits for another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -28,61 +29,64 @@
 use crate::shard_status;
 use crate::shared::Shared;
 
-/// How often the machine of a controller is asked what is due.
+/// Interval between two steps of the state machine while this process leads the shard.
 const LEADER_STEP_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The same where this process stands by. It does so for every shard of the fleet.
+/// Interval between two steps while this process stands by. It is longer because every process
+/// stands by for every shard of the fleet.
 const STANDBY_STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often standbys are chosen anew and what is long gone is forgotten.
+/// Interval at which standby candidates are chosen and expired state is removed.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often floors are looked after.
+/// Interval at which the row of floors is read or written if necessary.
 const FLOORS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a shard without a row is left to the process that comes first for it.
+/// Time for which a shard without a row is left to the process that ranks first for it.
 const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Silence of a control process after which it is no candidate for a standby. Long, for each is
-/// asked rarely in a large fleet; only one that answers at once is named.
+/// Time since its last answer after which a control process is no longer a standby candidate. The
+/// time is long because each process is queried rarely in a large fleet; only a candidate that
+/// answers immediately becomes a standby.
 const CANDIDATE_EXPIRY: Duration = Duration::from_secs(30);
 
 /// The controller of one shard.
 pub struct Shard {
     pub(crate) number: u16,
-    /// When this process learnt of the shard.
+    /// Time at which this process created the actor.
     pub(crate) created: Duration,
     pub(crate) shared: Arc<Shared>,
     pub(crate) reader: Reader,
     pub(crate) controller: Controller,
     pub(crate) servers: Arc<Servers>,
-    /// Tag of the row's revision that was last seen, for the next compare-and-set.
+    /// Last seen revision of the row and its tag, for the next compare-and-set.
     pub(crate) tag: Option<(u64, Tag)>,
-    /// Where lease holders are reached.
+    /// Addresses of the lease holders' remote calls.
     pub(crate) holder_addresses: BTreeMap<Instance, String>,
-    /// When the lease of each ends at the latest.
+    /// Latest time at which each holder's lease ends.
     pub(crate) lease_ends: BTreeMap<Instance, Duration>,
     pub(crate) budgets: Budgets,
     pub(crate) floors_row: RowState,
-    /// Connections granted to each, for operators.
+    /// Number of connections granted to each holder, for the status report.
     pub(crate) granted_connections: BTreeMap<Instance, u32>,
     pub(crate) membership: Membership,
     pub(crate) leaving: LeavingServers,
-    /// Entry hosts that operators want to end.
+    /// Entry hosts that operators have drained.
     pub(crate) drained_hosts: BTreeSet<HostKey>,
-    /// What each server last said, and when it was asked.
+    /// Last status of each server, and the time at which it was requested.
     pub(crate) statuses: BTreeMap<ServerKey, (Duration, Status)>,
     pub(crate) config: Option<Arc<Config>>,
+    /// Whether this process has led the shard without losing its view since.
     pub(crate) was_leading: bool,
-    /// What the metrics say of it.
+    /// Last value of the gauge `flamingopost_shard_leads`.
     pub(crate) reported_leading: Option<bool>,
-    /// Whether the process is about to end and wants a standby to take over.
+    /// Whether the process is draining and waits for a standby to take over.
     pub(crate) retiring: bool,
 }
 
 impl Shard {
-    /// The controller of shard `number` of a process that has just started, or has just learnt
-    /// that there is such a shard.
+    /// Creates the controller of shard `number`, at the start of the process or when a new
+    /// configuration adds the shard.
     pub fn new(number: u16, shared: Arc<Shared>, reader: Reader) -> Shard {
         let me = shared.intern(|directory| directory.hosts.intern(&shared.process().host));
         let name = format!("{}/{}", shared.process().zone, shared.process().host);
@@ -111,7 +115,7 @@
         }
     }
 
-    /// Asks the machine what is due and does it.
+    /// Advances the state machine and performs the actions that are due.
     pub(crate) fn step(&mut self, ctx: &mut Context<Self>) {
         let now = self.shared.now();
         for action in self.controller.step(now) {
@@ -125,8 +129,8 @@
         if leads && !self.was_leading {
             self.budgets.restart();
         }
-        // An authority that has only run out for a moment keeps its connections; one that is
-        // over gives them back, for they count against the server's limit.
+        // A brief lapse of authority keeps the connections. They are closed once the authority has
+        // ended, because they count against the servers' limits.
         if self.was_leading && !leads && self.controller.view().is_none() {
             self.servers.close();
             self.lease_ends.clear();
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Asks the machine what is due, and comes back when it may have more.
+    /// Advances the state machine and schedules the next step.
     fn tick(&mut self, ctx: &mut Context<Self>) {
         self.step(ctx);
         let pause = match self.controller.view() {
@@ -197,7 +201,7 @@
         self.statuses.retain(|key, _| addresses.contains_key(key));
     }
 
-    /// Tells the machine of services, servers, and who of them is leaving.
+    /// Passes the shard's services, their servers and the leaving servers to the state machine.
     pub(crate) fn set_groups(&mut self) {
         let Some(config) = &self.config else {
             return;
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Chooses candidates for standbys and forgets what is long gone.
+    /// Chooses standby candidates and removes expired members, leases and addresses.
     fn review(&mut self) {
         let now = self.shared.now();
         let since = now.saturating_sub(CANDIDATE_EXPIRY);
@@ -264,8 +268,8 @@
             .retain(|holder, _| known.contains(holder));
     }
 
-    /// Whether a shard that nobody has claimed yet is left to another process for a moment. The
-    /// first process of a fresh fleet would otherwise claim every shard.
+    /// Reports whether an unclaimed shard is left to a process that ranks before this one.
+    /// Otherwise the first process of a new fleet would claim every shard.
     pub(crate) fn defers_first_claim(&self) -> bool {
         let now = self.shared.now();
         let live = self.shared.peers().answered_since(Duration::ZERO);
@@ -330,9 +334,9 @@
         Ordered::Begun
     }
 
-    /// Lets this process claim the shard at once, where `gone` are exactly those whom the row
-    /// names. Naming them is how an operator says that they have been looked at: a host that is
-    /// only cut off would go on, and two controllers would act for the shard.
+    /// Lets this process claim the shard immediately, if `gone` lists exactly the hosts that the
+    /// row names. By listing them, an operator confirms that they are gone: a host that is only
+    /// partitioned would continue, and two controllers would act for the shard.
     pub(crate) fn claim(&mut self, gone: &BTreeSet<String>) -> Claimed {
         if self.controller.view().is_some() {
             return Claimed::Leads;
--- a/crates/control/src/shard_effect.rs
+++ b/crates/control/src/shard_effect.rs
@@ -1,4 +1,4 @@
-//! What the controller of a shard does to the world, and how the outcomes come back.
+//! Performs the actions of a shard's state machine and feeds their outcomes back to it.
 
 use std::time::Duration;
 
@@ -31,13 +31,14 @@
 type Ctx = Context<Shard>;
 
 impl Shard {
-    /// Starts `action`.
+    /// Starts `action`, whose outcome arrives later.
     pub(crate) fn perform(&mut self, action: Action, ctx: &mut Ctx) {
         match action {
             Action::Read => self.read_row(ctx),
             Action::Write { row, replaces } => self.write_row(&row, replaces, ctx),
-            // A standby that no longer hears of this controller claims the shard and asks for
-            // its release. Until then leases are granted as ever, so writes hardly notice.
+            // A standby that no longer receives heartbeats claims the shard and requests its
+            // release. Until then this process goes on granting leases, so writes are barely
+            // interrupted.
             Action::Heartbeat { .. } if self.retiring => {}
             Action::Heartbeat { host, heartbeat } => self.send_heartbeat(host, heartbeat, ctx),
             Action::Release { host, epoch } => self.request_release(host, epoch, ctx),
@@ -109,7 +110,8 @@
                 self.tag = Some((row.revision, stored.tag.clone()));
                 self.controller.on_row_read(read.sent, Some(&row), now);
             }
-            // Whoever wrote it is newer than this program: it neither leads nor claims.
+            // The row was written by a newer program version. This process neither leads nor
+            // claims.
             Err(error) => {
                 let error = error.to_string();
                 Log::BadRow { error }.log();
@@ -120,8 +122,8 @@
     fn write_row(&mut self, row: &Row, replaces: Option<u64>, ctx: &mut Ctx) {
         let revision = row.revision;
         let Some(change) = self.change(row, replaces) else {
-            // Nothing is sent: the table's row is not the one to replace, as far as known. The
-            // machine reads at once and tries again.
+            // Nothing is sent: the last seen row is not the one to replace. The state machine reads
+            // the row immediately and retries.
             let now = self.shared.now();
             return self
                 .controller
@@ -261,8 +263,8 @@
 
     fn on_closed(&mut self, holder: Instance, closed: &Closed) {
         self.shared.observe_version(closed.config);
-        // The host was restarted: this process knows nothing of what the one before it
-        // acknowledged, and that one's lease has to lapse.
+        // The host was restarted. The new process does not know which writes the previous one
+        // acknowledged, so the previous one's lease has to lapse.
         if closed.incarnation != holder.incarnation {
             return;
         }
@@ -272,7 +274,7 @@
             let Some(service) = directory.services.find(name) else {
                 continue;
             };
-            // An answer that cannot be read does not count: the lease lapses instead.
+            // An answer that cannot be parsed is ignored; the lease lapses instead.
             let Ok(position) = position.parse::<Position>() else {
                 return;
             };
--- a/crates/control/src/shard_floors.rs
+++ b/crates/control/src/shard_floors.rs
@@ -1,4 +1,4 @@
-//! How a shard's controller reads its predecessor's floors and keeps its own.
+//! Reads the floors of a shard's previous controller and persists those of the current one.
 
 use actix::fut::ActorFutureExt as _;
 use actix::{AsyncContext as _, Context, WrapFuture as _};
@@ -11,16 +11,17 @@
 use crate::floors;
 use crate::shard::Shard;
 
-/// What is known of the row and whether a request is under way.
+/// State of the row of floors.
 #[derive(Debug, Default)]
 pub(crate) struct RowState {
-    /// Tag of the row; absent where there is none, or none is known.
+    /// Tag of the row, `None` if the row does not exist or has not been read.
     tag: Option<Tag>,
+    /// Whether a request is in flight.
     in_flight: bool,
 }
 
 impl Shard {
-    /// Reads or writes the row where that is due; called now and then.
+    /// Reads or writes the row if necessary. Called periodically.
     pub(crate) fn sync_floors(&mut self, ctx: &mut Context<Self>) {
         if !self.was_leading || self.floors_row.in_flight {
             return;
@@ -39,7 +40,7 @@
         let reading = async move { shared.platform().read(&key).await };
         ctx.spawn(reading.into_actor(self).map(move |result, shard, _| {
             shard.floors_row.in_flight = false;
-            // Read for an authority that has ended meanwhile: another may have written since.
+            // If the epoch has changed since the read, another controller may have written the row.
             if shard.controller.row().map(|row| row.epoch) == epoch {
                 shard.on_floors_read(result);
             }
@@ -92,8 +93,8 @@
                 self.floors_row.tag = tags.into_iter().next();
                 self.budgets.record_persisted(floors);
             }
-            // Another controller has written, or the answer to an earlier write was lost: what
-            // the table holds has to be read before anything is promised on it.
+            // Another controller has written the row, or the answer to an earlier write was lost.
+            // The row has to be read before floors are granted on its basis.
             Ok(Outcome::Lost) | Err(_) => self.budgets.invalidate_persisted(),
         }
     }
--- a/crates/control/src/shard_lease.rs
+++ b/crates/control/src/shard_lease.rs
@@ -1,4 +1,4 @@
-//! How a shard's controller answers lease renewals.
+//! Answers lease renewals on behalf of a shard's controller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/control/src/shard_message.rs
+++ b/crates/control/src/shard_message.rs
@@ -1,4 +1,4 @@
-//! What a shard's actor can be told and asked.
+//! Messages that a shard's actor handles.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,53 +13,54 @@
 use crate::shard::Shard;
 use crate::shard_status;
 
-/// The configuration in force has changed.
+/// Puts a new configuration in force.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Configure(pub Arc<Config>);
 
-/// The platform's list or the operators' drains have changed.
+/// Updates the platform's host list and the operators' drains.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct UpdateHints(pub Arc<Hints>);
 
-/// An entry host renews its lease.
+/// Renews the lease of an entry host.
 #[derive(Message)]
 #[rtype(result = "lease::Reply")]
 pub struct Renew(pub lease::Renewal);
 
-/// A controller is there, or asks for a promise.
+/// Delivers a heartbeat of the shard's controller, which may request a promise. Returns `None` if
+/// the heartbeat's row cannot be decoded.
 #[derive(Message)]
 #[rtype(result = "Option<Promise>")]
 pub struct Heartbeat(pub Ask);
 
-/// A successor wants this process to give up.
+/// Releases the shard to a successor that requests it.
 #[derive(Message)]
 #[rtype(result = "Released")]
 pub struct ReleaseShard(pub Release);
 
-/// An operator wants a planned promotion.
+/// Starts a planned promotion of the named service for an operator.
 #[derive(Message)]
 #[rtype(result = "Ordered")]
 pub struct SwitchOver(pub String);
 
-/// An operator wants to know the state; `None` where another process leads the shard.
+/// Returns the shard's state for operators, or `None` if another process leads the shard.
 #[derive(Message)]
 #[rtype(result = "Option<status::Status>")]
 pub struct GetStatus;
 
-/// An operator has made sure that these hosts are gone, and wants this process to take over.
+/// Claims the shard for this process. The operator confirms that the listed hosts are gone.
 #[derive(Message)]
 #[rtype(result = "Claimed")]
 pub struct Claim(pub BTreeSet<String>);
 
-/// The process is about to end: a standby is to take over. Answers whether this process still
+/// Lets a standby take over the shard before the process stops. Returns whether this process still
 /// leads the shard.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct Retire;
 
-/// The process is over.
+/// Stops the actor at the end of the process.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Shutdown;
--- a/crates/control/src/shard_note.rs
+++ b/crates/control/src/shard_note.rs
@@ -1,4 +1,4 @@
-//! What a shard's machine wants in the log, in the words of the catalogue.
+//! Logs the notes of a shard's state machine as events of the catalogue.
 
 use flamingopost_core::key::{ServerKey, ServiceKey};
 use flamingopost_core::leadership::Note;
@@ -7,7 +7,7 @@
 use crate::event::Event;
 use crate::shard::Shard;
 
-/// Writes `note` to the log.
+/// Logs `note` as an event and records promotion times in the metrics.
 pub(crate) fn log(shard: &Shard, note: Note) {
     let number = shard.number;
     match note {
--- a/crates/control/src/shard_status.rs
+++ b/crates/control/src/shard_status.rs
@@ -1,4 +1,4 @@
-//! A shard's state for operators.
+//! Reports a shard's state to operators.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use crate::shard::{Shard, millis};
 
-/// The state of `shard`, where this process leads it.
+/// Returns the state of `shard`, or `None` if this process does not lead it.
 pub(crate) fn report(shard: &Shard) -> Option<Status> {
     let now = shard.shared.now();
     let epoch = shard.controller.leading_epoch(now)?;
@@ -33,7 +33,7 @@
     })
 }
 
-/// Whether a replica of `service` could lead it now.
+/// Reports whether `service` has a replica that is not leaving and could become its primary.
 pub(crate) fn has_promotable_replica(shard: &Shard, service: ServiceKey) -> bool {
     let Some(config) = &shard.config else {
         return false;
--- a/crates/control/src/shards.rs
+++ b/crates/control/src/shards.rs
@@ -1,4 +1,4 @@
-//! All shards of the process.
+//! The actors of all shards of the process.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -13,29 +13,29 @@
 use crate::shard_message::{Configure, Retire};
 use crate::shared::Shared;
 
-/// How often a process that ends looks whether its shards have been taken over.
+/// Interval at which a draining process checks whether its shards have been taken over.
 const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The actors of all shards, by number.
+/// Handles of the shards' actors, by shard number.
 #[derive(Clone, Default)]
 pub struct Shards {
     actors: Arc<RwLock<BTreeMap<u16, Addr<Shard>>>>,
 }
 
 impl Shards {
-    /// The actor of shard `number`; `None` where the configuration has no such shard yet.
+    /// Returns the actor of shard `number`, or `None` if no adopted configuration has that shard.
     pub fn get(&self, number: u16) -> Option<Addr<Shard>> {
         let actors = self.actors.read().unwrap_or_else(PoisonError::into_inner);
         actors.get(&number).cloned()
     }
 
-    /// All actors.
+    /// Returns all actors.
     pub fn all(&self) -> Vec<Addr<Shard>> {
         let actors = self.actors.read().unwrap_or_else(PoisonError::into_inner);
         actors.values().cloned().collect()
     }
 
-    /// Sends every actor a message.
+    /// Sends a message to every actor.
     pub fn broadcast<M>(&self, message: impl Fn() -> M)
     where
         M: Message<Result = ()> + Send + 'static,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Lets standbys take over what this process leads, and returns when they have, or after
-    /// `patience`: without the platform nobody can.
+    /// Lets standbys take over the shards that this process leads. Returns when they have, or after
+    /// `timeout`, because no standby can take over while the platform is unreachable.
     pub async fn retire(&self, timeout: Duration) {
         let retiring = async {
             while self.is_leading().await {
@@ -66,8 +66,8 @@
         leading
     }
 
-    /// Starts an actor for each shard of each new configuration, until the process stops. Runs
-    /// on the thread on which the actors live.
+    /// Starts the actors of new shards and passes each new configuration to all actors, until the
+    /// process stops. Has to run on the thread that runs the actors.
     pub async fn run(self, shared: Arc<Shared>, reader: Reader) {
         let mut configs = shared.watch_config();
         loop {
