--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -19,8 +19,7 @@
         2020 Warn PlatformSilent { error: String },
         /// the platform answers again after {seconds} s
         2021 Info PlatformBack { seconds: u64 },
-        /// shard {shard}: this process has set the row under epoch {epoch} and waits for the
-        /// authority before it to end
+        /// shard {shard}: this process has set the row under epoch {epoch} and waits for the authority before it to end
         2030 Info Claimed { shard: u16, epoch: u32 },
         /// shard {shard}: this process is the controller under epoch {epoch}
         2031 Info Settled { shard: u16, epoch: u32 },
@@ -28,11 +27,9 @@
         2032 Warn Replaced { shard: u16, epoch: u32 },
         /// {service}: a promotion begins: {reason}
         2040 Warn Promoting { service: String, reason: String },
-        /// {service}: {primary} is the primary of term {term}, {millis} ms after the promotion
-        /// began
+        /// {service}: {primary} is the primary of term {term}, {millis} ms after the promotion began
         2041 Info Opened { service: String, term: String, primary: String, millis: u128 },
-        /// {service}: term {term} begins at {start} and lacks acknowledged writes up to
-        /// {acknowledged}
+        /// {service}: term {term} begins at {start} and lacks acknowledged writes up to {acknowledged}
         2042 Error Lost { service: String, term: String, start: u64, acknowledged: String },
     }
 }
--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Asks other control processes what they know: versions spread with the platform gone.
+//! Queries other control processes, so that configuration versions spread without the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use crate::shared::Shared;
 use crate::spread::{Event, Handle};
 
-/// How often peers are asked while the platform answers: the head row tells of versions then, and
-/// this only keeps known who is there.
+/// Interval between queries while the platform answers. New versions then arrive by the head row,
+/// and queries only keep the list of live processes current.
 const INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same while it does not.
+/// Interval between queries while the platform does not answer.
 const OUTAGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many are asked each time. Who knows of a version at least doubles with each round, so all of
-/// a fleet of 480 do after ten.
+/// Number of peers queried in each round. The number of processes that know a version at least
+/// doubles with each round, so all 480 of a fleet know it after ten rounds.
 const FANOUT: usize = 2;
 
-/// Asks all peers of the settings once, then some at random until the process stops.
+/// Queries all peers named in the settings once, then random peers until the process stops.
 pub async fn run(shared: Arc<Shared>, spread: Handle) {
     let first: Vec<String> = shared.peers().all().into_keys().collect();
     let queries = first.iter().map(|address| query(&shared, address));
--- a/crates/control/src/hints.rs
+++ b/crates/control/src/hints.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts and the operators' drains, for all shards.
+//! Reads the platform's list of hosts and the operators' drains on behalf of all shards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,20 +16,20 @@
 use crate::shards::Shards;
 use crate::shared::Shared;
 
-/// How often drains are looked at; an order is in force well within three seconds.
+/// Interval between two reads of the drains. A drain takes effect well within three seconds.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// How many of these turns pass between two reads of the list, which lags anyway.
+/// Number of intervals between two reads of the host list, which lags in any case.
 const TURNS_PER_LIST: u32 = 2;
 
-/// What others say of hosts and servers.
+/// State of hosts and servers according to the platform and the operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Hints {
-    /// Hosts on the list that are no backend server's.
+    /// Hosts on the list that do not run a backend server.
     pub hosts: BTreeMap<HostKey, Hint>,
-    /// Zones in which the list has live hosts.
+    /// Availability zones in which the list has live hosts.
     pub live_zones: BTreeSet<ZoneKey>,
-    /// Backend servers that the list calls leaving.
+    /// Backend servers that the list reports as leaving.
     pub leaving_servers: BTreeSet<ServerKey>,
     /// Backend servers that operators have drained.
     pub drained_servers: BTreeSet<ServerKey>,
@@ -37,12 +37,12 @@
     pub drained_hosts: BTreeSet<HostKey>,
 }
 
-/// Tells all shards of changes until the process stops.
+/// Passes the hints to all shards until the process stops.
 pub async fn run(shared: Arc<Shared>, reader: Reader, shards: Shards) {
     let mut hints = Hints::default();
     let mut turn = 0;
     while shared.stop().phase() != Phase::Stopped {
-        // Only controllers have use for it: four hundred others need not ask.
+        // Only controllers use the hints; about 400 other processes need not read them.
         if shared.is_controller() {
             if turn % TURNS_PER_LIST == 0
                 && let Ok(list) = shared.platform().hosts().await
@@ -55,7 +55,7 @@
                 let drain = row.map_or_else(Drain::default, |row| Drain::decode(&row.body));
                 apply_drain(&shared, &drain, &mut hints);
             }
-            // Told again though nothing changed: a shard may have started since.
+            // Sent even if nothing has changed, because a shard's actor may have started since.
             shards.broadcast(|| UpdateHints(Arc::new(hints.clone())));
         }
         tokio::time::sleep(jittered(INTERVAL)).await;
@@ -101,7 +101,7 @@
     hints.hosts.insert(key, hint);
 }
 
-/// The backend server that a host on the list is, by its name or its address.
+/// Finds the backend server that runs on a listed host, by name or by address.
 fn find_server(shared: &Shared, fleet: &Fleet, host: &Host) -> Option<ServerKey> {
     let named = shared.directory().servers.find(&host.host);
     let named = named.filter(|key| fleet.servers.contains_key(key));
--- a/crates/control/src/peer.rs
+++ b/crates/control/src/peer.rs
@@ -1,4 +1,4 @@
-//! Other processes: their addresses and connections to them.
+//! Addresses of other processes and connections to them.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,10 +9,10 @@
 use flamingopost_wire::knowledge::Process;
 use jsonrpsee::core::ClientError;
 
-/// How long a call to another process may take.
+/// Timeout of a call to another process.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections kept at most; a fleet's entry hosts and some.
+/// Maximum number of cached clients: the entry hosts of a fleet, and some more.
 const MAX_CLIENTS: usize = 1_024;
 
 /// Connections to other processes, by the address of their remote calls.
@@ -24,8 +24,8 @@
 }
 
 impl Links {
-    /// No connections yet, from availability zone `zone`; the fleet's processes know each other
-    /// by the operators' `token`.
+    /// Creates an empty cache of connections from availability zone `zone`. The fleet's processes
+    /// authenticate to each other with the operators' `token`.
     pub fn new(zone: &str, token: Token) -> Links {
         Links {
             zone: zone.to_owned(),
@@ -34,17 +34,17 @@
         }
     }
 
-    /// A client for the process at `address`; nothing is sent yet.
+    /// Returns a client for the process at `address`, without sending anything.
     ///
     /// # Errors
-    /// The address is not one that can be connected to.
+    /// The address is not valid.
     pub fn get(&self, address: &str) -> Result<Client, ClientError> {
         let mut clients = lock(&self.clients);
         if let Some(client) = clients.get(address) {
             return Ok(client.clone());
         }
         let client = remote::client_in(&self.zone, address, &self.token, CALL_TIMEOUT)?;
-        // Hosts are replaced by the hundred a day; their addresses would pile up.
+        // Hundreds of hosts are replaced each day, so their addresses would accumulate.
         if clients.len() >= MAX_CLIENTS {
             clients.clear();
         }
@@ -53,39 +53,39 @@
     }
 }
 
-/// Control processes that this one knows, by the address of their remote calls.
+/// Known control processes, by the address of their remote calls.
 #[derive(Debug, Default)]
 pub struct Peers {
     known: Mutex<BTreeMap<String, Peer>>,
 }
 
-/// What is known of a control process.
+/// A known control process.
 #[derive(Debug, Clone, Default)]
 pub struct Peer {
-    /// Its host, where a row or another process told it.
+    /// Host name, if the process answered or a row or another process named it.
     pub host: Option<String>,
-    /// Who it says it is; absent until it has answered.
+    /// Identity that the process reported, `None` until it has answered.
     pub process: Option<Process>,
-    /// When it last answered.
+    /// Time of the process's last answer.
     pub last_answer: Option<Duration>,
-    /// When a row or another process last told of it.
+    /// Time at which a row or another process last mentioned the process.
     pub last_mention: Option<Duration>,
-    /// Whether the settings name it.
+    /// Whether the settings name the process, so that it never expires.
     pub configured: bool,
 }
 
-/// For how long a process that neither answers nor is told of is remembered. Hundreds of hosts are
-/// replaced a day, and their successors have other addresses.
+/// Time after which a process that has neither answered nor been mentioned is removed. Hundreds of
+/// hosts are replaced each day, and their successors have other addresses.
 const PEER_EXPIRY: Duration = Duration::from_secs(600);
 
 impl Peers {
-    /// Makes `address`, which the settings name, known for good.
+    /// Adds `address`, which the settings name, permanently.
     pub fn add_configured(&self, address: &str) {
         let mut known = lock(&self.known);
         known.entry(address.to_owned()).or_default().configured = true;
     }
 
-    /// The process at `address` has answered at `now`.
+    /// Records an answer of the process at `address`.
     pub fn record_answer(&self, address: &str, process: Option<Process>, now: Duration) {
         let mut known = lock(&self.known);
         let peer = known.entry(address.to_owned()).or_default();
@@ -94,7 +94,7 @@
         peer.last_answer = Some(now);
     }
 
-    /// Somebody told at `now` that `host` is reached at `address`.
+    /// Records that a row or another process gave `address` as that of `host`.
     pub fn record_mention(&self, host: &str, address: &str, now: Duration) {
         let mut known = lock(&self.known);
         let peer = known.entry(address.to_owned()).or_default();
@@ -102,7 +102,7 @@
         peer.last_mention = Some(now);
     }
 
-    /// Forgets processes that have neither answered nor been told of for long.
+    /// Removes processes that have neither answered nor been mentioned within [`PEER_EXPIRY`].
     pub fn remove_expired(&self, now: Duration) {
         lock(&self.known).retain(|_, peer| {
             let last = peer.last_answer.max(peer.last_mention).unwrap_or_default();
@@ -110,7 +110,7 @@
         });
     }
 
-    /// Where `host` is reached: the address that answered last, else one that somebody told.
+    /// Returns the address of `host` that answered last, or else one that was only mentioned.
     pub fn rpc_of(&self, host: &str) -> Option<String> {
         let known = lock(&self.known);
         let of_host = known
@@ -120,12 +120,12 @@
         latest.map(|(address, _)| address.clone())
     }
 
-    /// All that are known.
+    /// Returns all known processes.
     pub fn all(&self) -> BTreeMap<String, Peer> {
         lock(&self.known).clone()
     }
 
-    /// Those that have answered since `since`.
+    /// Returns the processes that have answered since `since`.
     pub fn answered_since(&self, since: Duration) -> Vec<Process> {
         let known = lock(&self.known);
         known
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -1,9 +1,9 @@
-//! Reads the fleet's rows.
+//! Polls the fleet's rows in the table service.
 //!
-//! In a fleet of today one read of their prefix serves every shard of the process, the
-//! configuration and the drains. Where that read has grown large (a thousand services), the
-//! process reads only the rows of shards that it leads or stands by for, and the head; all rows
-//! once a minute, for shards that nobody is left to lead.
+//! In a fleet of the present size, one read of the rows' prefix serves every shard of the process,
+//! the configuration and the drains. In a large fleet (a thousand services) the process reads only
+//! the head and the rows of shards that it leads or stands by for. It reads all rows once a minute,
+//! to find shards that have lost their controller and all standbys.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,48 +21,48 @@
 use crate::shared::Shared;
 use crate::spread;
 
-/// Least time between two reads of all rows, so that many shards that ask share one.
+/// Minimum time between two reads of all rows, so that requests of many shards share one read.
 const MIN_READ_SPACING: Duration = Duration::from_millis(100);
 
-/// Bytes of all rows beyond which they are read rarely. A host's share of the network is 23 KB a
-/// second, and all rows would be read several times a second.
+/// Total size of all rows in bytes above which they are read rarely. A host may use 23 KB/s of the
+/// network, and all rows would be read several times a second.
 const LARGE_FLEET_BYTES: usize = 32 << 10;
 
-/// The same in a large fleet.
+/// Minimum time between two reads of all rows in a large fleet.
 const LARGE_FLEET_READ_SPACING: Duration = Duration::from_millis(400);
 
-/// Time between two reads of all rows in a large fleet, where nobody asks.
+/// Time between two reads of all rows in a large fleet without a request for one.
 const LARGE_FLEET_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Rows that are read one by one at most; each is asked for twice a second, of the ten requests a
-/// second that a process makes.
+/// Maximum number of rows that are read individually. Each is read twice a second, and a process
+/// may send ten requests a second.
 const MAX_SINGLE_ROW_READS: usize = 4;
 
-/// How long a row counts as asked for.
+/// Time since its last read after which a row no longer counts towards [`MAX_SINGLE_ROW_READS`].
 const NAMED_ROW_EXPIRY: Duration = Duration::from_secs(2);
 
-/// Time between two reads of the head alone in a large fleet.
+/// Time between two reads of the head row alone in a large fleet.
 const HEAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The fleet's rows as one read found them, or that it failed.
+/// The result of one read of the fleet's rows.
 #[derive(Debug, Clone, Default)]
 pub struct Read {
-    /// When the read was sent; authority is dated from here.
+    /// Time at which the read was sent. Authority is counted from this time.
     pub sent: Duration,
-    /// The rows by key, where the read was answered.
+    /// The rows by key, or `None` if the read failed.
     pub rows: Option<Arc<BTreeMap<String, Row>>>,
 }
 
-/// What a process is to a shard.
+/// Whether a shard's row names this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Participation {
-    /// It leads it or is named as a standby: its row has to be read often.
+    /// The process is the controller or a standby of the shard and reads its row often.
     Named,
-    /// It is not named.
+    /// The row does not name the process.
     Unnamed,
 }
 
-/// Where reads are asked for.
+/// Requests reads of the fleet's rows.
 #[derive(Clone)]
 pub struct Reader {
     shared: Arc<Shared>,
@@ -70,18 +70,18 @@
     last_read: Arc<LastRead>,
 }
 
-/// What the last read of all rows showed.
+/// State kept from the last read of all rows.
 #[derive(Default)]
 struct LastRead {
     large: AtomicBool,
     latest: Mutex<Read>,
-    /// When rows of shards that name this process were last asked for.
+    /// Time of the last read of each row that names this process.
     named_reads: Mutex<BTreeMap<String, Duration>>,
 }
 
 impl Reader {
-    /// A read that finds the row `key`, sent after this call: an authority that dated an old read
-    /// as new would outlive its row.
+    /// Reads the row `key`. If the row names this process, the read is sent after this call: an
+    /// authority counted from an older read would outlive its row.
     pub async fn read(&self, key: &str, participation: Participation) -> Read {
         match (self.is_large(), participation) {
             (true, Participation::Unnamed) => self.latest(),
@@ -96,9 +96,9 @@
         receiver.await.unwrap_or_default()
     }
 
-    /// Whether so many shards name this process that one read of all rows is asked for less often
-    /// than a read of each. After takeovers shards gather on a process; row by row their reads
-    /// would wait for each other by the bound on requests until every authority had run out.
+    /// Reports whether so many rows name this process that reading all rows takes fewer requests
+    /// than reading each. After takeovers one process may lead many shards. Individual reads would
+    /// then queue up behind the rate limit until every authority had expired.
     fn has_many_rows(&self, key: &str) -> bool {
         let now = self.shared.now();
         let named = self.last_read.named_reads.lock();
@@ -113,7 +113,8 @@
         latest.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The row `key` as it was a moment ago; read anew where all rows are not read often.
+    /// Returns the row `key` from the last read of all rows. In a large fleet, where that read may
+    /// be old, reads the row itself.
     pub async fn read_recent(&self, key: &str) -> Read {
         if self.is_large() {
             return self.read_one(key).await;
@@ -132,7 +133,7 @@
     }
 }
 
-/// Starts to read until the process stops.
+/// Starts the polling tasks, which run until the process stops.
 pub fn start(shared: Arc<Shared>, spread: spread::Handle) -> Reader {
     let (sender, receiver) = mpsc::unbounded_channel();
     let reader = Reader {
@@ -145,7 +146,7 @@
     reader
 }
 
-/// Reads all rows, when somebody asks and at least once each poll interval.
+/// Reads all rows on request, and at least once per poll interval.
 async fn poll_rows(
     reader: Reader,
     spread: spread::Handle,
@@ -197,7 +198,7 @@
     }
 }
 
-/// Reads the head alone while all rows are not read often.
+/// Reads the head row alone while the fleet is large.
 async fn poll_head(reader: Reader, spread: spread::Handle) {
     while reader.shared.stop().phase() != Phase::Stopped {
         tokio::time::sleep(jittered(HEAD_INTERVAL)).await;
@@ -248,8 +249,8 @@
     }
 }
 
-/// `span` with a random part of up to a tenth more, so that processes that were started together
-/// do not go on asking together.
+/// Returns `span` plus up to a tenth of it at random, so that processes that started together do
+/// not keep polling at the same time.
 pub fn jittered(span: Duration) -> Duration {
     span.mul_f64(1.0 + rand::random::<f64>() / 10.0)
 }
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of a control process share.
+//! State that is shared by all tasks of a control process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
 use crate::peer::{Links, Peers};
 use crate::settings::Settings;
 
-/// Other processes that one answer tells of at most.
+/// Maximum number of other processes that one answer lists.
 const MAX_SHARED_PEERS: usize = 8;
 
-/// How long ago a process may have answered to be told of.
+/// Maximum time since its last answer for a process to be listed.
 const RECENT_ANSWER: Duration = Duration::from_secs(60);
 
-/// Shared by all tasks of a control process.
+/// The shared state of a control process.
 pub struct Shared {
     settings: Settings,
     process: Process,
@@ -37,13 +37,13 @@
     directory: RwLock<Arc<Directory>>,
     config: watch::Sender<Option<Arc<Config>>>,
     highest_version: AtomicU64,
-    /// Whether the platform did not answer the last read.
+    /// Reports whether the platform failed to answer the last read.
     platform_silent: AtomicBool,
     controllers: Mutex<BTreeMap<u16, knowledge::Controller>>,
 }
 
 impl Shared {
-    /// What a process starts with: no configuration, and the peers of its settings.
+    /// Creates the initial state: no configuration, and the peers named in the settings.
     pub fn new(
         settings: Settings,
         platform: Platform,
@@ -80,65 +80,66 @@
         }
     }
 
-    /// The process's settings.
+    /// Returns the process's settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Who this process is to others.
+    /// Returns the identity and addresses that this process announces to others.
     pub fn process(&self) -> &Process {
         &self.process
     }
 
-    /// The clock that every decision of the process is timed by.
+    /// Returns the clock that all timing decisions of the process use.
     pub fn clock(&self) -> &Arc<dyn Clock> {
         &self.clock
     }
 
-    /// Now, by the clock.
+    /// Returns the current time of the clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// How far the process is on its way out.
+    /// Returns the shutdown state of the process.
     pub fn stop(&self) -> &Stop {
         &self.stop
     }
 
-    /// The platform's services.
+    /// Returns the client of the platform's services.
     pub fn platform(&self) -> &Platform {
         &self.platform
     }
 
-    /// Connections to other processes.
+    /// Returns the connections to other processes.
     pub fn links(&self) -> &Links {
         &self.links
     }
 
-    /// Other control processes.
+    /// Returns the known control processes.
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// The names known so far.
+    /// Returns a snapshot of the directory of interned names.
     pub fn directory(&self) -> Arc<Directory> {
         let directory = self.directory.read();
         directory.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Lets `work` add names. Those who hold an earlier directory keep it; keys are the same.
+    /// Runs `work`, which may intern names. Snapshots of the directory taken earlier stay valid,
+    /// because keys do not change.
     pub fn intern<T>(&self, work: impl FnOnce(&mut Directory) -> T) -> T {
         let directory = self.directory.write();
         let mut directory = directory.unwrap_or_else(PoisonError::into_inner);
         work(Arc::make_mut(&mut directory))
     }
 
-    /// The configuration in force, if there is one yet.
+    /// Returns the configuration in force, or `None` before the first one is adopted.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// Wakes whoever waits for a change of the configuration in force.
+    /// Returns a receiver that is notified when another configuration is put in force.
     pub fn watch_config(&self) -> watch::Receiver<Option<Arc<Config>>> {
         self.config.subscribe()
     }
@@ -149,46 +150,47 @@
         self.config.send_replace(Some(Arc::new(config)));
     }
 
-    /// The highest configuration version heard of; every message carries it.
+    /// Returns the highest configuration version seen. Every message carries it.
     pub fn highest_version(&self) -> u64 {
         self.highest_version.load(Ordering::Relaxed)
     }
 
-    /// Whether the newest version heard of is in force, so that a name it lacks does not exist.
+    /// Reports whether the highest version seen is in force, so that a name that it lacks does not
+    /// exist.
     pub fn is_current(&self) -> bool {
         self.config()
             .is_some_and(|config| config.version >= self.highest_version())
     }
 
-    /// Notes whether the platform has answered the last read.
+    /// Records whether the platform failed to answer the last read.
     pub fn set_platform_silent(&self, silent: bool) {
         self.platform_silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Whether the platform did not answer the last read.
+    /// Reports whether the platform failed to answer the last read.
     pub fn is_platform_silent(&self) -> bool {
         self.platform_silent.load(Ordering::Relaxed)
     }
 
-    /// Raises what [`Shared::highest_version`] says; whether `version` is news.
+    /// Raises [`Shared::highest_version`] to `version`. Returns whether it was lower before.
     pub fn observe_version(&self, version: u64) -> bool {
         self.highest_version.fetch_max(version, Ordering::Relaxed) < version
     }
 
-    /// Where the controller of each shard is, as far as known.
+    /// Returns the last known controller of each shard.
     pub fn controllers(&self) -> BTreeMap<u16, knowledge::Controller> {
         let controllers = self.controllers.lock();
         controllers.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Notes that `host`, reached at `rpc`, has authority `epoch` over a shard, unless a newer
-    /// one is known.
+    /// Records that `host`, whose remote calls are at `rpc`, controls the shard under `epoch`,
+    /// unless a higher epoch is known.
     pub fn record_controller(&self, shard: u16, epoch: u32, host: &str, rpc: &str) {
         self.record_host(host, rpc);
         self.record_controller_address(shard, epoch, rpc);
     }
 
-    /// As [`Shared::record_controller`], where the host's name is not known.
+    /// Does the same as [`Shared::record_controller`] for a host whose name is unknown.
     pub fn record_controller_address(&self, shard: u16, epoch: u32, rpc: &str) {
         let controllers = self.controllers.lock();
         let mut controllers = controllers.unwrap_or_else(PoisonError::into_inner);
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Whether this process leads a shard, as far as known.
+    /// Reports whether this process is the last known controller of any shard.
     pub fn is_controller(&self) -> bool {
         let controllers = self.controllers.lock();
         let controllers = controllers.unwrap_or_else(PoisonError::into_inner);
@@ -207,14 +209,14 @@
         known.any(|controller| controller.rpc == self.process.rpc)
     }
 
-    /// Notes where a host is reached.
+    /// Records the address of the remote calls of another host.
     pub fn record_host(&self, host: &str, rpc: &str) {
         if rpc != self.process.rpc && !rpc.is_empty() {
             self.peers.record_mention(host, rpc, self.now());
         }
     }
 
-    /// Where the control process of `host` is reached, as far as known.
+    /// Returns the last known address of the remote calls of `host`'s control process.
     pub fn rpc_of(&self, host: &str) -> Option<String> {
         if host == self.process.host {
             return Some(self.process.rpc.clone());
@@ -222,7 +224,7 @@
         self.peers.rpc_of(host)
     }
 
-    /// What this process tells one that has `version`.
+    /// Returns the knowledge to send to a process that has configuration `version`.
     pub fn knowledge(&self, version: u64) -> Knowledge {
         let config = self.config();
         let newer = config.as_ref().filter(|config| config.version > version);
@@ -238,8 +240,8 @@
         }
     }
 
-    /// Some of the processes that have answered lately. All of a large fleet's would fill each
-    /// answer, and a few from everybody asked are enough to know many.
+    /// Returns a random sample of the processes that answered recently. Listing all processes of a
+    /// large fleet would make every answer large, and a few from each peer add up to many.
     fn sample_peers(&self) -> BTreeMap<String, String> {
         let since = self.now().saturating_sub(RECENT_ANSWER);
         let answered = self.peers.answered_since(since);
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -1,6 +1,7 @@
-//! Spread of configuration versions: from the platform's head row, from messages, from peers.
+//! Adopts configuration versions that arrive by the platform's head row, by messages and from
+//! peers.
 //!
-//! One task owns the adoption state machine; everybody else tells it what they have heard.
+//! One task owns the adoption state machine. All other tasks send it events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,41 +20,41 @@
 use crate::event::Event as Log;
 use crate::shared::Shared;
 
-/// Events that wait at most; each is small and the poll repeats what matters.
+/// Maximum number of queued events. Events are small, and the poll repeats dropped information.
 const BACKLOG: usize = 256;
 
-/// Something that says which versions there are.
+/// An event that carries information about configuration versions.
 #[derive(Debug)]
 pub enum Event {
-    /// The head row was read; none when there is no configuration yet.
+    /// The head row was read. `None` means that the fleet has no configuration yet.
     Head(Option<Head>),
     /// The head row could not be read.
     HeadFailed,
     /// A message from the process at `from` carried `version`.
     VersionSeen {
-        /// The version.
+        /// The configuration version.
         version: u64,
-        /// Address of the sender's remote calls, where it may be asked for the body.
+        /// Address of the sender's remote calls, if the body can be fetched from it.
         from: Option<String>,
     },
-    /// A peer that is asked at the start has answered, or not.
+    /// A peer queried at startup has answered, or the query has failed (`None`).
     StartupAnswer(Option<Box<Knowledge>>),
-    /// A peer has told what it knows.
+    /// A peer has answered a periodic query.
     PeerAnswer(Box<Knowledge>),
 }
 
-/// Where events go.
+/// Sends events to the adoption task.
 #[derive(Debug, Clone)]
 pub struct Handle(mpsc::Sender<Event>);
 
 impl Handle {
-    /// Tells of `event`. One that finds the backlog full is dropped: the poll repeats it.
+    /// Queues `event`. Drops it if the queue is full, because the poll repeats it.
     pub fn send(&self, event: Event) {
         let _full = self.0.try_send(event);
     }
 }
 
-/// Starts the task; `peers` others will be asked at the start.
+/// Starts the adoption task. `peers` is the number of peers queried at startup.
 pub fn start(shared: Arc<Shared>, peers: usize) -> Handle {
     let (sender, receiver) = mpsc::channel(BACKLOG);
     let spread = Spread {
@@ -70,11 +71,11 @@
     shared: Arc<Shared>,
     adoption: Adoption,
     head: Option<Record>,
-    /// Who may be asked for which version.
+    /// Versions that processes are known to have, by the address of their remote calls.
     sources: BTreeMap<String, u64>,
 }
 
-/// A body and what it is said to be.
+/// A configuration body with the version and digest that its source claims for it.
 struct Candidate {
     version: u64,
     digest: Digest,
@@ -135,8 +136,9 @@
         let (Some(body), Ok(digest)) = (knowledge.body, knowledge.digest.parse()) else {
             return next;
         };
-        // A fresh process holds a body back until all it has to ask have answered, and then wants
-        // the highest version named: this one may be older than what it had before its restart.
+        // A process that has just started adopts nothing until all peers queried at startup have
+        // answered, and then the highest version reported. This body may be older than the version
+        // that was in force before the restart.
         match next {
             AdoptionStep::Fetch { version } if knowledge.version >= version => {}
             _ => return next,
