--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! A fleet without any configuration starts with the one in a file.
+//! Submits the first configuration of a new fleet from a file.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -17,10 +17,12 @@
 use crate::shared::Shared;
 use crate::submit;
 
+/// Time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Submits the configuration in `file` as version 1, unless there is one. All hosts may be given
-/// the same file: its digest is the submission's id, so they submit the same thing.
+/// Submits the configuration in `file` as version 1, unless the fleet already has a configuration.
+/// Several hosts may be given the same file: the submission is idempotent because its id is the
+/// file's digest.
 pub async fn run(shared: Arc<Shared>, file: &Path) {
     while shared.stop().phase() != Phase::Stopped && shared.config().is_none() {
         match shared.platform().read(HEAD).await {
--- a/crates/control/src/candidate.rs
+++ b/crates/control/src/candidate.rs
@@ -1,13 +1,13 @@
-//! Which control processes come first for a shard, so that shards spread over hosts.
+//! Ranks control processes for each shard, so that shards spread over hosts.
 
 use std::collections::BTreeSet;
 
 use flamingopost_core::digest::Digest;
 use flamingopost_wire::knowledge::Process;
 
-/// Hosts that may stand by for `shard`, best first: one of each zone other than `own`, then
-/// others of those zones, then those of `own`. Among equals the order differs from shard to
-/// shard, so that one host does not stand by for all of them.
+/// Returns the standby candidates for `shard` in order of preference: one host of each zone other
+/// than `own`, then the other hosts of those zones, then the hosts of `own`. Hosts of equal
+/// preference are ordered differently for each shard, so that one host does not stand by for all.
 ///
 /// ```
 /// use flamingopost_control::candidate;
@@ -42,7 +42,7 @@
     first
 }
 
-/// Whether `host` comes first for `shard` among itself and all that were `heard`.
+/// Reports whether `host` ranks first for `shard` among itself and the `live` processes.
 pub fn is_first(shard: u16, host: &str, live: &[Process]) -> bool {
     let own = rank(shard, host);
     live.iter().all(|process| rank(shard, &process.host) >= own)
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -5,15 +5,15 @@
 use flamingopost_core::digest::Digest;
 use flamingopost_core::fleet::Fleet;
 
-/// One accepted version of the configuration, ready for use.
+/// One accepted version of the configuration, parsed and ready for use.
 #[derive(Debug)]
 pub struct Config {
-    /// Its version.
+    /// Version number.
     pub version: u64,
-    /// Digest of its body.
+    /// Digest of the body.
     pub digest: Digest,
-    /// Its text.
+    /// Text of the configuration.
     pub body: Arc<str>,
-    /// What it says.
+    /// The fleet that the body describes.
     pub fleet: Arc<Fleet>,
 }
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -1,6 +1,6 @@
-//! Drains that operators order: servers and hosts that receive no new work.
+//! Operators' drains: backend servers and entry hosts that receive no new work.
 //!
-//! They are kept in one row of the table service, so they outlast any controller.
+//! Drains are stored in one row of the table service, so they outlive any controller.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,28 +17,30 @@
 /// Key of the row.
 pub const KEY: &str = "fleet/drain";
 
+/// Maximum number of attempts to change the row.
 const MAX_ATTEMPTS: u8 = 5;
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// What operators have drained.
+/// The set of drained servers and hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Backend servers.
+    /// Names of drained backend servers.
     pub servers: BTreeSet<String>,
-    /// Entry hosts.
+    /// Names of drained entry hosts.
     pub hosts: BTreeSet<String>,
 }
 
-/// Whether a drain is ordered or taken back.
+/// The change that an operator requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// No new work from now on.
+    /// Send no new work to the target.
     Drain,
-    /// As before.
+    /// Remove the drain.
     Undo,
 }
 
-/// Why an order was not carried out.
+/// Reasons why a request was not carried out.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// nobody here knows a server or host of this name
@@ -50,7 +52,7 @@
 }
 
 impl Drain {
-    /// Reads a row's body; an unreadable one drains nothing.
+    /// Decodes a row's body. A body that cannot be decoded drains nothing.
     pub fn decode(body: &str) -> Drain {
         serde_json::from_str(body).unwrap_or_default()
     }
@@ -67,7 +69,7 @@
     }
 }
 
-/// Carries out `order` and returns all that is drained after it.
+/// Applies `action` to `target` and returns the resulting drains.
 ///
 /// # Errors
 /// The name is unknown or the platform does not answer.
@@ -84,7 +86,7 @@
             Ok(Some(drain)) => return Ok(drain),
             Ok(None) => {}
             Err(Effect::None) => {}
-            // An order says what is to be, not what is to change: sending it again is harmless.
+            // The request is idempotent, so retrying it after an unknown outcome is safe.
             Err(Effect::Unknown) => in_doubt = true,
         }
         tokio::time::sleep(RETRY_PAUSE).await;
@@ -107,14 +109,14 @@
     }
 }
 
-/// The configuration does not name entry hosts: only the controllers that they renew with know
-/// them.
+/// Reports whether `name` is an entry host. The configuration does not name entry hosts; only the
+/// controllers from which they obtain leases know them.
 async fn is_host(shared: &Shared, shards: &Shards, name: &str) -> bool {
     let status = fleet_status::gather(shared, shards).await;
     status.hosts.iter().any(|host| host.host == name)
 }
 
-/// `None` where another operator's order came in between.
+/// Attempts the change once. Returns `None` if another operator changed the row concurrently.
 async fn attempt(
     shared: &Shared,
     target: &Target,
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a control process cannot start or go on.
+//! Fatal errors of a control process.
 
 use std::net::SocketAddr;
 
 use flamingopost_platform::error as platform;
 
-/// Why a control process cannot start or go on.
+/// An error that prevents a control process from starting or continuing.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// cannot listen on {0}: {1}
--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -7,19 +7,19 @@
         2000 Info Adopted { version: u64 },
         /// configuration version {version} cannot be put in force: {error}
         2001 Error BadBody { version: u64, error: String },
-        /// nobody who answers has the body of configuration version {version}
+        /// no reachable process has the body of configuration version {version}
         2002 Warn BodyMissing { version: u64 },
         /// a row of the table service cannot be read: {error}
         2003 Error BadRow { error: String },
         /// operator {operator} submitted configuration version {version}: {outcome}
         2010 Info Submitted { operator: String, version: u64, outcome: String },
-        /// the fleet starts with the configuration in {file}: {outcome}
+        /// bootstrap with the configuration in {file}: {outcome}
         2011 Info Bootstrapped { file: String, outcome: String },
         /// the platform does not answer: {error}
         2020 Warn PlatformSilent { error: String },
         /// the platform answers again after {seconds} s
         2021 Info PlatformBack { seconds: u64 },
-        /// shard {shard}: this process has set the row under epoch {epoch} and waits for the authority before it to end
+        /// shard {shard}: this process has claimed the row under epoch {epoch} and waits for the previous authority to end
         2030 Info Claimed { shard: u16, epoch: u32 },
         /// shard {shard}: this process is the controller under epoch {epoch}
         2031 Info Settled { shard: u16, epoch: u32 },
--- a/crates/control/src/fleet_status.rs
+++ b/crates/control/src/fleet_status.rs
@@ -1,4 +1,4 @@
-//! The state of the whole fleet, gathered from the controllers of all shards.
+//! Gathers the state of the whole fleet from the controllers of all shards.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use crate::shards::Shards;
 use crate::shared::Shared;
 
-/// What the controllers of all shards say together. Shards whose controller does not answer are
-/// missing from it.
+/// Merges the states reported by the controllers of all shards. Shards whose controller does not
+/// answer are missing.
 pub async fn gather(shared: &Shared, shards: &Shards) -> Status {
     let mut status = local(shards).await;
     let own = &shared.process().rpc;
@@ -31,7 +31,7 @@
     status
 }
 
-/// What this process says of the shards that it leads.
+/// Returns the state of the shards that this process leads.
 pub async fn local(shards: &Shards) -> Status {
     let mut status = Status::default();
     for actor in shards.all() {
@@ -42,7 +42,8 @@
     status
 }
 
-/// Orders a planned promotion where `service` is led; `None` where nobody answers.
+/// Requests a planned promotion from the controller of `service`. Returns `None` if no controller
+/// answers.
 pub async fn switch_over(shared: &Shared, shards: &Shards, service: &str) -> Option<Ordered> {
     let Some(number) = shard_of(shared, service) else {
         return shared.is_current().then_some(Ordered::NoSuchService);
@@ -61,7 +62,7 @@
     client.order(service.to_owned()).await.ok()
 }
 
-/// The shard of `service`, where the configuration has such a service.
+/// Returns the shard of `service`, or `None` if the configuration has no such service.
 pub fn shard_of(shared: &Shared, service: &str) -> Option<u16> {
     let key = shared.directory().services.find(service)?;
     let config = shared.config()?;
@@ -79,7 +80,8 @@
     status.hosts.extend(other.hosts);
 }
 
-/// One line a host: it has a lease of each shard, and the weakest counts.
+/// Merges the entries of each host into one and sorts the status. A host has a lease on each shard;
+/// the one that ends first is shown.
 fn sort(status: &mut Status) {
     let mut hosts: BTreeMap<(String, u64), Host> = BTreeMap::new();
     for host in status.hosts.drain(..) {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
-//! The control process: controllers of shards, spread of the configuration, operators' HTTP.
+//! The control process: shard controllers, distribution of the configuration, operators' HTTP.
 //!
-//! Every host runs one. For each shard it stands by or leads; which one leads is agreed by
-//! compare-and-set in the platform's table service.
+//! Every host runs one control process, which leads or stands by for each shard. The controller of
+//! a shard is elected by compare-and-set in the platform's table service.
 
 pub mod bootstrap;
 pub mod budgets;
@@ -59,17 +59,17 @@
 use crate::shards::Shards;
 use crate::shared::Shared;
 
-/// Connections to a process's remote calls at the same time: a fleet's hosts, and room.
+/// Maximum number of concurrent connections for remote calls: the hosts of a fleet, with headroom.
 const MAX_CONNECTIONS: u32 = 2_048;
 
-/// How long a process that is asked to end waits for others to take over what it leads.
+/// Time that a draining process waits for standbys to take over its shards.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Largest message between processes: the view of a large shard.
+/// Maximum size of a message between processes in bytes: the view of a large shard.
 const MAX_MESSAGE_BYTES: u32 = 16 << 20;
 
-/// Runs a control process until `stop` is stopped. Runs inside an actix system, whose thread
-/// carries the shards' actors.
+/// Runs a control process until `stop` is stopped. Has to be called inside an actix system, whose
+/// thread runs the shards' actors.
 ///
 /// # Errors
 /// A listener cannot be opened, or a part of the process failed.
@@ -80,7 +80,7 @@
     run_on(rpc, admin, settings, stop).await
 }
 
-/// As [`run`], on sockets that already listen.
+/// Does the same as [`run`] on sockets that are already listening.
 ///
 /// # Errors
 /// A part of the process failed.
@@ -139,14 +139,14 @@
     let result = served.await.map_err(Error::Http);
     shared.stop().stop();
     shards.broadcast(|| Shutdown);
-    // Fails only when it has stopped already.
+    // Fails only if the server has already stopped.
     let _ = handle.stop();
     handle.stopped().await;
     result
 }
 
-/// After a request to drain, hands over what the process leads and then ends it. A control
-/// process serves nobody whose work it would cut off.
+/// After a request to drain, hands over the process's shards and then stops the process. No caller
+/// is interrupted, because a control process serves no callers.
 async fn retire(shared: Arc<Shared>, shards: Shards) {
     shared.stop().draining().await;
     if shared.stop().phase() == Phase::Draining {
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -12,9 +12,9 @@
 const NAME: &str = "flamingopost-control";
 const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// The settings are wrong.
+/// Exit code if the settings are invalid.
 const BAD_SETTINGS: u8 = 2;
-/// The process could not start or go on.
+/// Exit code if the process could not start or continue.
 const FAILED: u8 = 1;
 
 fn main() -> ExitCode {
@@ -30,7 +30,7 @@
 }
 
 fn run(settings: Settings) -> ExitCode {
-    // Without a logger the process is no less useful, and there is nowhere to say so.
+    // The process works without a logger, and without one the failure cannot be logged.
     let _ = flamingopost_daemon::log::start(settings.log.level, settings.log.format);
     flamingopost_daemon::metrics::start();
     let (host, zone) = (settings.host.clone(), settings.zone.clone());
--- a/crates/control/src/meter.rs
+++ b/crates/control/src/meter.rs
@@ -1,8 +1,8 @@
-//! Counts and bounds what this process asks of the platform.
+//! Counts and rate-limits this process's requests to the platform.
 //!
-//! The platform's services carry a few hundred writes and two thousand reads a second for the
-//! whole fleet. A fault that makes many processes try again at once must not use that up: each
-//! process waits its turn by a token bucket.
+//! The platform's services handle a few hundred writes and 2,000 reads a second for the whole
+//! fleet. A fault that makes many processes retry at the same time must not exhaust this capacity,
+//! so each process is limited by token buckets.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -14,15 +14,16 @@
 use flamingopost_platform::object;
 use flamingopost_platform::table::{self, Change, Outcome, Row};
 
-/// Requests a second that one process makes at most, once its burst is used up.
+/// Maximum sustained rate of read requests of one process.
 const READS_PER_SECOND: f64 = 10.0;
+/// Maximum sustained rate of write requests of one process.
 const WRITES_PER_SECOND: f64 = 5.0;
-/// Requests that may follow each other at once.
+/// Number of requests that may be sent in a burst without waiting.
 const BURST_REQUESTS: f64 = 20.0;
 
 const COUNTER: &str = "flamingopost_platform_requests_total";
 
-/// Everything that the platform gives, behind one bound.
+/// The platform's services behind rate limits for reads and writes.
 #[derive(Clone)]
 pub struct Platform {
     table: Arc<dyn table::Table>,
@@ -33,7 +34,7 @@
 }
 
 impl Platform {
-    /// Bounds the use of `client` by the time of `clock`.
+    /// Limits the request rate of `client`, measured by `clock`.
     pub fn new<C>(client: C, clock: Arc<dyn Clock>) -> Platform
     where
         C: table::Table + object::Store + hosts::List + 'static,
@@ -102,7 +103,7 @@
     result
 }
 
-/// A token bucket; a request that finds it empty waits.
+/// A token bucket. A request that finds it empty waits.
 struct Bucket {
     rate: f64,
     clock: Arc<dyn Clock>,
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Takes a token, one of the future if need be, and says how far in the future it lies.
+    /// Takes a token and returns the time to wait until it is available. The level may go negative:
+    /// tokens are then reserved in advance.
     fn reserve(&self) -> Duration {
         let mut level = self.level.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -27,35 +27,35 @@
 use crate::spread::{self, Handle};
 use crate::submit;
 
-/// What problems call the submitted text.
+/// File name under which problems of a submitted configuration are reported.
 const FILE: &str = "configuration";
 
-/// What the routes need.
+/// Dependencies of the routes.
 #[derive(Clone)]
 pub struct Operators {
     /// The process's shared state.
     pub shared: Arc<Shared>,
     /// The process's shards.
     pub shards: Shards,
-    /// Where accepted versions are told at once.
+    /// Receives accepted versions immediately.
     pub spread: Handle,
 }
 
-/// Why something other than a submission was not done.
+/// Reasons why a request other than a submission failed.
 #[derive(Debug, Serialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 enum Failure {
-    /// There is no such thing.
+    /// The named object does not exist.
     NotFound,
-    /// The service's state does not allow it now.
+    /// The current state of the service does not allow the operation.
     Refused { reason: Ordered },
-    /// The platform, or the controller, cannot be reached; nothing was done.
+    /// The platform or the controller is unreachable; nothing was done.
     Unavailable,
-    /// The platform gave no answer; it may have been done.
+    /// The platform did not answer; the operation may have been carried out.
     Unknown,
 }
 
-/// Adds the routes.
+/// Returns a function that registers the routes.
 pub fn routes(operators: Operators) -> impl Fn(&mut ServiceConfig) + Clone + Send + 'static {
     move |config: &mut ServiceConfig| {
         config
@@ -80,7 +80,7 @@
             Err(_) => unavailable(),
         },
         Ok(None) => fail(Failure::NotFound),
-        // With the platform gone, what is in force here is the newest that can be had.
+        // While the platform is unreachable, the version in force is the newest one available.
         Err(_) => in_force(shared),
     }
 }
@@ -148,8 +148,8 @@
         Err(_) => return unavailable(),
     };
     let mut entries = BTreeMap::new();
-    // The page of the newest version and the one before it: at least a hundred versions, where
-    // there are as many, in two reads however long the history is.
+    // The page of the newest version and the previous page hold at least the last 100 versions, so
+    // two reads suffice regardless of the length of the history.
     let pages = [newest.saturating_sub(100), newest].map(head::history_page);
     for page in pages {
         let Ok(rows) = shared.platform().list(&page).await else {
@@ -165,7 +165,7 @@
 async fn post(operators: Data<Operators>, submission: Json<wire::Submission>) -> HttpResponse {
     let submission = submission.into_inner();
     let shared = &operators.shared;
-    // What the number of shards was is only known with a configuration, and it must not change.
+    // The number of shards must not change, and it is only known once a configuration is in force.
     if submission.base > 0 && shared.config().is_none() {
         return refuse(wire::Refused::Unavailable);
     }
@@ -174,7 +174,7 @@
         return refuse(wire::Refused::Invalid { problems });
     }
     let record = Record {
-        // No version follows the greatest number; it has no record either, so it is refused below.
+        // Saturates at the greatest version, which has no record and is therefore refused below.
         version: submission.base.saturating_add(1),
         digest: Digest::of(submission.body.as_bytes()),
         submission: submission.submission,
@@ -189,15 +189,15 @@
     }
     .log();
     if outcome == Outcome::Accepted {
-        // In force here at once; every other process hears of it by its next message.
+        // Adopted here immediately; other processes learn the version from later messages.
         let head = Head::new(&record, Duration::ZERO);
         operators.spread.send(spread::Event::Head(Some(head)));
     }
     answer(outcome, record.version)
 }
 
-/// Everything that speaks against `body`. It is parsed with a directory of its own: the names of
-/// a refused configuration are not kept.
+/// Returns all problems of `body`. Parses it with a separate directory, so that names of a refused
+/// configuration are not interned.
 fn problems(shared: &Shared, body: &str) -> Vec<wire::Problem> {
     match config::parse(FILE, body, &mut Directory::default()) {
         Err(report) => wire::Problem::all(&report),
@@ -207,8 +207,9 @@
     }
 }
 
-/// Another number of shards gives services to other controllers. For a while the old and the new
-/// one would both believe that a service is theirs, and could open two terms of it.
+/// Returns a problem if the number of shards differs from that in force. Changing the number moves
+/// services to other controllers. For a while both the old and the new controller would claim a
+/// service and could open two terms of it.
 fn changed_shard_count(shared: &Shared, fleet: &Fleet, body: &str) -> Option<wire::Problem> {
     let current = shared.config()?.fleet.shards;
     if fleet.shards == current {
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,4 +1,5 @@
-//! Renewals of a whole zone, bundled: one call to a controller carries those of many hosts.
+//! Bundles the lease renewals of a zone, so that one call to a controller carries those of many
+//! hosts.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,14 +11,14 @@
 
 use crate::shared::Shared;
 
-/// How long renewals wait for others that go the same way. A host counts its lease from the
-/// sending of its renewal, so this is taken from what is left of the lease.
+/// Time that a renewal waits for others to the same controller. A host counts its lease from the
+/// time at which it sent the renewal, so this delay shortens the remaining lease.
 const BATCH_DELAY: Duration = Duration::from_millis(200);
 
-/// Renewals in one call at most.
+/// Maximum number of renewals in one call.
 const MAX_BUNDLE: usize = 512;
 
-/// Renewals that wait for their call, by the address of the controller.
+/// Queues of renewals to be sent, by the address of the controller.
 pub struct Relay {
     shared: Arc<Shared>,
     waiting: Mutex<BTreeMap<String, Vec<Pending>>>,
@@ -29,7 +30,7 @@
 }
 
 impl Relay {
-    /// A relay with nothing to do yet.
+    /// Creates a relay with empty queues.
     pub fn new(shared: Arc<Shared>) -> Arc<Relay> {
         Arc::new(Relay {
             shared,
@@ -37,8 +38,8 @@
         })
     }
 
-    /// Where renewals of `shard` are to be passed on to; `None` where this process answers them
-    /// itself, because it leads the shard or is no relay.
+    /// Returns the address to which renewals of `shard` are relayed. Returns `None` if this process
+    /// answers them itself, because it leads the shard, is not a relay or knows no controller.
     pub fn target(&self, shard: u16) -> Option<String> {
         if !self.shared.settings().relay {
             return None;
@@ -47,7 +48,7 @@
         (controller.rpc != self.shared.process().rpc).then_some(controller.rpc)
     }
 
-    /// Passes `renewal` on to the controller at `address` and brings its reply.
+    /// Relays `renewal` to the controller at `address` and returns its reply.
     pub async fn renew(self: &Arc<Self>, address: String, renewal: Renewal) -> Reply {
         let urgent = is_urgent(&renewal);
         let (sender, receiver) = oneshot::channel();
@@ -68,7 +69,7 @@
         receiver.await.unwrap_or_else(|_| self.refused())
     }
 
-    /// Whether the queue was empty, so that a call has to be made for it.
+    /// Queues a renewal. Returns whether the queue was empty, so that a call has to be scheduled.
     fn enqueue(&self, address: &str, waiting: Pending) -> bool {
         let mut queues = self.queues();
         let queue = queues.entry(address.to_owned()).or_default();
@@ -95,8 +96,8 @@
             Ok(client) => client.relayed(renewals).await.unwrap_or_default(),
             Err(_) => Vec::new(),
         };
-        // Replies come in the order of the renewals; without one a host is refused, and asks
-        // somebody else.
+        // Replies are in the order of the renewals. A host without a reply is refused and turns to
+        // another control process.
         let mut replies = replies.into_iter();
         for sender in senders {
             let reply = replies.next().unwrap_or_else(|| self.refused());
@@ -116,7 +117,8 @@
     }
 }
 
-/// News that cannot wait: a server in trouble, a host that comes or goes.
+/// Reports whether a renewal is sent without delay: it reports server failures, or its host is
+/// starting or stopping.
 fn is_urgent(renewal: &Renewal) -> bool {
     let trouble = renewal.reports.values().any(|report| report.failures > 0);
     trouble || renewal.stopping || renewal.version.is_none()
--- a/crates/control/src/row.rs
+++ b/crates/control/src/row.rs
@@ -1,4 +1,4 @@
-//! A shard's row in the table service: what the core keeps, and where its hosts are reached.
+//! A shard's row in the table service: the state of the core, and the addresses of its hosts.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
 /// The body of a shard's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
-    /// Authority and state of services.
+    /// Authority over the shard and state of its services.
     #[serde(flatten)]
     pub row: Row,
     /// Address of the controller's remote calls.
     pub rpc: String,
-    /// Addresses of the standbys' remote calls, by host, where known.
+    /// Known addresses of the standbys' remote calls, by host.
     #[serde(default)]
     pub addresses: BTreeMap<String, String>,
 }
 
-/// Why a row cannot be read.
+/// Reasons why a row cannot be decoded.
 #[derive(Debug, displaydoc::Display)]
 pub enum ReadError {
     /// {0}
@@ -32,15 +32,15 @@
 
 impl std::error::Error for ReadError {}
 
-/// Key of the row of `shard`.
+/// Returns the key of the row of `shard`.
 pub fn key(shard: u16) -> String {
     format!("fleet/shard-{shard}")
 }
 
-/// The body for `row`.
+/// Encodes the body of `row`.
 ///
 /// # Errors
-/// A key without a name.
+/// The directory has no name for a key.
 pub fn encode(row: &row::Row, shared: &Shared) -> Result<String, Error> {
     let row = Row::encode(row, &shared.directory())?;
     let rpc = shared.rpc_of(&row.controller).unwrap_or_default();
@@ -57,10 +57,10 @@
     Ok(serde_json::to_string(&stored).unwrap_or_default())
 }
 
-/// Reads a body and learns the addresses in it.
+/// Decodes a body and records the addresses in it.
 ///
 /// # Errors
-/// It is no row.
+/// The body is not a valid row.
 pub fn decode(shard: u16, body: &str, shared: &Shared) -> Result<row::Row, ReadError> {
     let stored: Stored = serde_json::from_str(body).map_err(ReadError::Json)?;
     let decoded = shared.intern(|directory| stored.row.decode(directory));
--- a/crates/control/src/rpc.rs
+++ b/crates/control/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The remote calls that a control process answers.
+//! The remote calls that a control process serves.
 
 use std::sync::Arc;
 
@@ -18,18 +18,18 @@
 use crate::shared::Shared;
 use crate::spread::{Event, Handle};
 
-/// Code of the error that says that this process knows no such shard yet.
+/// JSON-RPC error code for a shard that this process does not know yet.
 pub const NO_SUCH_SHARD: i32 = -32_001;
 
-/// What answers.
+/// Serves the remote calls.
 pub struct Remote {
     /// The process's shared state.
     pub shared: Arc<Shared>,
     /// The process's shards.
     pub shards: Shards,
-    /// Who hears of versions that messages carry.
+    /// Receives the configuration versions that messages carry.
     pub spread: Handle,
-    /// Where renewals go that others have to answer.
+    /// Relays renewals that another process has to answer.
     pub relay: Arc<Relay>,
 }
 
--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers: one each, kept while this process controls their shard.
+//! Connections to backend servers, one per server, kept while this process controls their shard.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,16 +11,16 @@
 use flamingopost_core::term::Term;
 use flamingopost_platform::group::{Client, Error, Status};
 
-/// Connections that a controller and its successor may have to one server at the same time;
-/// hosts share the rest of the server's limit.
+/// Connections reserved on each server for a controller and its successor, which may be connected
+/// at the same time. Hosts share the rest of the server's limit.
 pub const RESERVED_CONNECTIONS: u16 = 2;
 
-/// Where a server is and which group it belongs to.
+/// The address of a server and the service to which it belongs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Address {
-    /// Its address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// The service whose group it belongs to.
+    /// The service whose replication group contains the server.
     pub service: String,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Servers {
     links: Mutex<BTreeMap<ServerKey, Arc<Link>>>,
-    /// Who this process is to servers, `ZONE/HOST`.
+    /// Name under which this process connects, `ZONE/HOST`.
     name: Arc<str>,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Servers {
-    /// No servers yet; `name` says who connects, `ZONE/HOST`.
+    /// Creates an empty set of servers. `name` identifies this process to them, as `ZONE/HOST`.
     pub fn new(name: &str) -> Servers {
         Servers {
             links: Mutex::default(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sets the servers there are; connections to others, or to earlier addresses, are closed.
+    /// Sets the servers. Closes connections to removed servers and to previous addresses.
     pub fn configure(&self, servers: &BTreeMap<ServerKey, Address>, timeout: Duration) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.retain(|key, link| servers.get(key) == Some(&link.address));
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Closes all connections: another process controls the shard now.
+    /// Closes all connections when this process no longer controls the shard.
     pub fn close(&self) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         for link in links.values_mut() {
@@ -78,10 +78,11 @@
         }
     }
 
-    /// Asks a server about itself; `None` where it does not answer, or is still being asked.
+    /// Queries the status of a server. Returns `None` if the server does not answer or another
+    /// request to it is in flight.
     pub async fn status(&self, server: ServerKey) -> Option<Status> {
         let link = self.link(server)?;
-        // A paused server holds each question until its timeout; more would pile up behind it.
+        // A paused server holds each request until its timeout, so further requests would queue up.
         let mut client = link.client.try_lock().ok()?;
         let connected = link.connected(&mut client).await.ok()?;
         match connected.status().await {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Promotes a server.
+    /// Promotes a server to primary of `term`, if its position is `at_least` or later.
     pub async fn promote(&self, server: ServerKey, term: Term, at_least: Position) -> OrderOutcome {
         let Some(link) = self.link(server) else {
             return OrderOutcome::Refused;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Lets a server follow another. A lost order is repeated after the server's next status.
+    /// Makes a server follow `primary`. A lost request is repeated after the server's next status.
     pub async fn follow(&self, server: ServerKey, primary: ServerKey, term: Term) {
         let (Some(link), Some(leader)) = (self.link(server), self.link(primary)) else {
             return;
@@ -146,8 +147,8 @@
     }
 }
 
-/// After a timeout the answer to the old order may still come, and must not be read as that to
-/// the next.
+/// Drops a connection after an error other than a refusal. After a timeout the answer may still
+/// arrive and must not be taken for the answer to the next request.
 fn discard_broken(client: &mut Option<Client>, ordered: &Result<(), Error>) {
     if matches!(ordered, Err(error) if !matches!(error, Error::Refused(_))) {
         *client = None;
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -7,46 +7,47 @@
 use flamingopost_daemon::settings::{Log, Platform, Problems, Reader};
 use flamingopost_daemon::token::Token;
 
-/// Time between two reads of the fleet's rows: authority is dated from them.
+/// Default interval between two reads of the fleet's rows, from which authority is counted.
 const PLATFORM_POLL: Duration = Duration::from_millis(500);
 
-/// How long one request to a backend server may take: a promotion there takes about a second.
+/// Default timeout of a request to a backend server. A promotion takes about one second.
 const SERVER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Everything a control process learns from its settings file.
+/// The settings of a control process, read from its settings file.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Name of the host, unique in the fleet.
     pub host: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where entry hosts and other control processes call.
+    /// Listen address for remote calls of entry hosts and other control processes.
     pub rpc: SocketAddr,
-    /// Where others reach `rpc`, if not under the address it listens on.
+    /// Address under which others reach `rpc`, if it differs from the listen address.
     pub public_rpc: Option<SocketAddr>,
-    /// Where the balancer, Prometheus and operators connect.
+    /// Listen address for the balancer, Prometheus and operators.
     pub admin: SocketAddr,
-    /// Where others reach `admin`, if not under the address it listens on.
+    /// Address under which others reach `admin`, if it differs from the listen address.
     pub public_admin: Option<SocketAddr>,
     /// The operators' token.
     pub token: Token,
     /// The platform's services.
     pub platform: Platform,
-    /// Remote calls of other control processes, to ask while the platform is silent.
+    /// Remote-call addresses of other control processes. Queries to them spread configuration
+    /// versions while the platform is unreachable.
     pub peers: Vec<SocketAddr>,
-    /// Whether this process passes renewals of other hosts on to controllers, bundled.
+    /// Whether this process relays renewals of other hosts to controllers in bundles.
     pub relay: bool,
-    /// Configuration that a fleet without any starts with.
+    /// File with the first configuration of a new fleet.
     pub bootstrap: Option<PathBuf>,
-    /// How long one request to a backend server may take.
+    /// Timeout of a request to a backend server.
     pub server_timeout: Duration,
     /// Logs.
     pub log: Log,
 }
 
 impl Settings {
-    /// Settings of host `host` in `zone` with everything else at its default; the trial and
-    /// tests start from here. Every listener gets a port of the system's choice.
+    /// Returns default settings for `host` in `zone`, for the trial and for tests. The system
+    /// chooses the port of every listener.
     pub fn local(host: &str, zone: &str, platform: SocketAddr) -> Settings {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         Settings {
@@ -66,18 +67,18 @@
         }
     }
 
-    /// Reads `path`.
+    /// Loads the settings file at `path`.
     ///
     /// # Errors
-    /// Everything that is wrong with it, at once.
+    /// Returns all problems of the file together.
     pub fn load(path: &Path) -> Result<Settings, Problems> {
         Settings::decode(Reader::open(path))
     }
 
-    /// Decodes what `reader` read.
+    /// Decodes settings from `reader`.
     ///
     /// # Errors
-    /// Everything that is wrong, at once.
+    /// Returns all problems together.
     pub fn decode(mut reader: Reader) -> Result<Settings, Problems> {
         let r = &mut reader;
         let host = r.required("host", "name", "dumdum-entry-1");
--- a/crates/control/src/submit.rs
+++ b/crates/control/src/submit.rs
@@ -1,4 +1,4 @@
-//! Carries a submission's steps to the platform and back.
+//! Performs the steps of a configuration submission on the platform.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -11,10 +11,10 @@
 use flamingopost_platform::object::Store;
 use flamingopost_platform::table::{self, Change, Guard, Row, Table, Tag};
 
-/// Wait before something that failed is tried again, so that a short outage is outlasted.
+/// Pause before a failed step is retried, so that a submission survives a short outage.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Submits `record`, whose body is `body`, and says what came of it.
+/// Submits `record` with `body` and returns the outcome.
 pub async fn run<P>(platform: &P, clock: &Arc<dyn Clock>, record: Record, body: &str) -> Outcome
 where
     P: Table + Store,
