--- a/crates/control/examples/measure.rs
+++ b/crates/control/examples/measure.rs
@@ -1,6 +1,6 @@
-//! Measures of a small fleet in one process: how long a version takes to be in force everywhere,
-//! how long writes may not be acknowledged while a primary or a controller is replaced, and what
-//! the platform is asked meanwhile.
+//! Measures a small fleet in one process: the time until a version is in force everywhere, the time
+//! during which writes cannot be acknowledged while a primary or a controller is replaced, and the
+//! number of requests to the platform.
 //!
 //! `cargo run -p flamingopost-control --example measure [ROUNDS]`
 
@@ -17,14 +17,14 @@
 const ROUNDS: u32 = 10;
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How long leases are watched after a controller's end: longer than any takeover.
+/// Time for which leases are observed after a controller stops. It exceeds any takeover.
 const WATCH: Duration = Duration::from_secs(8);
 
 fn main() {
     let rounds = std::env::args().nth(1);
     let rounds = rounds.and_then(|text| text.parse().ok()).unwrap_or(ROUNDS);
     flamingopost_daemon::metrics::start();
-    // Without a log the figures are easier to find; with it they are the same.
+    // The log is reduced to keep the output readable. It does not affect the figures.
     let _ = flamingopost_daemon::log::start(Level::Critical, Format::Text);
     actix_rt::System::new().block_on(async {
         spread(rounds).await;
@@ -34,8 +34,8 @@
     });
 }
 
-/// From the submission's answer until every control process has the version in force and every
-/// host has heard of it.
+/// Measures the time from the submission's answer until every control process has the version in
+/// force and every host has seen it.
 async fn spread(rounds: u32) {
     let fleet = Fleet::start().await;
     fleet.open().await;
@@ -54,15 +54,16 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         everywhere.push(since.elapsed());
-        // Submissions at any phase of the processes' polls.
+        // Random pauses spread submissions over all phases of the processes' polls.
         tokio::time::sleep(Duration::from_millis(rand::random_range(0..1_000))).await;
     }
     print("in force in every control process", &mut controls);
-    print("heard of by every entry host", &mut everywhere);
+    print("seen by every entry host", &mut everywhere);
     requests(fleet.controls.len(), begin.elapsed());
 }
 
-/// From the primary's death, reported by hosts at once, until every host may acknowledge again.
+/// Measures the time from the primary's failure, which hosts report immediately, until every host
+/// may acknowledge writes again.
 async fn promotions(rounds: u32) {
     let mut gaps = Vec::new();
     for _ in 0..rounds {
@@ -91,7 +92,8 @@
     Died,
 }
 
-/// Longest time in which some host may acknowledge nothing while the controller ends.
+/// Measures the longest time during which any host cannot acknowledge writes while the controller
+/// is replaced.
 async fn takeovers(rounds: u32, end: End) {
     let mut gaps = Vec::new();
     for _ in 0..rounds {
--- a/crates/control/tests/budgets.rs
+++ b/crates/control/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Connection budgets of a controller, and floors that outlast it.
+//! Connection budgets of a controller, and floors that outlive it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -62,8 +62,9 @@
     }
 }
 
-/// A host is told of a floor and its controller dies before writing it down. The successor gives
-/// the same connection to another host, and the server refuses somebody in a cut-off zone.
+/// Guards against granting a floor before it is persisted. If the controller dies in between, its
+/// successor grants the same connection to another host, and the server refuses a connection of a
+/// host in a partitioned zone.
 #[test]
 fn a_floor_is_granted_only_after_it_is_persisted() {
     let mut names = names();
@@ -73,7 +74,7 @@
     assert_eq!(names.renew(&mut budgets, near, 3, 1).floor, 0);
     let floors = budgets
         .unpersisted()
-        .expect("the floor has to be written down");
+        .expect("the floor is not persisted yet");
     assert_eq!(floors[&(names.server, near.holder)], 1);
     budgets.record_persisted(floors);
     assert_eq!(budgets.unpersisted(), None);
@@ -92,9 +93,9 @@
     assert_eq!(budgets.unpersisted(), None);
 }
 
-/// A controller has just taken over while the store is down, so it cannot know which floors are
-/// in use. Were it to give out everything, hosts of a cut-off zone and those it serves would
-/// together pass the server's limit.
+/// A controller that takes over while the store is down does not know which floors are in use. If
+/// it granted the whole limit, hosts of a partitioned zone and the hosts that it serves would
+/// together exceed the server's limit.
 #[test]
 fn connections_are_reserved_for_unread_floors() {
     let mut names = names();
@@ -103,7 +104,7 @@
     let second = names.host("akaki-2", names.other_zone);
     names.renew(&mut budgets, first, LIMIT, 1);
     names.renew(&mut budgets, second, LIMIT, 1);
-    // Leases shrink to their fair parts as they end.
+    // Grants shrink to their fair shares as the first leases end.
     let given: u16 = [first, second]
         .map(|host| names.renew(&mut budgets, host, LIMIT, 10).leased)
         .iter()
--- a/crates/control/tests/common/holder.rs
+++ b/crates/control/tests/common/holder.rs
@@ -1,5 +1,5 @@
-//! An entry host that only holds its lease: it renews, answers revocations, and reports which
-//! servers it cannot reach.
+//! A simulated entry host that only holds its lease: it renews the lease, answers revocations and
+//! reports unreachable servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     drained: bool,
 }
 
-/// An entry host; it stops when dropped.
+/// A simulated entry host. It stops when dropped.
 pub struct Host {
     state: Arc<Mutex<State>>,
     _server: ServerHandle,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The server that this host may acknowledge writes of, if it may.
+    /// Returns the server whose writes this host may acknowledge, if any.
     pub fn primary(&self) -> Option<String> {
         let state = self.state.lock().unwrap();
         let key = state.directory.services.find(SERVICE)?;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Acknowledges a write at `log` in the open term, if it may.
+    /// Acknowledges a write at `log` in the open term. Returns `None` if the host may not.
     pub fn acknowledge(&self, log: u64) -> Option<Position> {
         let mut state = self.state.lock().unwrap();
         let key: ServiceKey = state.directory.services.find(SERVICE)?;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// From now on the host cannot reach these servers.
+    /// Makes the host report `servers`, and no others, as unreachable.
     pub fn set_unreachable(&self, servers: &[&str]) {
         let names = servers.iter().map(|name| (*name).to_owned());
         self.state.lock().unwrap().unreachable = names.collect();
@@ -127,12 +127,12 @@
         self.state.lock().unwrap().allotment.clone()
     }
 
-    /// Connections that the host may keep beyond its lease.
+    /// Returns the connections that the host may keep beyond its lease, by server.
     pub fn floors(&self) -> BTreeMap<String, u16> {
         self.state.lock().unwrap().floors.clone()
     }
 
-    /// Whether the host was told to take nothing new and end.
+    /// Reports whether the last grant asked the host to drain.
     pub fn is_drained(&self) -> bool {
         self.state.lock().unwrap().drained
     }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet in one process: control processes, a stand-in platform, stand-in servers, and
-//! entry hosts that only hold leases.
+//! A small fleet in one process: control processes, a stand-in platform, stand-in servers and
+//! simulated entry hosts that only hold leases.
 
 #![allow(dead_code)]
 
@@ -26,7 +26,7 @@
 pub const ZONES: [&str; 3] = ["bole-hall", "akaki-hall", "kality-hall"];
 const TOKEN: &str = "for-tests-only";
 
-/// How long anything may take before a test gives up; no verdict depends on it otherwise.
+/// Timeout of every wait in a test. A test fails when it expires; no other check depends on it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Control {
@@ -43,12 +43,12 @@
 }
 
 impl Fleet {
-    /// One control process a zone, three servers, and a platform without any configuration.
+    /// Starts one control process per zone, three servers and a platform without a configuration.
     pub async fn start() -> Fleet {
         Fleet::with_relays(false).await
     }
 
-    /// As [`Fleet::start`]; whether control processes pass renewals on.
+    /// Does the same as [`Fleet::start`]; `relays` makes the control processes relay renewals.
     pub async fn with_relays(relays: bool) -> Fleet {
         let platform = platform::Service::start(&platform::Settings::default()).unwrap();
         let mut servers = Vec::new();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A configuration with all servers, followed by `more`.
+    /// Returns a configuration with all servers, followed by `more`.
     pub fn config(&self, more: &str) -> String {
         let mut text = String::from(
             "[fleet]\nshards = 1\ndefault_class = bid\n[customer tesfa]\n[class bid]\nweight = \
@@ -165,7 +165,8 @@
         (code == 200).then(|| serde_json::from_value(value).unwrap())
     }
 
-    /// The configuration version that one control process has in force.
+    /// Returns the configuration version that a control process has in force, or 0 if it does not
+    /// answer.
     pub async fn version(&self, control: usize) -> u64 {
         let address = self.controls[control].rpc.to_string();
         let client = remote::client(&address, &Token::new(TOKEN), Duration::from_secs(5)).unwrap();
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The controller that the shard's row in the table names.
+    /// Returns the host of the controller that the shard's row names.
     pub async fn named_controller(&self) -> String {
         let table = Client::new(self.platform.address(), "", TEST_TIMEOUT).unwrap();
         let row = table.read("fleet/shard-0").await.unwrap().unwrap();
@@ -183,25 +184,25 @@
         row["controller"].as_str().unwrap().to_owned()
     }
 
-    /// Ends one control process, as if its host had been switched off.
+    /// Stops one control process, as if its host had been switched off.
     pub fn stop_control(&mut self, control: usize) {
         self.controls[control].stop.stop();
     }
 
-    /// Ends all control processes.
+    /// Stops all control processes.
     pub fn stop(&self) {
         for control in &self.controls {
             control.stop.stop();
         }
     }
 
-    /// Starts control processes on new hosts in place of those there were.
+    /// Replaces the control processes by new ones on new hosts.
     pub fn replace_controls(&mut self) {
         self.controls.clear();
         self.start_controls(2, false);
     }
 
-    /// Starts all control processes again on their hosts, with empty memory.
+    /// Restarts all control processes on the same hosts, without their state.
     pub fn restart_controls(&mut self) {
         self.stop();
         self.controls.clear();
@@ -216,11 +217,11 @@
             (named == 2).then_some(())
         })
         .await;
-        // The row that names them is in the table by the next read.
+        // The table holds the row that names them by the next read.
         tokio::time::sleep(flamingopost_core::timing::ROW_READ_INTERVAL * 2).await;
     }
 
-    /// Waits until one control process tells that the service is open.
+    /// Waits until one control process reports the service as open.
     pub async fn open_service(&self, control: usize) -> Service {
         eventually("the service opens", || async {
             let status = self.status(control).await?;
@@ -230,9 +231,10 @@
         .await
     }
 
-    /// The control process that leads the shard.
+    /// Waits until control process `asked` reports a controller, and returns that controller's
+    /// index.
     pub async fn leader(&self, asked: usize) -> usize {
-        eventually("a controller is there", || async {
+        eventually("a controller is known", || async {
             let status = self.status(asked).await?;
             let controller = status.controllers.into_iter().next()?;
             let mut controls = self.controls.iter();
@@ -241,14 +243,14 @@
         .await
     }
 
-    /// One entry host a zone, each with a lease on which `primary` leads.
+    /// Starts one entry host per zone and waits until each holds a lease with `primary` as primary.
     pub async fn hosts(&self, primary: &str) -> Vec<Host> {
         let hosts = self.hosts_without_leases().await;
         wait_for_primary(&hosts, primary).await;
         hosts
     }
 
-    /// One entry host a zone, whether or not it can get a lease.
+    /// Starts one entry host per zone without waiting for leases.
     pub async fn hosts_without_leases(&self) -> Vec<Host> {
         let mut hosts = Vec::new();
         for zone in ZONES {
@@ -258,7 +260,7 @@
         hosts
     }
 
-    /// An entry host in each zone but that of `control`.
+    /// Starts one entry host in each zone other than that of `control`.
     pub async fn hosts_in_other_zones(&self, control: usize) -> Vec<Host> {
         let mut hosts = Vec::new();
         for zone in ZONES.iter().filter(|zone| **zone != ZONES[control]) {
@@ -267,7 +269,7 @@
         hosts
     }
 
-    /// One entry host that only knows the control process of its zone.
+    /// Starts an entry host that only calls the control process of its zone.
     pub async fn host_behind_relay(&self, relay: usize) -> Host {
         let name = format!("{}-behind", ZONES[relay]);
         Host::start(&name, ZONES[relay], vec![self.controls[relay].rpc]).await
@@ -294,7 +296,7 @@
 
 /// Waits until `host` may acknowledge writes of another server than `primary`.
 pub async fn wait_for_new_primary(host: &Host, primary: &str) -> String {
-    eventually("another server leads", || async {
+    eventually("another server is the primary", || async {
         let now = host.primary()?;
         (now != primary).then_some(now)
     })
@@ -335,7 +337,10 @@
     }
 }
 
-/// Asks again and again until there is an answer.
+/// Polls `ask` until it returns a value.
+///
+/// # Panics
+/// Panics after [`TEST_TIMEOUT`], naming `what` was awaited.
 pub async fn eventually<T, F, A>(what: &str, mut ask: A) -> T
 where
     F: Future<Output = Option<T>>,
@@ -351,6 +356,6 @@
     };
     match tokio::time::timeout(TEST_TIMEOUT, asking).await {
         Ok(answer) => answer,
-        Err(_) => panic!("not in {TEST_TIMEOUT:?}: {what}"),
+        Err(_) => panic!("timed out after {TEST_TIMEOUT:?}: {what}"),
     }
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Submissions over HTTP: races, lost answers, outages, wrong texts; spread to everybody.
+//! Configuration submissions over HTTP: races, lost answers, outages and invalid configurations,
+//! and the spread of accepted versions.
 
 mod common;
 
@@ -6,8 +7,8 @@
 use flamingopost_standin::platform::Faults;
 use serde_json::{Value, json};
 
-/// Three operators edit the same version at the same moment, each through another host. One is
-/// accepted; the others are told by whom they were beaten, and can start again from there.
+/// Three operators submit changes to the same version concurrently, each through a different host.
+/// One is accepted. The others receive a conflict that names the winning submission.
 #[actix_rt::test]
 async fn one_of_three_racing_operators_wins() {
     let fleet = Fleet::start().await;
@@ -46,8 +47,8 @@
     assert_eq!(versions, [2, 1]);
 }
 
-/// Every answer of the table service is lost after the write took effect. Nothing may be
-/// accepted twice, and the operator must not be told that nothing happened.
+/// Every answer of the table service is lost after the write took effect. The submission must not
+/// be accepted twice and must not be reported as failed.
 #[actix_rt::test]
 async fn lost_answers_are_read_back() {
     let fleet = Fleet::start().await;
@@ -74,13 +75,13 @@
     });
     let (code, answer) = fleet.submit(0, 1, "second", &fleet.config("")).await;
     assert_eq!((code, answer), (503, json!({"type": "unavailable"})));
-    // What is in force is still told, by the process itself.
+    // The process itself still returns the version in force.
     let (code, answer) = fleet.get(0, "/v1/config").await;
     assert_eq!((code, &answer["version"]), (200, &json!(1)));
 }
 
-/// A zone is cut off from the platform, not from its neighbours. A version accepted elsewhere is
-/// in force in the zone as well: one process that has seen it is enough.
+/// A zone is partitioned from the platform but not from the other zones. A version accepted
+/// elsewhere is adopted in the zone as well, because one reachable process that has it suffices.
 #[actix_rt::test]
 async fn a_version_reaches_a_zone_without_the_platform() {
     let fleet = Fleet::start().await;
@@ -117,8 +118,8 @@
     );
 }
 
-// An operator's tool sends the greatest number there is as its base. Counting on from it stopped
-// the request's worker with an overflow, and the operator was left without an answer.
+// A submission with the greatest possible base version. Computing the next version overflowed,
+// which ended the request's worker and left the operator without an answer.
 #[actix_rt::test]
 async fn the_greatest_base_version_is_refused() {
     let fleet = Fleet::start().await;
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! An ordinary life: a fresh fleet, a dead primary, a planned switchover, servers that leave.
+//! Regular operation of a fleet: first start, failover, planned switchover and leaving servers.
 
 mod common;
 
@@ -21,8 +21,8 @@
     assert!((1..=34).contains(&allotted), "{allotted}");
 }
 
-/// The primary's host loses power. Callers' writes fail until another server leads, and no host
-/// may acknowledge a write of the old primary once that has happened.
+/// The primary's host loses power. Writes fail until another server is promoted, after which no
+/// host may acknowledge a write of the old primary.
 #[actix_rt::test]
 async fn a_dead_primary_is_replaced() {
     let fleet = Fleet::start().await;
@@ -42,15 +42,15 @@
     wait_for_primary(&hosts, &next).await;
 }
 
-/// One host has lost its route to the primary. The others reach it, so it stays: replacing it
-/// would stop everybody's writes for the sake of one.
+/// One host has lost its route to the primary and the others reach it. The primary must stay,
+/// because a promotion would interrupt the writes of all hosts.
 #[actix_rt::test]
 async fn failures_reported_by_one_host_cause_no_promotion() {
     let fleet = Fleet::start().await;
     let before = fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
     hosts[1].set_unreachable(&[&server_name(0)]);
-    // A round trip through the controller of each host that comes after the report.
+    // Long enough for a renewal of each host after the report.
     tokio::time::sleep(flamingopost_core::timing::SUSPICION_TIMEOUT * 3).await;
     let after = fleet.open_service(0).await;
     assert_eq!(before.term, after.term);
@@ -61,10 +61,10 @@
     let fleet = Fleet::start().await;
     fleet.open().await;
     let hosts = fleet.hosts(&server_name(0)).await;
-    // Asked of a process that does not lead the shard: it passes the order on.
+    // The request goes to a process that does not lead the shard and forwards it.
     let other = (fleet.leader(0).await + 1) % 3;
     let order = json!({"service": SERVICE});
-    let (code, answer) = eventually("a replica is fit to lead", || async {
+    let (code, answer) = eventually("a replica can be promoted", || async {
         let (code, answer) = fleet.post(other, "/v1/promote", &order).await;
         (code == 202).then_some((code, answer))
     })
@@ -80,8 +80,8 @@
     assert_eq!(code, 404);
 }
 
-/// An operator drains a replica. Every host hears of it with the next view, at once, and stops
-/// sending it anything new; taking the drain back undoes it.
+/// An operator drains a replica. Every host immediately receives a view that shows the replica as
+/// leaving, and sends it no new work.
 #[actix_rt::test]
 async fn a_drained_server_is_shown_as_leaving() {
     let fleet = Fleet::start().await;
@@ -102,8 +102,8 @@
     assert_eq!(code, 404);
 }
 
-/// The platform is about to switch a replica's machine off and lists it as leaving; an operator
-/// empties another by configuration. Hosts send neither anything new.
+/// The platform lists a replica's machine as leaving, and an operator marks another replica as
+/// leaving in the configuration. Hosts send new work to neither.
 #[actix_rt::test]
 async fn listed_and_configured_servers_leave() {
     let fleet = Fleet::start().await;
@@ -142,8 +142,8 @@
     assert_eq!(reasons[2], ["platform"]);
 }
 
-/// An operator drains an entry host through whichever control process is at hand. The host is told
-/// with its next grant; others are not. Taking the drain back is told the same way.
+/// An operator drains an entry host through a control process that does not lead the shard. The
+/// host, and no other, is notified with its next grant. Removing the drain reaches it the same way.
 #[actix_rt::test]
 async fn a_drained_entry_host_is_notified() {
     let fleet = Fleet::start().await;
@@ -153,13 +153,13 @@
     let order = json!({"host": "akaki-hall-1"});
     let (code, answer) = fleet.post(other, "/v1/drain", &order).await;
     assert_eq!(code, 200, "{answer}");
-    eventually("the host is told", || async {
+    eventually("the host is notified of the drain", || async {
         hosts[1].is_drained().then_some(())
     })
     .await;
     assert!(!hosts[0].is_drained() && !hosts[2].is_drained());
     assert_eq!(fleet.delete(other, "/v1/drain", &order).await.0, 200);
-    eventually("the host is told again", || async {
+    eventually("the host is notified of the end of the drain", || async {
         (!hosts[1].is_drained()).then_some(())
     })
     .await;
@@ -167,8 +167,8 @@
     assert_eq!(fleet.post(0, "/v1/drain", &unknown).await.0, 404);
 }
 
-/// The platform announces to the primary's server that its host will be switched off. Writes
-/// move to another server while the old one is still there, and nothing is lost.
+/// The platform announces to the primary that its host will be switched off. Writes move to another
+/// server while the old one is still running, and no write is lost.
 #[actix_rt::test]
 async fn a_leaving_primary_hands_over() {
     let fleet = Fleet::start().await;
--- a/crates/control/tests/takeover.rs
+++ b/crates/control/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Controllers that end, and the platform gone while they work.
+//! Takeovers of shards by other controllers, and outages of the platform.
 
 mod common;
 
@@ -19,8 +19,8 @@
     }
 }
 
-/// The controller's host is switched off. A standby named in the row takes over, hosts get their
-/// leases from it, and the service goes on under the same term.
+/// The controller's host is switched off. A standby named in the row takes over, hosts renew their
+/// leases with it, and the service stays open under the same term.
 #[actix_rt::test]
 async fn a_standby_takes_over() {
     let mut fleet = Fleet::start().await;
@@ -41,8 +41,8 @@
     assert_eq!(before.term, after.term);
 }
 
-/// A zone's hosts only ever call the relay of their zone. They hold leases through it, and go on
-/// holding them when another controller takes over: the relay learns of it, they need not.
+/// A zone's hosts only call the relay of their zone. They hold leases through it, and keep them
+/// when another controller takes over, because the relay follows the new controller.
 #[actix_rt::test]
 async fn a_relay_follows_the_controller() {
     let fleet = Fleet::with_relays(true).await;
@@ -73,9 +73,9 @@
     wait_for_primary(&hosts, &next).await;
 }
 
-/// All control processes are restarted at once while the store is down. Nobody knows anything, so
-/// nobody may acknowledge writes; once the store is back the service goes on where it was, without
-/// waiting for an operator or for hours.
+/// All control processes restart at the same time while the store is down. They have lost their
+/// state, so no host may acknowledge writes. Once the store is back the service continues under the
+/// same term, without an operator and without waiting for hours.
 #[actix_rt::test]
 async fn a_fleet_restarted_during_an_outage_recovers() {
     let mut fleet = Fleet::start().await;
@@ -93,8 +93,9 @@
     assert_eq!(before.term, after.term);
 }
 
-/// All hosts that a shard's row names are replaced at once, under new names. Nobody else may claim
-/// the shard for hours; an operator who has made sure that they are gone says so by naming them.
+/// All hosts that a shard's row names are replaced at the same time by hosts with new names, which
+/// may not claim the shard for hours. An operator confirms that the old hosts are gone by listing
+/// them, and the shard is claimed immediately.
 #[actix_rt::test]
 async fn an_operator_claims_a_shard_whose_hosts_are_gone() {
     let mut fleet = Fleet::start().await;
@@ -126,8 +127,8 @@
     assert_eq!(fleet.post(0, "/v1/claim", &no_such).await.0, 404);
 }
 
-/// In a fleet whose rows have grown large, processes read row by row. Configuration changes still
-/// reach everybody, and a standby still takes over.
+/// In a fleet whose rows are large, processes read single rows. Configuration changes still reach
+/// all processes, and a standby still takes over.
 #[actix_rt::test]
 async fn a_large_fleet_reads_single_rows() {
     let mut fleet = Fleet::start().await;
@@ -155,8 +156,8 @@
     wait_for_primary(&hosts, &server_name(0)).await;
 }
 
-/// Hosts keep a connection each to the servers of their own zone for when the zone is cut off.
-/// A successor knows of them from the table and never gives them to others.
+/// Each host keeps a floor of one connection to the servers of its own zone, in case the zone is
+/// partitioned. A successor reads the floors from the table and never grants them to other hosts.
 #[actix_rt::test]
 async fn floors_outlast_their_controller() {
     let fleet = Fleet::start().await;
@@ -178,8 +179,8 @@
     eventually("every host has its floor from the successor", have).await;
 }
 
-/// The platform replaces the controller's host and asks it to end. It hands its shard over and
-/// ends by itself; hosts hold leases from the successor.
+/// The platform replaces the controller's host and asks the process to drain. It hands its shard
+/// over and stops by itself, and hosts hold leases from the successor.
 #[actix_rt::test]
 async fn a_draining_controller_hands_over() {
     let fleet = Fleet::start().await;
@@ -189,7 +190,7 @@
     fleet.named_standbys(old).await;
     fleet.controls[old].stop.drain();
     fleet.controls[old].stop.stopped().await;
-    // It has ended because a successor has the shard, not because its patience is over.
+    // It has stopped because a successor has claimed the shard, not because of the timeout.
     assert_ne!(fleet.named_controller().await, fleet.controls[old].host);
     let asked = (old + 1) % 3;
     assert_ne!(fleet.leader(asked).await, old);
@@ -198,8 +199,9 @@
     assert_eq!(before.term, after.term);
 }
 
-/// The platform's store goes down for much longer than a lease runs. Writes go on, because all
-/// named standbys promise not to claim; and a primary that dies meanwhile is replaced.
+/// The platform's store is down for much longer than the duration of a lease. Writes continue,
+/// because all named standbys promise not to claim the shard, and a primary that dies during the
+/// outage is replaced.
 #[actix_rt::test]
 async fn an_outage_of_the_store_stops_neither_writes_nor_a_promotion() {
     let fleet = Fleet::start().await;
@@ -208,7 +210,7 @@
     let leader = fleet.leader(0).await;
     fleet.named_standbys(leader).await;
     fleet.platform.set_faults(down());
-    // What was read before the outage has long run out by then.
+    // Authority from reads before the outage has expired by then.
     tokio::time::sleep(timing::AUTHORITY_DURATION * 2).await;
     wait_for_primary(&hosts, &server_name(0)).await;
     fleet.server(&server_name(0)).set_faults(ServerFaults {
@@ -221,14 +223,14 @@
     let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
     wait_for_primary(&hosts, &next).await;
     fleet.platform.set_faults(Faults::default());
-    // The row follows once the store is back, and nobody has claimed meanwhile.
+    // The row is updated once the store is back, and no standby has claimed the shard meanwhile.
     tokio::time::sleep(timing::AUTHORITY_DURATION).await;
     assert_eq!(fleet.leader(0).await, leader);
     wait_for_primary(&hosts, &next).await;
 }
 
-/// Answers of the table service are lost while a primary dies: the writes that close and open
-/// terms take effect, nobody hears of it, and reading back has to settle them.
+/// Answers of the table service are lost while a primary dies. The writes that close and open terms
+/// take effect without an answer, so their outcomes have to be read back.
 #[actix_rt::test]
 async fn lost_answers_do_not_stop_a_promotion() {
     let fleet = Fleet::start().await;
@@ -251,8 +253,8 @@
     wait_for_primary(&hosts, &next).await;
 }
 
-/// The controller's zone loses the platform and its standbys cannot be heard by it any more: it
-/// must stop granting leases by itself, or two controllers would act for one shard.
+/// The controller loses both the platform and its standbys. It must stop granting leases by itself,
+/// or two controllers would act for one shard.
 #[actix_rt::test]
 async fn a_controller_without_table_and_standbys_stops_granting_leases() {
     let mut fleet = Fleet::start().await;
@@ -264,7 +266,7 @@
     for other in (0..3).filter(|other| *other != leader) {
         fleet.stop_control(other);
     }
-    eventually("no host may acknowledge anything", || async {
+    eventually("no host may acknowledge writes", || async {
         let idle = hosts.iter().all(|host| host.primary().is_none());
         idle.then_some(())
     })
