--- a/crates/control/examples/measure.rs
+++ b/crates/control/examples/measure.rs
@@ -58,7 +58,7 @@
         tokio::time::sleep(Duration::from_millis(rand::random_range(0..1_000))).await;
     }
     print("in force in every control process", &mut controls);
-    print("seen by every entry host", &mut everywhere);
+    print("heard of by every entry host", &mut everywhere);
     requests(fleet.controls.len(), begin.elapsed());
 }
 
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -43,11 +43,11 @@
 /// Reasons why a request was not carried out.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// nobody here knows a server or host of this name
+    /// no server or host of this name is known
     NoSuchName,
-    /// the platform cannot be reached; nothing was changed
+    /// the platform is unreachable; nothing was changed
     Unavailable,
-    /// the platform gave no answer; the order may have been carried out
+    /// the platform did not answer; the request may have been carried out
     Unknown,
 }
 
