--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -1,13 +1,13 @@
-//! Drains that operators order: servers and hosts that receive no new work.
+//! Operators' drains: backend servers and entry hosts that receive no new work.
 //!
-//! They are kept in one row of the table service, so they outlast any controller.
+//! Drains are stored in one row of the table service, so they outlive any controller.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use flamingopost_platform::error::Effect;
 use flamingopost_platform::table::{Change, Guard, Outcome, Row, Table as _};
-use flamingopost_wire::submission::Drain as Order;
+use flamingopost_wire::submission::Drain as Target;
 use serde::{Deserialize, Serialize};
 
 use crate::fleet_status;
@@ -17,77 +17,79 @@
 /// Key of the row.
 pub const KEY: &str = "fleet/drain";
 
-const TRIES: u8 = 5;
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of attempts to change the row.
+const MAX_ATTEMPTS: u8 = 5;
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// What operators have drained.
+/// The set of drained servers and hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Backend servers.
+    /// Names of drained backend servers.
     pub servers: BTreeSet<String>,
-    /// Entry hosts.
+    /// Names of drained entry hosts.
     pub hosts: BTreeSet<String>,
 }
 
-/// Whether a drain is ordered or taken back.
+/// The change that an operator requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wish {
-    /// No new work from now on.
+pub enum Action {
+    /// Send no new work to the target.
     Drain,
-    /// As before.
+    /// Remove the drain.
     Undo,
 }
 
-/// Why an order was not carried out.
+/// Reasons why a request was not carried out.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// nobody here knows a server or host of this name
+    /// no server or host of this name is known
     NoSuchName,
-    /// the platform cannot be reached; nothing was changed
+    /// the platform is unreachable; nothing was changed
     Unavailable,
-    /// the platform gave no answer; the order may have been carried out
+    /// the platform did not answer; the request may have been carried out
     Unknown,
 }
 
 impl Drain {
-    /// Reads a row's body; an unreadable one drains nothing.
+    /// Decodes a row's body. A body that cannot be decoded drains nothing.
     pub fn decode(body: &str) -> Drain {
         serde_json::from_str(body).unwrap_or_default()
     }
 
-    fn apply(&mut self, order: &Order, wish: Wish) {
-        let (names, name) = match order {
-            Order::Server(name) => (&mut self.servers, name),
-            Order::Host(name) => (&mut self.hosts, name),
+    fn apply(&mut self, target: &Target, action: Action) {
+        let (names, name) = match target {
+            Target::Server(name) => (&mut self.servers, name),
+            Target::Host(name) => (&mut self.hosts, name),
         };
-        match wish {
-            Wish::Drain => names.insert(name.clone()),
-            Wish::Undo => names.remove(name),
+        match action {
+            Action::Drain => names.insert(name.clone()),
+            Action::Undo => names.remove(name),
         };
     }
 }
 
-/// Carries out `order` and returns all that is drained after it.
+/// Applies `action` to `target` and returns the resulting drains.
 ///
 /// # Errors
 /// The name is unknown or the platform does not answer.
 pub async fn run(
     shared: &Shared,
     shards: &Shards,
-    order: &Order,
-    wish: Wish,
+    target: &Target,
+    action: Action,
 ) -> Result<Drain, Error> {
-    check(shared, shards, order).await?;
+    check(shared, shards, target).await?;
     let mut in_doubt = false;
-    for _ in 0..TRIES {
-        match attempt(shared, order, wish).await {
+    for _ in 0..MAX_ATTEMPTS {
+        match attempt(shared, target, action).await {
             Ok(Some(drain)) => return Ok(drain),
             Ok(None) => {}
             Err(Effect::None) => {}
-            // An order says what is to be, not what is to change: sending it again is harmless.
+            // The request is idempotent, so retrying it after an unknown outcome is safe.
             Err(Effect::Unknown) => in_doubt = true,
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     match in_doubt {
         true => Err(Error::Unknown),
@@ -95,10 +97,10 @@
     }
 }
 
-async fn check(shared: &Shared, shards: &Shards, order: &Order) -> Result<(), Error> {
-    let known = match order {
-        Order::Server(name) => shared.directory().servers.find(name).is_some(),
-        Order::Host(name) => is_host(shared, shards, name).await,
+async fn check(shared: &Shared, shards: &Shards, target: &Target) -> Result<(), Error> {
+    let known = match target {
+        Target::Server(name) => shared.directory().servers.find(name).is_some(),
+        Target::Host(name) => is_host(shared, shards, name).await,
     };
     match known {
         true => Ok(()),
@@ -107,20 +109,24 @@
     }
 }
 
-/// The configuration does not name entry hosts: only the controllers that they renew with know
-/// them.
+/// Reports whether `name` is an entry host. The configuration does not name entry hosts; only the
+/// controllers from which they obtain leases know them.
 async fn is_host(shared: &Shared, shards: &Shards, name: &str) -> bool {
     let status = fleet_status::gather(shared, shards).await;
     status.hosts.iter().any(|host| host.host == name)
 }
 
-/// `None` where another operator's order came in between.
-async fn attempt(shared: &Shared, order: &Order, wish: Wish) -> Result<Option<Drain>, Effect> {
+/// Attempts the change once. Returns `None` if another operator changed the row concurrently.
+async fn attempt(
+    shared: &Shared,
+    target: &Target,
+    action: Action,
+) -> Result<Option<Drain>, Effect> {
     let table = shared.platform();
     let row = table.read(KEY).await.map_err(|_| Effect::None)?;
-    let mut drain = row.as_ref().map_or_else(Drain::default, current);
+    let mut drain = row.as_ref().map_or_else(Drain::default, decode_row);
     let before = drain.clone();
-    drain.apply(order, wish);
+    drain.apply(target, action);
     if drain == before {
         return Ok(Some(drain));
     }
@@ -136,6 +142,6 @@
     }
 }
 
-fn current(row: &Row) -> Drain {
+fn decode_row(row: &Row) -> Drain {
     Drain::decode(&row.body)
 }
--- a/crates/control/src/peer.rs
+++ b/crates/control/src/peer.rs
@@ -1,4 +1,4 @@
-//! Other processes: their addresses and connections to them.
+//! Addresses of other processes and connections to them.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,11 +9,11 @@
 use flamingopost_wire::knowledge::Process;
 use jsonrpsee::core::ClientError;
 
-/// How long a call to another process may take.
+/// Timeout of a call to another process.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections kept at most; a fleet's entry hosts and some.
-const KEPT: usize = 1_024;
+/// Maximum number of cached clients: the entry hosts of a fleet, and some more.
+const MAX_CLIENTS: usize = 1_024;
 
 /// Connections to other processes, by the address of their remote calls.
 #[derive(Debug)]
@@ -24,8 +24,8 @@
 }
 
 impl Links {
-    /// No connections yet, from availability zone `zone`; the fleet's processes know each other
-    /// by the operators' `token`.
+    /// Creates an empty cache of connections from availability zone `zone`. The fleet's processes
+    /// authenticate to each other with the operators' `token`.
     pub fn new(zone: &str, token: Token) -> Links {
         Links {
             zone: zone.to_owned(),
@@ -34,18 +34,18 @@
         }
     }
 
-    /// A client for the process at `address`; nothing is sent yet.
+    /// Returns a client for the process at `address`, without sending anything.
     ///
     /// # Errors
-    /// The address is not one that can be connected to.
+    /// The address is not valid.
     pub fn get(&self, address: &str) -> Result<Client, ClientError> {
         let mut clients = lock(&self.clients);
         if let Some(client) = clients.get(address) {
             return Ok(client.clone());
         }
         let client = remote::client_in(&self.zone, address, &self.token, CALL_TIMEOUT)?;
-        // Hosts are replaced by the hundred a day; their addresses would pile up.
-        if clients.len() >= KEPT {
+        // Hundreds of hosts are replaced each day, so their addresses would accumulate.
+        if clients.len() >= MAX_CLIENTS {
             clients.clear();
         }
         clients.insert(address.to_owned(), client.clone());
@@ -53,84 +53,84 @@
     }
 }
 
-/// Control processes that this one knows, by the address of their remote calls.
+/// Known control processes, by the address of their remote calls.
 #[derive(Debug, Default)]
 pub struct Peers {
     known: Mutex<BTreeMap<String, Peer>>,
 }
 
-/// What is known of a control process.
+/// A known control process.
 #[derive(Debug, Clone, Default)]
 pub struct Peer {
-    /// Its host, where a row or another process told it.
+    /// Host name, if the process answered or a row or another process named it.
     pub host: Option<String>,
-    /// Who it says it is; absent until it has answered.
+    /// Identity that the process reported, `None` until it has answered.
     pub process: Option<Process>,
-    /// When it last answered.
-    pub heard: Option<Duration>,
-    /// When a row or another process last told of it.
-    pub told: Option<Duration>,
-    /// Whether the settings name it.
-    pub fixed: bool,
+    /// Time of the process's last answer.
+    pub last_answer: Option<Duration>,
+    /// Time at which a row or another process last mentioned the process.
+    pub last_mention: Option<Duration>,
+    /// Whether the settings name the process, so that it never expires.
+    pub configured: bool,
 }
 
-/// For how long a process that neither answers nor is told of is remembered. Hundreds of hosts are
-/// replaced a day, and their successors have other addresses.
-const REMEMBERED: Duration = Duration::from_secs(600);
+/// Time after which a process that has neither answered nor been mentioned is removed. Hundreds of
+/// hosts are replaced each day, and their successors have other addresses.
+const PEER_EXPIRY: Duration = Duration::from_secs(600);
 
 impl Peers {
-    /// Makes `address`, which the settings name, known for good.
-    pub fn fix(&self, address: &str) {
+    /// Adds `address`, which the settings name, permanently.
+    pub fn add_configured(&self, address: &str) {
         let mut known = lock(&self.known);
-        known.entry(address.to_owned()).or_default().fixed = true;
+        known.entry(address.to_owned()).or_default().configured = true;
     }
 
-    /// The process at `address` has answered at `now`.
-    pub fn answered(&self, address: &str, process: Option<Process>, now: Duration) {
+    /// Records an answer of the process at `address`.
+    pub fn record_answer(&self, address: &str, process: Option<Process>, now: Duration) {
         let mut known = lock(&self.known);
         let peer = known.entry(address.to_owned()).or_default();
         peer.host = process.as_ref().map(|process| process.host.clone());
         peer.process = process;
-        peer.heard = Some(now);
+        peer.last_answer = Some(now);
     }
 
-    /// Somebody told at `now` that `host` is reached at `address`.
-    pub fn told(&self, host: &str, address: &str, now: Duration) {
+    /// Records that a row or another process gave `address` as that of `host`.
+    pub fn record_mention(&self, host: &str, address: &str, now: Duration) {
         let mut known = lock(&self.known);
         let peer = known.entry(address.to_owned()).or_default();
         peer.host.get_or_insert_with(|| host.to_owned());
-        peer.told = Some(now);
+        peer.last_mention = Some(now);
     }
 
-    /// Forgets processes that have neither answered nor been told of for long.
-    pub fn forget(&self, now: Duration) {
+    /// Removes processes that have neither answered nor been mentioned within [`PEER_EXPIRY`].
+    pub fn remove_expired(&self, now: Duration) {
         lock(&self.known).retain(|_, peer| {
-            let last = peer.heard.max(peer.told).unwrap_or_default();
-            peer.fixed || now < last + REMEMBERED
+            let last = peer.last_answer.max(peer.last_mention).unwrap_or_default();
+            peer.configured || now < last + PEER_EXPIRY
         });
     }
 
-    /// Where `host` is reached: the address that answered last, else one that somebody told.
+    /// Returns the address of `host` that answered last, or else one that was only mentioned.
     pub fn rpc_of(&self, host: &str) -> Option<String> {
         let known = lock(&self.known);
         let of_host = known
             .iter()
             .filter(|(_, peer)| peer.host.as_deref() == Some(host));
-        let latest = of_host.max_by_key(|(_, peer)| peer.heard);
+        let latest = of_host.max_by_key(|(_, peer)| peer.last_answer);
         latest.map(|(address, _)| address.clone())
     }
 
-    /// All that are known.
+    /// Returns all known processes.
     pub fn all(&self) -> BTreeMap<String, Peer> {
         lock(&self.known).clone()
     }
 
-    /// Those that have answered since `since`.
-    pub fn heard_since(&self, since: Duration) -> Vec<Process> {
+    /// Returns the processes that have answered since `since`.
+    pub fn answered_since(&self, since: Duration) -> Vec<Process> {
         let known = lock(&self.known);
         known
             .values()
-            .filter(|peer| peer.heard.is_some_and(|heard| heard >= since))
+            .filter(|peer| peer.last_answer.is_some_and(|at| at >= since))
             .filter_map(|peer| peer.process.clone())
             .collect()
     }
--- a/crates/control/src/shard_floors.rs
+++ b/crates/control/src/shard_floors.rs
@@ -1,4 +1,4 @@
-//! How a shard's controller reads its predecessor's floors and keeps its own.
+//! Reads the floors of a shard's previous controller and persists those of the current one.
 
 use actix::fut::ActorFutureExt as _;
 use actix::{AsyncContext as _, Context, WrapFuture as _};
@@ -11,47 +11,48 @@
 use crate::floors;
 use crate::shard::Shard;
 
-/// What is known of the row and whether a request is under way.
+/// State of the row of floors.
 #[derive(Debug, Default)]
-pub(crate) struct Keeper {
-    /// Tag of the row; absent where there is none, or none is known.
+pub(crate) struct RowState {
+    /// Tag of the row, `None` if the row does not exist or has not been read.
     tag: Option<Tag>,
-    busy: bool,
+    /// Whether a request is in flight.
+    in_flight: bool,
 }
 
 impl Shard {
-    /// Reads or writes the row where that is due; called now and then.
-    pub(crate) fn keep_floors(&mut self, ctx: &mut Context<Self>) {
-        if !self.led || self.keeper.busy {
+    /// Reads or writes the row if necessary. Called periodically.
+    pub(crate) fn sync_floors(&mut self, ctx: &mut Context<Self>) {
+        if !self.was_leading || self.floors_row.in_flight {
             return;
         }
         if !self.budgets.is_loaded() {
             self.load_floors(ctx);
-        } else if let Some(floors) = self.budgets.unkept() {
+        } else if let Some(floors) = self.budgets.unpersisted() {
             self.write_floors(floors, ctx);
         }
     }
 
     fn load_floors(&mut self, ctx: &mut Context<Self>) {
-        self.keeper.busy = true;
+        self.floors_row.in_flight = true;
         let (shared, key) = (self.shared.clone(), floors::key(self.number));
         let epoch = self.controller.row().map(|row| row.epoch);
         let reading = async move { shared.platform().read(&key).await };
         ctx.spawn(reading.into_actor(self).map(move |result, shard, _| {
-            shard.keeper.busy = false;
-            // Read for an authority that has ended meanwhile: another may have written since.
+            shard.floors_row.in_flight = false;
+            // If the epoch has changed since the read, another controller may have written the row.
             if shard.controller.row().map(|row| row.epoch) == epoch {
-                shard.take_floors(result);
+                shard.on_floors_read(result);
             }
         }));
     }
 
-    fn take_floors(&mut self, result: Result<Option<Row>, Error>) {
+    fn on_floors_read(&mut self, result: Result<Option<Row>, Error>) {
         let now = self.shared.now();
         let Ok(row) = result else {
             return;
         };
-        self.keeper.tag = row.as_ref().map(|row| row.tag.clone());
+        self.floors_row.tag = row.as_ref().map(|row| row.tag.clone());
         let Some(row) = row else {
             return self.budgets.load(Floors::new(), now);
         };
@@ -68,29 +69,33 @@
     }
 
     fn write_floors(&mut self, floors: Floors, ctx: &mut Context<Self>) {
-        self.keeper.busy = true;
+        self.floors_row.in_flight = true;
         let change = Change {
             key: floors::key(self.number),
-            guard: self.keeper.tag.clone().map_or(Guard::Absent, Guard::Tag),
+            guard: self
+                .floors_row
+                .tag
+                .clone()
+                .map_or(Guard::Absent, Guard::Tag),
             body: floors::encode(&floors, &self.shared.directory()),
         };
         let shared = self.shared.clone();
         let writing = async move { shared.platform().write(vec![change]).await };
         ctx.spawn(writing.into_actor(self).map(move |result, shard, _| {
-            shard.keeper.busy = false;
-            shard.take_kept(floors, result);
+            shard.floors_row.in_flight = false;
+            shard.on_floors_written(floors, result);
         }));
     }
 
-    fn take_kept(&mut self, floors: Floors, result: Result<Outcome, Error>) {
+    fn on_floors_written(&mut self, floors: Floors, result: Result<Outcome, Error>) {
         match result {
             Ok(Outcome::Done(tags)) => {
-                self.keeper.tag = tags.into_iter().next();
-                self.budgets.keep(floors);
+                self.floors_row.tag = tags.into_iter().next();
+                self.budgets.record_persisted(floors);
             }
-            // Another controller has written, or the answer to an earlier write was lost: what
-            // the table holds has to be read before anything is promised on it.
-            Ok(Outcome::Lost) | Err(_) => self.budgets.doubt(),
+            // Another controller has written the row, or the answer to an earlier write was lost.
+            // The row has to be read before floors are granted on its basis.
+            Ok(Outcome::Lost) | Err(_) => self.budgets.invalidate_persisted(),
         }
     }
 }
--- a/crates/control/src/shard_message.rs
+++ b/crates/control/src/shard_message.rs
@@ -1,4 +1,4 @@
-//! What a shard's actor can be told and asked.
+//! Messages that a shard's actor handles.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,56 +13,57 @@
 use crate::shard::Shard;
 use crate::shard_status;
 
-/// The configuration in force has changed.
+/// Puts a new configuration in force.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Configure(pub Arc<Config>);
 
-/// The platform's list or the operators' drains have changed.
+/// Updates the platform's host list and the operators' drains.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Hinted(pub Arc<Hints>);
+pub struct UpdateHints(pub Arc<Hints>);
 
-/// An entry host renews its lease.
+/// Renews the lease of an entry host.
 #[derive(Message)]
 #[rtype(result = "lease::Reply")]
 pub struct Renew(pub lease::Renewal);
 
-/// A controller is there, or asks for a promise.
+/// Delivers a heartbeat of the shard's controller, which may request a promise. Returns `None` if
+/// the heartbeat's row cannot be decoded.
 #[derive(Message)]
 #[rtype(result = "Option<Promise>")]
-pub struct Asked(pub Ask);
+pub struct Heartbeat(pub Ask);
 
-/// A successor wants this process to give up.
+/// Releases the shard to a successor that requests it.
 #[derive(Message)]
 #[rtype(result = "Released")]
-pub struct GiveUp(pub Release);
+pub struct ReleaseShard(pub Release);
 
-/// An operator wants a planned promotion.
+/// Starts a planned promotion of the named service for an operator.
 #[derive(Message)]
 #[rtype(result = "Ordered")]
-pub struct Order(pub String);
+pub struct SwitchOver(pub String);
 
-/// An operator wants to know the state; `None` where another process leads the shard.
+/// Returns the shard's state for operators, or `None` if another process leads the shard.
 #[derive(Message)]
 #[rtype(result = "Option<status::Status>")]
-pub struct Report;
+pub struct GetStatus;
 
-/// An operator has made sure that these hosts are gone, and wants this process to take over.
+/// Claims the shard for this process. The operator confirms that the listed hosts are gone.
 #[derive(Message)]
 #[rtype(result = "Claimed")]
 pub struct Claim(pub BTreeSet<String>);
 
-/// The process is about to end: a standby is to take over. Answers whether this process still
+/// Lets a standby take over the shard before the process stops. Returns whether this process still
 /// leads the shard.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct Retire;
 
-/// The process is over.
+/// Stops the actor at the end of the process.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Quit;
+pub struct Shutdown;
 
 impl Handler<Configure> for Shard {
     type Result = ();
@@ -73,11 +74,11 @@
     }
 }
 
-impl Handler<Hinted> for Shard {
+impl Handler<UpdateHints> for Shard {
     type Result = ();
 
-    fn handle(&mut self, message: Hinted, ctx: &mut Self::Context) {
-        self.take_hints(&message.0);
+    fn handle(&mut self, message: UpdateHints, ctx: &mut Self::Context) {
+        self.apply_hints(&message.0);
         self.step(ctx);
     }
 }
@@ -101,10 +102,10 @@
     }
 }
 
-impl Handler<Quit> for Shard {
+impl Handler<Shutdown> for Shard {
     type Result = ();
 
-    fn handle(&mut self, _: Quit, ctx: &mut Self::Context) {
+    fn handle(&mut self, _: Shutdown, ctx: &mut Self::Context) {
         ctx.stop();
     }
 }
@@ -122,38 +123,38 @@
     }
 }
 
-impl Handler<Asked> for Shard {
-    type Result = MessageResult<Asked>;
+impl Handler<Heartbeat> for Shard {
+    type Result = MessageResult<Heartbeat>;
 
-    fn handle(&mut self, message: Asked, _: &mut Self::Context) -> Self::Result {
-        MessageResult(self.asked(&message.0))
+    fn handle(&mut self, message: Heartbeat, _: &mut Self::Context) -> Self::Result {
+        MessageResult(self.on_heartbeat(&message.0))
     }
 }
 
-impl Handler<GiveUp> for Shard {
-    type Result = MessageResult<GiveUp>;
+impl Handler<ReleaseShard> for Shard {
+    type Result = MessageResult<ReleaseShard>;
 
-    fn handle(&mut self, message: GiveUp, ctx: &mut Self::Context) -> Self::Result {
-        let released = self.give_up(&message.0);
+    fn handle(&mut self, message: ReleaseShard, ctx: &mut Self::Context) -> Self::Result {
+        let released = self.on_release(&message.0);
         self.step(ctx);
         MessageResult(released)
     }
 }
 
-impl Handler<Order> for Shard {
-    type Result = MessageResult<Order>;
+impl Handler<SwitchOver> for Shard {
+    type Result = MessageResult<SwitchOver>;
 
-    fn handle(&mut self, message: Order, ctx: &mut Self::Context) -> Self::Result {
-        let ordered = self.order(&message.0);
+    fn handle(&mut self, message: SwitchOver, ctx: &mut Self::Context) -> Self::Result {
+        let ordered = self.switch_over(&message.0);
         self.step(ctx);
         MessageResult(ordered)
     }
 }
 
-impl Handler<Report> for Shard {
-    type Result = MessageResult<Report>;
+impl Handler<GetStatus> for Shard {
+    type Result = MessageResult<GetStatus>;
 
-    fn handle(&mut self, _: Report, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: GetStatus, _: &mut Self::Context) -> Self::Result {
         MessageResult(shard_status::report(self))
     }
 }
--- a/crates/control/src/shard_status.rs
+++ b/crates/control/src/shard_status.rs
@@ -1,4 +1,4 @@
-//! A shard's state for operators.
+//! Reports a shard's state to operators.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use crate::shard::{Shard, millis};
 
-/// The state of `shard`, where this process leads it.
+/// Returns the state of `shard`, or `None` if this process does not lead it.
 pub(crate) fn report(shard: &Shard) -> Option<Status> {
     let now = shard.shared.now();
     let epoch = shard.controller.leading_epoch(now)?;
@@ -33,8 +33,8 @@
     })
 }
 
-/// Whether a replica of `service` could lead it now.
-pub(crate) fn has_heir(shard: &Shard, service: ServiceKey) -> bool {
+/// Reports whether `service` has a replica that is not leaving and could become its primary.
+pub(crate) fn has_promotable_replica(shard: &Shard, service: ServiceKey) -> bool {
     let Some(config) = &shard.config else {
         return false;
     };
@@ -65,7 +65,7 @@
         host: process.host,
         incarnation: process.incarnation,
     };
-    let until = shard.leases.get(&instance).copied().unwrap_or_default();
+    let until = shard.lease_ends.get(&instance).copied().unwrap_or_default();
     let state = shard.membership.state(process, now);
     Host {
         host: name(directory.hosts.name(process.host)),
@@ -74,7 +74,11 @@
         config: member.config,
         state: state.to_string(),
         lease_left_ms: millis(until.saturating_sub(now)),
-        connections: shard.granted.get(&instance).copied().unwrap_or_default(),
+        connections: shard
+            .granted_connections
+            .get(&instance)
+            .copied()
+            .unwrap_or_default(),
     }
 }
 
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -1,6 +1,7 @@
-//! Spread of configuration versions: from the platform's head row, from messages, from peers.
+//! Adopts configuration versions that arrive by the platform's head row, by messages and from
+//! peers.
 //!
-//! One task owns the adoption state machine; everybody else tells it what they have heard.
+//! One task owns the adoption state machine. All other tasks send it events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,41 +20,41 @@
 use crate::event::Event as Log;
 use crate::shared::Shared;
 
-/// Events that wait at most; each is small and the poll repeats what matters.
+/// Maximum number of queued events. Events are small, and the poll repeats dropped information.
 const BACKLOG: usize = 256;
 
-/// Something that says which versions there are.
+/// An event that carries information about configuration versions.
 #[derive(Debug)]
 pub enum Event {
-    /// The head row was read; none when there is no configuration yet.
+    /// The head row was read. `None` means that the fleet has no configuration yet.
     Head(Option<Head>),
     /// The head row could not be read.
     HeadFailed,
     /// A message from the process at `from` carried `version`.
-    Heard {
-        /// The version.
+    VersionSeen {
+        /// The configuration version.
         version: u64,
-        /// Address of the sender's remote calls, where it may be asked for the body.
+        /// Address of the sender's remote calls, if the body can be fetched from it.
         from: Option<String>,
     },
-    /// A peer that is asked at the start has answered, or not.
-    Asked(Option<Box<Knowledge>>),
-    /// A peer has told what it knows.
-    Told(Box<Knowledge>),
+    /// A peer queried at startup has answered, or the query has failed (`None`).
+    StartupAnswer(Option<Box<Knowledge>>),
+    /// A peer has answered a periodic query.
+    PeerAnswer(Box<Knowledge>),
 }
 
-/// Where events go.
+/// Sends events to the adoption task.
 #[derive(Debug, Clone)]
 pub struct Handle(mpsc::Sender<Event>);
 
 impl Handle {
-    /// Tells of `event`. One that finds the backlog full is dropped: the poll repeats it.
-    pub fn tell(&self, event: Event) {
+    /// Queues `event`. Drops it if the queue is full, because the poll repeats it.
+    pub fn send(&self, event: Event) {
         let _full = self.0.try_send(event);
     }
 }
 
-/// Starts the task; `peers` others will be asked at the start.
+/// Starts the adoption task. `peers` is the number of peers queried at startup.
 pub fn start(shared: Arc<Shared>, peers: usize) -> Handle {
     let (sender, receiver) = mpsc::channel(BACKLOG);
     let spread = Spread {
@@ -70,12 +71,12 @@
     shared: Arc<Shared>,
     adoption: Adoption,
     head: Option<Record>,
-    /// Who may be asked for which version.
+    /// Versions that processes are known to have, by the address of their remote calls.
     sources: BTreeMap<String, u64>,
 }
 
-/// A body and what it is said to be.
-struct Offer {
+/// A configuration body with the version and digest that its source claims for it.
+struct Candidate {
     version: u64,
     digest: Digest,
     body: String,
@@ -84,35 +85,35 @@
 impl Spread {
     async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
-            let next = self.take(event);
+            let next = self.handle(event);
             if let AdoptionStep::Fetch { version } = next {
                 self.fetch(version).await;
             }
-            self.shared.hear(self.adoption.highest());
+            self.shared.observe_version(self.adoption.highest());
         }
     }
 
-    fn take(&mut self, event: Event) -> AdoptionStep {
+    fn handle(&mut self, event: Event) -> AdoptionStep {
         match event {
-            Event::Head(Some(head)) => self.take_head(&head),
+            Event::Head(Some(head)) => self.handle_head(&head),
             Event::Head(None) => self.adoption.record_empty_head(),
             Event::HeadFailed => self.adoption.record_platform_failure(),
-            Event::Heard { version, from } => {
+            Event::VersionSeen { version, from } => {
                 if let Some(from) = from {
                     self.sources.insert(from, version);
                 }
                 self.adoption.record_version(version)
             }
-            Event::Asked(answer) => {
+            Event::StartupAnswer(answer) => {
                 let version = answer.as_ref().map(|knowledge| knowledge.version);
                 let next = self.adoption.record_peer_answer(version);
-                answer.map_or(next, |knowledge| self.take_knowledge(*knowledge))
+                answer.map_or(next, |knowledge| self.handle_knowledge(*knowledge))
             }
-            Event::Told(knowledge) => self.take_knowledge(*knowledge),
+            Event::PeerAnswer(knowledge) => self.handle_knowledge(*knowledge),
         }
     }
 
-    fn take_head(&mut self, head: &Head) -> AdoptionStep {
+    fn handle_head(&mut self, head: &Head) -> AdoptionStep {
         match Record::try_from(head) {
             Ok(record) => {
                 let next = self.adoption.record_head(record.version, record.digest);
@@ -127,7 +128,7 @@
         }
     }
 
-    fn take_knowledge(&mut self, knowledge: Knowledge) -> AdoptionStep {
+    fn handle_knowledge(&mut self, knowledge: Knowledge) -> AdoptionStep {
         if let Some(process) = knowledge.process {
             self.sources.insert(process.rpc, knowledge.version);
         }
@@ -135,13 +136,14 @@
         let (Some(body), Ok(digest)) = (knowledge.body, knowledge.digest.parse()) else {
             return next;
         };
-        // A fresh process holds a body back until all it has to ask have answered, and then wants
-        // the highest version named: this one may be older than what it had before its restart.
+        // A process that has just started adopts nothing until all peers queried at startup have
+        // answered, and then the highest version reported. This body may be older than the version
+        // that was in force before the restart.
         match next {
             AdoptionStep::Fetch { version } if knowledge.version >= version => {}
             _ => return next,
         }
-        self.offer(Offer {
+        self.consider(Candidate {
             version: knowledge.version,
             digest,
             body,
@@ -150,33 +152,33 @@
     }
 
     async fn fetch(&mut self, version: u64) {
-        let offer = match self.fetch_stored(version).await {
-            Some(offer) => Some(offer),
+        let candidate = match self.fetch_stored(version).await {
+            Some(candidate) => Some(candidate),
             None => self.fetch_from_peers(version).await,
         };
-        match offer {
-            Some(offer) => self.offer(offer),
+        match candidate {
+            Some(candidate) => self.consider(candidate),
             None => Log::BodyMissing { version }.log(),
         }
     }
 
-    async fn fetch_stored(&self, version: u64) -> Option<Offer> {
+    async fn fetch_stored(&self, version: u64) -> Option<Candidate> {
         let head = self.head.as_ref()?;
         if head.version < version {
             return None;
         }
         let stored = head::fetch(self.shared.platform(), head.digest).await;
         let body = String::from_utf8(stored.ok()??).ok()?;
-        Some(Offer {
+        Some(Candidate {
             version: head.version,
             digest: head.digest,
             body,
         })
     }
 
-    async fn fetch_from_peers(&self, version: u64) -> Option<Offer> {
-        let fit = self.sources.iter().filter(|(_, known)| **known >= version);
-        for (address, _) in fit {
+    async fn fetch_from_peers(&self, version: u64) -> Option<Candidate> {
+        let holders = self.sources.iter().filter(|(_, known)| **known >= version);
+        for (address, _) in holders {
             let Ok(client) = self.shared.links().get(address) else {
                 continue;
             };
@@ -186,7 +188,7 @@
             let (Some(body), Ok(digest)) = (knowledge.body, knowledge.digest.parse()) else {
                 continue;
             };
-            return Some(Offer {
+            return Some(Candidate {
                 version: knowledge.version,
                 digest,
                 body,
@@ -195,12 +197,12 @@
         None
     }
 
-    fn offer(&mut self, offer: Offer) {
-        let Offer {
+    fn consider(&mut self, candidate: Candidate) {
+        let Candidate {
             version,
             digest,
             body,
-        } = offer;
+        } = candidate;
         match self.adoption.check_body(version, digest, body.as_bytes()) {
             Ok(AdoptionStep::Adopt) => self.adopt(version, digest, body),
             Ok(_) => {}
@@ -219,7 +221,7 @@
         match parsed {
             Ok(fleet) => {
                 self.adoption.record_adopted(version);
-                self.shared.put(Config {
+                self.shared.set_config(Config {
                     version,
                     digest,
                     body: body.into(),
