--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -25,7 +25,7 @@
     pub runs: Vec<Run>,
     /// Orders to promote a server.
     pub orders: Vec<Order>,
-    /// Events in the lives of the servers' logs.
+    /// Events that affected the servers' logs.
     pub log_events: Vec<LogEvent>,
 }
 
@@ -172,8 +172,8 @@
     problems
 }
 
-/// Checks that each successful answer carries the proof of execution of a server that ran the
-/// statement.
+/// Checks that each answer that only a server can give carries the proof of execution of a server
+/// that ran the statement.
 fn check_proofs(
     statements: &BTreeMap<String, Statement>,
     proofs: &BTreeMap<String, String>,
@@ -243,7 +243,7 @@
         if let Some(Run { id, text, .. }) = foreign {
             problems.push(Problem::new(
                 Kind::Unpinned,
-                format!("{id} `{text}` ran inside another session's transaction"),
+                format!("{id} `{text}` ran inside a transaction that it does not belong to"),
             ));
         }
     }
--- a/crates/soak/src/net.rs
+++ b/crates/soak/src/net.rs
@@ -370,8 +370,8 @@
 /// Disables Nagle's algorithm, as both ends do on their own connections.
 ///
 /// A server answers pipelined statements one by one. With Nagle's algorithm, the kernel delays the
-/// second answer until the first is acknowledged, which takes 40 ms: hosts measured requests of 60
-/// ms at servers that took 9 ms, and held their connections for as long.
+/// second answer until the first is acknowledged, which takes 40 ms: hosts measured requests of
+/// 60 ms at servers that took 9 ms, and held their connections for as long.
 fn disable_nagle(stream: &TcpStream) {
     // This fails only on a connection that has already ended.
     let _ = stream.set_nodelay(true);
