--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -68,13 +68,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub writes: Vec<Write>,
+    /// Statements by identifier.
     pub statements: BTreeMap<String, Statement>,
+    /// Proofs of execution by identifier of the statement.
     pub proofs: BTreeMap<String, String>,
     pub reads: Vec<Read>,
+    /// Number of operations that succeeded.
     pub done: u64,
+    /// Number of operations that had no effect.
     pub refused: u64,
+    /// Number of operations that may or may not have taken effect.
     pub unknown: u64,
     pub problems: Vec<Problem>,
+    /// The number that was last returned by [`History::next_number`].
     last_number: u64,
 }
 
--- a/crates/soak/src/inject.rs
+++ b/crates/soak/src/inject.rs
@@ -182,7 +182,8 @@
         self.start_host(host);
     }
 
-    /// Crashes a server and revives it after `lasts`. Its entry expires after [`ENTRY_LAPSE`].
+    /// Crashes a server and revives it after `lasts`. Its entry expires once the server
+    /// has been down for [`ENTRY_LAPSE`].
     async fn crash_server(&self, server: &str, lasts: Duration) {
         self.site.crash(server);
         let until_lapse = lasts.min(ENTRY_LAPSE);
@@ -195,8 +196,8 @@
     }
 
     /// Crashes a server and restarts it after `after`; its entry is updated `late` after that. A
-    /// server loses its log only if another one holds all data: no product can recover what all
-    /// servers have lost.
+    /// server loses its log only if another one holds all data, because no proxy could recover what
+    /// all servers have lost.
     async fn restart_server(
         &self,
         server: &str,
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -57,6 +57,7 @@
 #[derive(Debug, Default)]
 struct State {
     child: Option<Child>,
+    /// Number of starts so far. Each start has a log file of its own.
     start_count: u32,
     /// Whether the host was asked to stop since its last start.
     stop_requested: bool,
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -51,6 +51,7 @@
     pub(crate) hosts: Arc<Vec<Host>>,
     pub(crate) history: Arc<History>,
     pub(crate) plan: Plan,
+    /// Number of configuration versions that were published so far.
     configurations: AtomicU16,
 }
 
