--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -35,8 +35,8 @@
         /// Number of the host.
         host: usize,
     },
-    /// A server crashes, its entry in the server list expires unless the fault is short, and it comes
-    /// back.
+    /// A server crashes, its entry in the server list expires unless the fault is short, and it
+    /// comes back.
     Crash {
         /// The affected server.
         server: Victim,
