--- a/crates/soak/src/gap.rs
+++ b/crates/soak/src/gap.rs
@@ -40,9 +40,9 @@
 pub enum Cause {
     /// its process dies
     Crashes,
-    /// it stops answering
+    /// it answers nothing any more
     Silent,
-    /// it announces that it leaves
+    /// it says that it leaves
     Leaves,
     /// its process dies while the store is away
     CrashesWithoutStore,
