--- a/crates/control/examples/measure.rs
+++ b/crates/control/examples/measure.rs
@@ -78,8 +78,8 @@
         for host in &hosts {
             host.set_unreachable(&[&server_name(0)]);
         }
-        let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
-        wait_for_primary(&hosts, &next).await;
+        let successor = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+        wait_for_primary(&hosts, &successor).await;
         gaps.push(since.elapsed());
         fleet.stop();
     }
--- a/crates/control/src/budgets.rs
+++ b/crates/control/src/budgets.rs
@@ -175,8 +175,8 @@
     fn floors(&self) -> Floors {
         let mut floors = Floors::new();
         for (key, share) in &self.shares {
-            let held = share.floors();
-            floors.extend(held.map(|(holder, floor)| ((*key, holder), floor.connections)));
+            let granted = share.floors();
+            floors.extend(granted.map(|(holder, floor)| ((*key, holder), floor.connections)));
         }
         floors
     }
--- a/crates/control/src/candidate.rs
+++ b/crates/control/src/candidate.rs
@@ -20,8 +20,8 @@
 ///     admin: String::new(),
 ///     incarnation: 1,
 /// };
-/// let heard = vec![process("a2", "a"), process("b1", "b"), process("c1", "c")];
-/// let order = candidate::order(0, "a", heard);
+/// let live = vec![process("a2", "a"), process("b1", "b"), process("c1", "c")];
+/// let order = candidate::order(0, "a", live);
 /// assert_eq!(order.last().map(String::as_str), Some("a2"));
 /// ```
 pub fn order(shard: u16, own: &str, mut live: Vec<Process>) -> Vec<String> {
--- a/crates/control/src/floors.rs
+++ b/crates/control/src/floors.rs
@@ -46,9 +46,9 @@
 pub fn decode(body: &str, directory: &mut Directory) -> Result<Floors, serde_json::Error> {
     let stored: BTreeMap<String, Vec<Stored>> = serde_json::from_str(body)?;
     let mut floors = Floors::new();
-    for (server, held) in stored {
+    for (server, stored_floors) in stored {
         let server = directory.servers.intern(&server);
-        for floor in held {
+        for floor in stored_floors {
             let holder = HostInstance {
                 host: directory.hosts.intern(&floor.host),
                 incarnation: floor.incarnation,
--- a/crates/control/src/shard_lease.rs
+++ b/crates/control/src/shard_lease.rs
@@ -126,8 +126,8 @@
 }
 
 fn encode_floors(grants: &BTreeMap<String, Grant>) -> BTreeMap<String, lease::Floor> {
-    let given = grants.iter().filter(|(_, grant)| grant.floor > 0);
-    given
+    let granted_floors = grants.iter().filter(|(_, grant)| grant.floor > 0);
+    granted_floors
         .map(|(name, grant)| {
             let floor = lease::Floor {
                 connections: grant.floor,
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -245,8 +245,9 @@
     fn sample_peers(&self) -> BTreeMap<String, String> {
         let since = self.now().saturating_sub(RECENT_ANSWER);
         let answered = self.peers.answered_since(since);
-        let some = answered.sample(&mut rand::rng(), MAX_SHARED_PEERS);
-        some.map(|process| (process.host.clone(), process.rpc.clone()))
+        let sample = answered.sample(&mut rand::rng(), MAX_SHARED_PEERS);
+        sample
+            .map(|process| (process.host.clone(), process.rpc.clone()))
             .collect()
     }
 }
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -85,8 +85,8 @@
 impl Spread {
     async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
-            let next = self.handle(event);
-            if let AdoptionStep::Fetch { version } = next {
+            let step = self.handle(event);
+            if let AdoptionStep::Fetch { version } = step {
                 self.fetch(version).await;
             }
             self.shared.observe_version(self.adoption.highest());
@@ -106,8 +106,8 @@
             }
             Event::StartupAnswer(answer) => {
                 let version = answer.as_ref().map(|knowledge| knowledge.version);
-                let next = self.adoption.record_peer_answer(version);
-                answer.map_or(next, |knowledge| self.handle_knowledge(*knowledge))
+                let step = self.adoption.record_peer_answer(version);
+                answer.map_or(step, |knowledge| self.handle_knowledge(*knowledge))
             }
             Event::PeerAnswer(knowledge) => self.handle_knowledge(*knowledge),
         }
@@ -116,9 +116,9 @@
     fn handle_head(&mut self, head: &Head) -> AdoptionStep {
         match Record::try_from(head) {
             Ok(record) => {
-                let next = self.adoption.record_head(record.version, record.digest);
+                let step = self.adoption.record_head(record.version, record.digest);
                 self.head = Some(record);
-                next
+                step
             }
             Err(error) => {
                 let error = error.to_string();
@@ -132,16 +132,16 @@
         if let Some(process) = knowledge.process {
             self.sources.insert(process.rpc, knowledge.version);
         }
-        let next = self.adoption.record_version(knowledge.version);
+        let step = self.adoption.record_version(knowledge.version);
         let (Some(body), Ok(digest)) = (knowledge.body, knowledge.digest.parse()) else {
-            return next;
+            return step;
         };
         // A process that has just started adopts nothing until all peers queried at startup have
         // answered, and then the highest version reported. This body may be older than the version
         // that was in force before the restart.
-        match next {
+        match step {
             AdoptionStep::Fetch { version } if knowledge.version >= version => {}
-            _ => return next,
+            _ => return step,
         }
         self.consider(Candidate {
             version: knowledge.version,
--- a/crates/control/tests/common/holder.rs
+++ b/crates/control/tests/common/holder.rs
@@ -154,11 +154,11 @@
 
 impl Renewer {
     async fn run(mut self) {
-        let mut next = 0;
+        let mut index = 0;
         loop {
-            let address = self.controls[next % self.controls.len()];
+            let address = self.controls[index % self.controls.len()];
             if !self.renew(address).await {
-                next += 1;
+                index += 1;
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -210,9 +210,9 @@
     }
 
     /// Waits until the controller has named two standbys in the row.
-    pub async fn named_standbys(&self, asked: usize) {
+    pub async fn named_standbys(&self, observer: usize) {
         eventually("two standbys are named", || async {
-            let status = self.status(asked).await?;
+            let status = self.status(observer).await?;
             let named = status.controllers.first()?.standbys.len();
             (named == 2).then_some(())
         })
@@ -231,11 +231,11 @@
         .await
     }
 
-    /// Waits until control process `asked` reports a controller, and returns that controller's
+    /// Waits until control process `observer` reports a controller, and returns the controller's
     /// index.
-    pub async fn leader(&self, asked: usize) -> usize {
+    pub async fn leader(&self, observer: usize) -> usize {
         eventually("a controller is known", || async {
-            let status = self.status(asked).await?;
+            let status = self.status(observer).await?;
             let controller = status.controllers.into_iter().next()?;
             let mut controls = self.controls.iter();
             controls.position(|control| control.host == controller.host)
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -35,11 +35,11 @@
     for host in &hosts {
         host.set_unreachable(&[&server_name(0)]);
     }
-    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    let successor = wait_for_new_primary(&hosts[0], &server_name(0)).await;
     for host in &hosts {
         assert_ne!(host.primary().as_deref(), Some(server_name(0).as_str()));
     }
-    wait_for_primary(&hosts, &next).await;
+    wait_for_primary(&hosts, &successor).await;
 }
 
 /// One host has lost its route to the primary and the others reach it. The primary must stay,
@@ -70,8 +70,8 @@
     })
     .await;
     assert_eq!((code, answer), (202, json!("begun")));
-    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
-    wait_for_primary(&hosts, &next).await;
+    let successor = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &successor).await;
     let service = fleet.open_service(other).await;
     assert!(service.lost.is_empty(), "{:?}", service.lost);
     let (code, _) = fleet
@@ -178,8 +178,8 @@
         leaving: true,
         ..Faults::default()
     });
-    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
-    wait_for_primary(&hosts, &next).await;
+    let successor = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &successor).await;
     let service = fleet.open_service(0).await;
     assert!(service.lost.is_empty(), "{:?}", service.lost);
     assert!(hosts[0].leaving().contains(&server_name(0)));
--- a/crates/control/tests/takeover.rs
+++ b/crates/control/tests/takeover.rs
@@ -29,15 +29,15 @@
     let old = fleet.leader(0).await;
     fleet.named_standbys(old).await;
     fleet.stop_control(old);
-    let asked = (old + 1) % 3;
+    let observer = (old + 1) % 3;
     let new = eventually("another controller leads", || async {
-        let leader = fleet.leader(asked).await;
+        let leader = fleet.leader(observer).await;
         (leader != old).then_some(leader)
     })
     .await;
     assert_ne!(new, old);
     wait_for_primary(&hosts, &server_name(0)).await;
-    let after = fleet.open_service(asked).await;
+    let after = fleet.open_service(observer).await;
     assert_eq!(before.term, after.term);
 }
 
@@ -69,8 +69,8 @@
     for host in hosts.iter().chain(&others) {
         host.set_unreachable(&[&server_name(0)]);
     }
-    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
-    wait_for_primary(&hosts, &next).await;
+    let successor = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &successor).await;
 }
 
 /// All control processes restart at the same time while the store is down. They have lost their
@@ -148,9 +148,9 @@
     assert_eq!(code, 200, "{answer}");
     fleet.in_force(2).await;
     fleet.stop_control(old);
-    let asked = (old + 1) % 3;
+    let observer = (old + 1) % 3;
     eventually("another controller leads", || async {
-        (fleet.leader(asked).await != old).then_some(())
+        (fleet.leader(observer).await != old).then_some(())
     })
     .await;
     wait_for_primary(&hosts, &server_name(0)).await;
@@ -192,10 +192,10 @@
     fleet.controls[old].stop.stopped().await;
     // It has stopped because a successor has claimed the shard, not because of the timeout.
     assert_ne!(fleet.named_controller().await, fleet.controls[old].host);
-    let asked = (old + 1) % 3;
-    assert_ne!(fleet.leader(asked).await, old);
+    let observer = (old + 1) % 3;
+    assert_ne!(fleet.leader(observer).await, old);
     wait_for_primary(&hosts, &server_name(0)).await;
-    let after = fleet.open_service(asked).await;
+    let after = fleet.open_service(observer).await;
     assert_eq!(before.term, after.term);
 }
 
@@ -220,13 +220,13 @@
     for host in &hosts {
         host.set_unreachable(&[&server_name(0)]);
     }
-    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
-    wait_for_primary(&hosts, &next).await;
+    let successor = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &successor).await;
     fleet.platform.set_faults(Faults::default());
     // The row is updated once the store is back, and no standby has claimed the shard meanwhile.
     tokio::time::sleep(timing::AUTHORITY_DURATION).await;
     assert_eq!(fleet.leader(0).await, leader);
-    wait_for_primary(&hosts, &next).await;
+    wait_for_primary(&hosts, &successor).await;
 }
 
 /// Answers of the table service are lost while a primary dies. The writes that close and open terms
@@ -249,8 +249,8 @@
     for host in &hosts {
         host.set_unreachable(&[&server_name(0)]);
     }
-    let next = wait_for_new_primary(&hosts[0], &server_name(0)).await;
-    wait_for_primary(&hosts, &next).await;
+    let successor = wait_for_new_primary(&hosts[0], &server_name(0)).await;
+    wait_for_primary(&hosts, &successor).await;
 }
 
 /// The controller loses both the platform and its standbys. It must stop granting leases by itself,
