--- a/crates/control/src/peer.rs
+++ b/crates/control/src/peer.rs
@@ -102,7 +102,7 @@
         peer.last_mention = Some(now);
     }
 
-    /// Removes processes that have neither answered nor been mentioned within [`PEER_EXPIRY`].
+    /// Removes processes that have neither answered nor been mentioned within `PEER_EXPIRY`.
     pub fn remove_expired(&self, now: Duration) {
         lock(&self.known).retain(|_, peer| {
             let last = peer.last_answer.max(peer.last_mention).unwrap_or_default();
