--- a/crates/control/tests/budgets.rs
+++ b/crates/control/tests/budgets.rs
@@ -74,7 +74,7 @@
     assert_eq!(names.renew(&mut budgets, near, 3, 1).floor, 0);
     let floors = budgets
         .unpersisted()
-        .expect("the floor is not persisted yet");
+        .expect("the floor has to be persisted");
     assert_eq!(floors[&(names.server, near.holder)], 1);
     budgets.record_persisted(floors);
     assert_eq!(budgets.unpersisted(), None);
