--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -36,8 +36,9 @@
     peers: Peers,
     directory: RwLock<Arc<Directory>>,
     config: watch::Sender<Option<Arc<Config>>>,
+    /// Highest configuration version seen.
     highest_version: AtomicU64,
-    /// Reports whether the platform failed to answer the last read.
+    /// Whether the platform failed to answer the last read.
     platform_silent: AtomicBool,
     controllers: Mutex<BTreeMap<u16, knowledge::Controller>>,
 }
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -177,8 +177,8 @@
     }
 
     async fn fetch_from_peers(&self, version: u64) -> Option<Candidate> {
-        let holders = self.sources.iter().filter(|(_, known)| **known >= version);
-        for (address, _) in holders {
+        let sources = self.sources.iter().filter(|(_, known)| **known >= version);
+        for (address, _) in sources {
             let Ok(client) = self.shared.links().get(address) else {
                 continue;
             };
