--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -36,8 +36,9 @@
     peers: Peers,
     directory: RwLock<Arc<Directory>>,
     config: watch::Sender<Option<Arc<Config>>>,
+    /// Highest configuration version seen.
     highest_version: AtomicU64,
-    /// Reports whether the platform failed to answer the last read.
+    /// Whether the platform failed to answer the last read.
     platform_silent: AtomicBool,
     controllers: Mutex<BTreeMap<u16, knowledge::Controller>>,
 }
@@ -245,8 +246,9 @@
     fn sample_peers(&self) -> BTreeMap<String, String> {
         let since = self.now().saturating_sub(RECENT_ANSWER);
         let answered = self.peers.answered_since(since);
-        let some = answered.sample(&mut rand::rng(), MAX_SHARED_PEERS);
-        some.map(|process| (process.host.clone(), process.rpc.clone()))
+        let sample = answered.sample(&mut rand::rng(), MAX_SHARED_PEERS);
+        sample
+            .map(|process| (process.host.clone(), process.rpc.clone()))
             .collect()
     }
 }
