--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -10,7 +10,7 @@
 use flamingopost_core::submission::{Outcome, Record};
 use flamingopost_daemon::event::Event as _;
 use flamingopost_daemon::stop::Phase;
-use flamingopost_platform::head::HEAD;
+use flamingopost_platform::head::HEAD_KEY;
 use flamingopost_platform::table::Table as _;
 
 use crate::event::Event;
@@ -23,7 +23,7 @@
 /// the same file: its digest is the submission's id, so they submit the same thing.
 pub async fn run(shared: Arc<Shared>, file: &Path) {
     while shared.stop().phase() != Phase::Stopped && shared.config().is_none() {
-        match shared.platform().read(HEAD).await {
+        match shared.platform().read(HEAD_KEY).await {
             Ok(Some(_)) => return,
             Ok(None) => {
                 if let Some(outcome) = submit(&shared, file).await {
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flamingopost_platform::error::Effect;
-use flamingopost_platform::table::{Change, Guard, Outcome, Row, Table as _};
+use flamingopost_platform::table::{Change, Condition, Outcome, Row, Table as _};
 use flamingopost_wire::submission::Drain as Order;
 use serde::{Deserialize, Serialize};
 
@@ -126,12 +126,12 @@
     }
     let change = Change {
         key: KEY.to_owned(),
-        guard: row.map_or(Guard::Absent, |row| Guard::Tag(row.tag)),
+        condition: row.map_or(Condition::Absent, |row| Condition::Tag(row.tag)),
         body: serde_json::to_string(&drain).unwrap_or_default(),
     };
     match table.write(vec![change]).await {
-        Ok(Outcome::Done(_)) => Ok(Some(drain)),
-        Ok(Outcome::Lost) => Ok(None),
+        Ok(Outcome::Written(_)) => Ok(Some(drain)),
+        Ok(Outcome::Conflict) => Ok(None),
         Err(error) => Err(error.effect()),
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -169,7 +169,7 @@
     let failed = |error| Error::Listen(shared.settings().rpc, error);
     socket.set_nonblocking(true).map_err(failed)?;
     let server = ServerBuilder::with_config(config)
-        .set_http_middleware(remote::guard(&shared.settings().token))
+        .set_http_middleware(remote::server_middleware(&shared.settings().token))
         .build_from_tcp(socket)
         .map_err(failed)?;
     Ok(server.start(remote.into_rpc()))
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -12,7 +12,7 @@
 use flamingopost_core::fleet::Fleet;
 use flamingopost_core::submission::{Outcome, Record};
 use flamingopost_daemon::event::Event as _;
-use flamingopost_platform::head::{self, HEAD, Head};
+use flamingopost_platform::head::{self, HEAD_KEY, Head};
 use flamingopost_platform::table::Table as _;
 use flamingopost_wire::status::{Claim, Claimed, Ordered};
 use flamingopost_wire::submission::{self as wire, Stored};
@@ -74,7 +74,7 @@
 
 async fn newest(operators: Data<Operators>) -> HttpResponse {
     let shared = &operators.shared;
-    match shared.platform().read(HEAD).await {
+    match shared.platform().read(HEAD_KEY).await {
         Ok(Some(row)) => match Head::decode(&row.body) {
             Ok(head) => with_body(shared, head).await,
             Err(_) => unavailable(),
@@ -122,7 +122,7 @@
 }
 
 async fn fetch(shared: &Shared, digest: Digest) -> Option<String> {
-    let body = head::fetch(shared.platform(), digest).await.ok()??;
+    let body = head::fetch_body(shared.platform(), digest).await.ok()??;
     let whole = Digest::of(&body) == digest;
     whole.then(|| String::from_utf8(body).ok()).flatten()
 }
@@ -142,7 +142,7 @@
 
 async fn history(operators: Data<Operators>) -> HttpResponse {
     let shared = &operators.shared;
-    let newest = match shared.platform().read(HEAD).await {
+    let newest = match shared.platform().read(HEAD_KEY).await {
         Ok(Some(row)) => Head::decode(&row.body).map_or(0, |head| head.version),
         Ok(None) => 0,
         Err(_) => return unavailable(),
@@ -150,7 +150,7 @@
     let mut entries = BTreeMap::new();
     // The page of the newest version and the one before it: at least a hundred versions, where
     // there are as many, in two reads however long the history is.
-    let pages = [newest.saturating_sub(100), newest].map(head::history_page);
+    let pages = [newest.saturating_sub(100), newest].map(head::history_page_prefix);
     for page in pages {
         let Ok(rows) = shared.platform().list(&page).await else {
             return unavailable();
--- a/crates/control/src/peer.rs
+++ b/crates/control/src/peer.rs
@@ -43,7 +43,7 @@
         if let Some(client) = clients.get(address) {
             return Ok(client.clone());
         }
-        let client = remote::client_in(&self.zone, address, &self.token, CALL_TIMEOUT)?;
+        let client = remote::client_in_zone(&self.zone, address, &self.token, CALL_TIMEOUT)?;
         // Hosts are replaced by the hundred a day; their addresses would pile up.
         if clients.len() >= KEPT {
             clients.clear();
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -13,7 +13,7 @@
 use flamingopost_daemon::event::Event as _;
 use flamingopost_daemon::stop::Phase;
 use flamingopost_platform::error::Error;
-use flamingopost_platform::head::{FLEET, HEAD, Head};
+use flamingopost_platform::head::{FLEET_PREFIX, HEAD_KEY, Head};
 use flamingopost_platform::table::{Row, Table as _};
 use tokio::sync::{mpsc, oneshot};
 
@@ -166,7 +166,7 @@
             waiting.push(another);
         }
         let sent = shared.now();
-        let result = shared.platform().list(FLEET).await;
+        let result = shared.platform().list(FLEET_PREFIX).await;
         note(&mut silent_since, shared.now(), result.as_ref().err());
         shared.set_silent(result.is_err());
         let read = read(sent, result);
@@ -200,7 +200,7 @@
     while reader.shared.stop().phase() != Phase::Stopped {
         tokio::time::sleep(jittered(HEAD_INTERVAL)).await;
         if reader.is_large() {
-            spread.tell(event(&reader.read_one(HEAD).await));
+            spread.tell(event(&reader.read_one(HEAD_KEY).await));
         }
     }
 }
@@ -217,7 +217,7 @@
     let Some(rows) = &read.rows else {
         return spread::Event::HeadFailed;
     };
-    let Some(row) = rows.get(HEAD) else {
+    let Some(row) = rows.get(HEAD_KEY) else {
         return spread::Event::Head(None);
     };
     match Head::decode(&row.body) {
--- a/crates/control/src/rpc.rs
+++ b/crates/control/src/rpc.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use flamingopost_wire::authority::{Ask, Promise, Release, Released};
+use flamingopost_wire::authority::{Promise, PromiseRequest, Release, Released};
 use flamingopost_wire::knowledge::Knowledge;
 use flamingopost_wire::lease::{Refusal, Renewal, Reply};
 use flamingopost_wire::rpc::ControlServer;
@@ -70,7 +70,7 @@
         Ok(join_all(replies).await)
     }
 
-    async fn promise(&self, ask: Ask) -> RpcResult<Promise> {
+    async fn promise(&self, ask: PromiseRequest) -> RpcResult<Promise> {
         let actor = self.shards.get(ask.shard).ok_or_else(no_such_shard)?;
         let promise = actor.send(Asked(ask)).await.ok().flatten();
         promise.ok_or_else(no_such_shard)
--- a/crates/control/src/shard.rs
+++ b/crates/control/src/shard.rs
@@ -15,7 +15,7 @@
 use flamingopost_core::row;
 use flamingopost_platform::group::Status;
 use flamingopost_platform::table::Tag;
-use flamingopost_wire::authority::{Ask, Promise, Release, Released};
+use flamingopost_wire::authority::{Promise, PromiseRequest, Release, Released};
 use flamingopost_wire::status::{Claimed, Ordered};
 
 use crate::budgets::{self, Budgets};
@@ -271,7 +271,7 @@
             && !candidate::is_first(self.number, &self.shared.process().host, &heard)
     }
 
-    pub(crate) fn asked(&mut self, ask: &Ask) -> Option<Promise> {
+    pub(crate) fn asked(&mut self, ask: &PromiseRequest) -> Option<Promise> {
         self.shared
             .lead(self.number, ask.epoch, &ask.controller, &ask.rpc);
         let row: Option<row::Row> = match &ask.row {
--- a/crates/control/src/shard_effect.rs
+++ b/crates/control/src/shard_effect.rs
@@ -16,8 +16,8 @@
 use flamingopost_daemon::event::Event as _;
 use flamingopost_platform::error::{Effect, Error};
 use flamingopost_platform::group;
-use flamingopost_platform::table::{Change, Guard, Outcome, Table as _, Tag};
-use flamingopost_wire::authority::{Ask, Release};
+use flamingopost_platform::table::{Change, Condition, Outcome, Table as _, Tag};
+use flamingopost_wire::authority::{PromiseRequest, Release};
 use flamingopost_wire::close::{Close, Closed};
 use flamingopost_wire::rpc::{ControlClient as _, EntryClient as _};
 use flamingopost_wire::view;
@@ -136,15 +136,15 @@
     }
 
     fn change(&self, row: &Row, over: Option<u64>) -> Option<Change> {
-        let guard = match (over, &self.tag) {
-            (None, _) => Guard::Absent,
-            (Some(over), Some((revision, tag))) if over == *revision => Guard::Tag(tag.clone()),
+        let condition = match (over, &self.tag) {
+            (None, _) => Condition::Absent,
+            (Some(over), Some((revision, tag))) if over == *revision => Condition::Tag(tag.clone()),
             (Some(_), _) => return None,
         };
         match row::encode(row, &self.shared) {
             Ok(body) => Some(Change {
                 key: row::key(self.number),
-                guard,
+                condition,
                 body,
             }),
             Err(error) => {
@@ -157,12 +157,12 @@
 
     fn take_written(&mut self, revision: u64, result: Result<Outcome, Error>) {
         let written = match result {
-            Ok(Outcome::Done(tags)) => {
+            Ok(Outcome::Written(tags)) => {
                 let tag: Option<Tag> = tags.into_iter().next();
                 self.tag = tag.map(|tag| (revision, tag));
                 WriteOutcome::Done
             }
-            Ok(Outcome::Lost) => WriteOutcome::NotDone,
+            Ok(Outcome::Conflict) => WriteOutcome::NotDone,
             Err(error) => match error.effect() {
                 Effect::None => WriteOutcome::NotDone,
                 Effect::Unknown => WriteOutcome::Unknown,
@@ -179,7 +179,7 @@
         let directory = self.shared.directory();
         let row = ask.row.as_ref();
         let row = row.and_then(|row| flamingopost_wire::row::Row::encode(row, &directory).ok());
-        let message = Ask {
+        let message = PromiseRequest {
             shard: self.number,
             epoch: ask.epoch,
             controller: self.shared.process().host.clone(),
--- a/crates/control/src/shard_floors.rs
+++ b/crates/control/src/shard_floors.rs
@@ -4,7 +4,7 @@
 use actix::{AsyncContext as _, Context, WrapFuture as _};
 use flamingopost_daemon::event::Event as _;
 use flamingopost_platform::error::Error;
-use flamingopost_platform::table::{Change, Guard, Outcome, Row, Table as _, Tag};
+use flamingopost_platform::table::{Change, Condition, Outcome, Row, Table as _, Tag};
 
 use crate::budgets::Floors;
 use crate::event::Event as Log;
@@ -71,7 +71,11 @@
         self.keeper.busy = true;
         let change = Change {
             key: floors::key(self.number),
-            guard: self.keeper.tag.clone().map_or(Guard::Absent, Guard::Tag),
+            condition: self
+                .keeper
+                .tag
+                .clone()
+                .map_or(Condition::Absent, Condition::Tag),
             body: floors::encode(&floors, &self.shared.directory()),
         };
         let shared = self.shared.clone();
@@ -84,13 +88,13 @@
 
     fn take_kept(&mut self, floors: Floors, result: Result<Outcome, Error>) {
         match result {
-            Ok(Outcome::Done(tags)) => {
+            Ok(Outcome::Written(tags)) => {
                 self.keeper.tag = tags.into_iter().next();
                 self.budgets.keep(floors);
             }
             // Another controller has written, or the answer to an earlier write was lost: what
             // the table holds has to be read before anything is promised on it.
-            Ok(Outcome::Lost) | Err(_) => self.budgets.doubt(),
+            Ok(Outcome::Conflict) | Err(_) => self.budgets.doubt(),
         }
     }
 }
--- a/crates/control/src/shard_message.rs
+++ b/crates/control/src/shard_message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use actix::{ActorContext as _, Handler, Message, MessageResult};
-use flamingopost_wire::authority::{Ask, Promise, Release, Released};
+use flamingopost_wire::authority::{Promise, PromiseRequest, Release, Released};
 use flamingopost_wire::lease;
 use flamingopost_wire::status::{self, Claimed, Ordered};
 
@@ -31,7 +31,7 @@
 /// A controller is there, or asks for a promise.
 #[derive(Message)]
 #[rtype(result = "Option<Promise>")]
-pub struct Asked(pub Ask);
+pub struct Asked(pub PromiseRequest);
 
 /// A successor wants this process to give up.
 #[derive(Message)]
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -55,7 +55,7 @@
             zone: settings.zone.clone(),
             rpc: public(settings.public_rpc, settings.rpc),
             admin: public(settings.public_admin, settings.admin),
-            incarnation: incarnation::draw(),
+            incarnation: incarnation::random(),
         };
         let peers = Peers::default();
         for peer in &settings.peers {
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -165,7 +165,7 @@
         if head.version < version {
             return None;
         }
-        let stored = head::fetch(self.shared.platform(), head.digest).await;
+        let stored = head::fetch_body(self.shared.platform(), head.digest).await;
         let body = String::from_utf8(stored.ok()??).ok()?;
         Some(Offer {
             version: head.version,
--- a/crates/control/src/submit.rs
+++ b/crates/control/src/submit.rs
@@ -7,9 +7,9 @@
 use flamingopost_core::digest::Digest;
 use flamingopost_core::submission::{Effect, Event, Outcome, Record, Step, Submission};
 use flamingopost_platform::error::{self, Error};
-use flamingopost_platform::head::{self, HEAD, Head};
+use flamingopost_platform::head::{self, HEAD_KEY, Head};
 use flamingopost_platform::object::Store;
-use flamingopost_platform::table::{self, Change, Guard, Row, Table, Tag};
+use flamingopost_platform::table::{self, Change, Condition, Row, Table, Tag};
 
 /// Wait before something that failed is tried again, so that a short outage is outlasted.
 const PAUSE: Duration = Duration::from_millis(200);
@@ -57,13 +57,13 @@
     }
 
     async fn has_body(&self, record: &Record) -> Result<bool, Effect> {
-        let found = head::fetch(self.platform, record.digest).await;
+        let found = head::fetch_body(self.platform, record.digest).await;
         let found = found.map_err(effect)?;
         Ok(found.is_some_and(|body| Digest::of(&body) == record.digest))
     }
 
     async fn read_head(&mut self) -> Result<Option<Record>, Effect> {
-        let row = self.platform.read(HEAD).await.map_err(effect)?;
+        let row = self.platform.read(HEAD_KEY).await.map_err(effect)?;
         self.tag = row.as_ref().map(|row| row.tag.clone());
         row.map(record).transpose()
     }
@@ -77,19 +77,19 @@
     async fn write(&self, record: &Record) -> Result<bool, Effect> {
         let body = Head::new(record, self.since_epoch).encode();
         let head = Change {
-            key: HEAD.to_owned(),
-            guard: self.tag.clone().map_or(Guard::Absent, Guard::Tag),
+            key: HEAD_KEY.to_owned(),
+            condition: self.tag.clone().map_or(Condition::Absent, Condition::Tag),
             body: body.clone(),
         };
         let history = Change {
             key: head::history_key(record.version),
-            guard: Guard::Absent,
+            condition: Condition::Absent,
             body,
         };
         let written = self.platform.write(vec![head, history]).await;
         match written.map_err(effect)? {
-            table::Outcome::Done(_) => Ok(true),
-            table::Outcome::Lost => Ok(false),
+            table::Outcome::Written(_) => Ok(true),
+            table::Outcome::Conflict => Ok(false),
         }
     }
 }
--- a/crates/control/tests/common/holder.rs
+++ b/crates/control/tests/common/holder.rs
@@ -50,7 +50,7 @@
 
 impl Host {
     pub async fn start(name: &str, zone: &str, controls: Vec<SocketAddr>) -> Host {
-        let incarnation = flamingopost_daemon::incarnation::draw();
+        let incarnation = flamingopost_daemon::incarnation::random();
         let state = Arc::new(Mutex::new(State {
             holder: lease::LeaseHolder::new(incarnation),
             directory: Directory::default(),
@@ -62,7 +62,7 @@
             drained: false,
         }));
         let server = Server::builder()
-            .set_http_middleware(remote::guard(&Token::new(TOKEN)))
+            .set_http_middleware(remote::server_middleware(&Token::new(TOKEN)))
             .build("127.0.0.1:0")
             .await
             .unwrap();
--- a/crates/control/tests/takeover.rs
+++ b/crates/control/tests/takeover.rs
@@ -7,7 +7,7 @@
 use common::{Fleet, all_see, another, eventually, server_name};
 use flamingopost_core::timing;
 use flamingopost_platform::http::Client;
-use flamingopost_platform::table::{Change, Guard, Table as _};
+use flamingopost_platform::table::{Change, Condition, Table as _};
 use flamingopost_standin::backend::fault::Faults as ServerFaults;
 use flamingopost_standin::platform::Faults;
 use serde_json::json;
@@ -137,7 +137,7 @@
     fleet.named_standbys(old).await;
     let padding = Change {
         key: "fleet/padding".to_owned(),
-        guard: Guard::Absent,
+        condition: Condition::Absent,
         body: format!("\"{}\"", "x".repeat(64 << 10)),
     };
     let table = Client::new(fleet.platform.address(), "", common::PATIENCE).unwrap();
--- a/crates/daemon/src/packing.rs
+++ b/crates/daemon/src/compression.rs
@@ -15,7 +15,7 @@
 use tower::{Layer, Service};
 
 /// Smaller bodies are sent as they are: packing would gain less than the headers take.
-const WORTHWHILE: usize = 512;
+const MIN_COMPRESSED_BYTES: usize = 512;
 
 const CONTENT_ENCODING: &str = "content-encoding";
 const CONTENT_LENGTH: &str = "content-length";
@@ -23,21 +23,21 @@
 
 /// Packs the bodies of a client's requests.
 #[derive(Debug, Clone, Copy)]
-pub struct Pack;
+pub struct Compress;
 
 /// A client's service whose requests are packed.
 #[derive(Debug, Clone)]
-pub struct Packer<S>(S);
+pub struct Compressor<S>(S);
 
-impl<S> Layer<S> for Pack {
-    type Service = Packer<S>;
+impl<S> Layer<S> for Compress {
+    type Service = Compressor<S>;
 
-    fn layer(&self, inner: S) -> Packer<S> {
-        Packer(inner)
+    fn layer(&self, inner: S) -> Compressor<S> {
+        Compressor(inner)
     }
 }
 
-impl<S> Service<HttpRequest> for Packer<S>
+impl<S> Service<HttpRequest> for Compressor<S>
 where
     S: Service<HttpRequest> + Clone + Send + 'static,
     S::Error: From<HttpError>,
@@ -56,27 +56,27 @@
         let clone = self.0.clone();
         let mut ready = std::mem::replace(&mut self.0, clone);
         Box::pin(async move {
-            let request = pack(request).await?;
+            let request = compress(request).await?;
             ready.call(request).await
         })
     }
 }
 
-async fn pack(request: HttpRequest) -> Result<HttpRequest, HttpError> {
+async fn compress(request: HttpRequest) -> Result<HttpRequest, HttpError> {
     let (mut head, body) = request.into_parts();
     let collected = body.collect().await.map_err(HttpError::Stream)?;
     let bytes = collected.to_bytes();
-    if bytes.len() < WORTHWHILE {
+    if bytes.len() < MIN_COMPRESSED_BYTES {
         return Ok(HttpRequest::from_parts(
             head,
             HttpBody::from(bytes.to_vec()),
         ));
     }
-    let packed = gzip(&bytes).map_err(|error| HttpError::Stream(error.into()))?;
+    let compressed = gzip(&bytes).map_err(|error| HttpError::Stream(error.into()))?;
     head.headers.remove(CONTENT_LENGTH);
     head.headers
         .insert(CONTENT_ENCODING, HeaderValue::from_static(GZIP));
-    Ok(HttpRequest::from_parts(head, HttpBody::from(packed)))
+    Ok(HttpRequest::from_parts(head, HttpBody::from(compressed)))
 }
 
 fn gzip(bytes: &[u8]) -> std::io::Result<Vec<u8>> {
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -17,7 +17,7 @@
 use crate::token::Token;
 
 /// Greatest body that an operator may send; a configuration of a thousand services fits.
-pub const MAX_BODY: usize = 8 << 20;
+pub const MAX_BODY_BYTES: usize = 8 << 20;
 
 const WORKERS: usize = 1;
 const SHUTDOWN_SECONDS: u64 = 2;
@@ -42,12 +42,12 @@
 
 /// The request does not carry the operators' token.
 #[derive(Debug, displaydoc::Display)]
-enum Guard {
+enum AuthError {
     /// send the operators' token as `Authorization: Bearer TOKEN`
     Unauthorized,
 }
 
-impl ResponseError for Guard {
+impl ResponseError for AuthError {
     fn status_code(&self) -> actix_web::http::StatusCode {
         actix_web::http::StatusCode::UNAUTHORIZED
     }
@@ -97,12 +97,12 @@
     let address = socket.local_addr()?;
     let server = HttpServer::new(move || {
         let operators = web::scope("/v1")
-            .wrap(from_fn(guard))
+            .wrap(from_fn(require_token))
             .configure(routes.clone());
         App::new()
             .app_data(Data::new(token.clone()))
             .app_data(Data::from(probe.clone()))
-            .app_data(web::PayloadConfig::new(MAX_BODY))
+            .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
             .route("/live", web::get().to(live))
             .route("/ready", web::get().to(ready))
             .route("/metrics", web::get().to(metrics))
@@ -122,7 +122,7 @@
     server.await
 }
 
-async fn guard(
+async fn require_token(
     token: Data<Token>,
     request: ServiceRequest,
     next: Next<impl MessageBody>,
@@ -134,7 +134,7 @@
     if !token.admits(offered) {
         let path = request.path().to_owned();
         Daemon::Unauthorized { path }.log();
-        return Err(Guard::Unauthorized.into());
+        return Err(AuthError::Unauthorized.into());
     }
     next.call(request).await
 }
--- a/crates/daemon/src/incarnation.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -2,6 +2,6 @@
 
 /// Draws a number for this run. A restarted host is thereby a different lease holder, and no
 /// controller takes its empty memory for the knowledge of the one before.
-pub fn draw() -> u64 {
+pub fn random() -> u64 {
     rand::random()
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,13 +2,13 @@
 //! operators' HTTP and the way to stop.
 
 pub mod clock;
+pub mod compression;
 pub mod event;
 pub mod health;
 pub mod http;
 pub mod incarnation;
 pub mod log;
 pub mod metrics;
-pub mod packing;
 pub mod remote;
 pub mod settings;
 pub mod stop;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -84,11 +84,11 @@
 }
 
 /// Lines that wait for a slow reader of standard output before new ones are dropped.
-const QUEUE: usize = 1_024;
+const QUEUE_LINES: usize = 1_024;
 
 /// How long a process that ends waits for its last lines to be written: a reader that is alive takes
 /// milliseconds.
-const LAST_LINES: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Sends events at `level` and above to standard error. May be called again: the last call
 /// holds for the whole process.
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// Ends logging: waits until what was logged is written, at most [`LAST_LINES`]. What is logged after
+/// Ends logging: waits until what was logged is written, at most [`FLUSH_TIMEOUT`]. What is logged after
 /// that goes nowhere.
 ///
 /// Guards against a process that does not end: at its exit the library waits for the thread that
@@ -136,7 +136,7 @@
         let _ = done.send(());
     });
     // Lines that nobody reads are lost with the process.
-    let _ = written.recv_timeout(LAST_LINES);
+    let _ = written.recv_timeout(FLUSH_TIMEOUT);
     Ok(())
 }
 
@@ -154,7 +154,7 @@
         Target::Error => Ok(direct),
         Target::Output => {
             let pool = ThreadPool::builder()
-                .capacity(QUEUE.try_into().expect("the queue is not empty"))
+                .capacity(QUEUE_LINES.try_into().expect("the queue is not empty"))
                 .build()?;
             let queued = AsyncPoolSink::builder()
                 .sink(direct)
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -10,7 +10,7 @@
 
 /// Bounds of histograms of durations in seconds. They are fine around the contracts of today
 /// (hundredths to tenths of a second) and still hold a failover and a configuration change.
-pub const SECONDS: [f64; 18] = [
+pub const DURATION_BUCKETS_SECONDS: [f64; 18] = [
     0.000_1, 0.000_25, 0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5,
     1.0, 2.0, 4.0, 8.0, 13.0,
 ];
@@ -19,7 +19,7 @@
 pub const VIOLATIONS: &str = "flamingopost_invariant_violations_total";
 
 static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
-static LOGGED: [AtomicU64; Invariant::ALL.len()] =
+static LOGGED_VIOLATIONS: [AtomicU64; Invariant::ALL.len()] =
     [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
 /// Starts recording. The first call in a process installs the recorder; later ones, by other
@@ -39,7 +39,10 @@
 fn install() -> PrometheusHandle {
     let builder = PrometheusBuilder::new();
     let builder = builder
-        .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &SECONDS)
+        .set_buckets_for_metric(
+            Matcher::Suffix("_seconds".to_owned()),
+            &DURATION_BUCKETS_SECONDS,
+        )
         .unwrap_or_else(|_| PrometheusBuilder::new());
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
@@ -54,7 +57,7 @@
     for invariant in Invariant::ALL {
         let count = invariant::violations(invariant);
         metrics::counter!(VIOLATIONS, "invariant" => invariant.to_string()).absolute(count);
-        let logged = LOGGED[invariant as usize].swap(count, Ordering::Relaxed);
+        let logged = LOGGED_VIOLATIONS[invariant as usize].swap(count, Ordering::Relaxed);
         if count > logged {
             let invariant = invariant.to_string();
             Daemon::Violated { invariant, count }.log();
--- a/crates/daemon/src/remote.rs
+++ b/crates/daemon/src/remote.rs
@@ -18,28 +18,32 @@
 use tower_http::map_response_body::MapResponseBodyLayer;
 use tower_http::validate_request::{ValidateRequest, ValidateRequestHeaderLayer};
 
-use crate::packing::{Pack, Packer};
+use crate::compression::{Compress, Compressor};
 use crate::token::Token;
 
 const AUTHORIZATION: &str = "authorization";
 const UNAUTHORIZED: u16 = 401;
 
 /// Names the caller's availability zone, as requests to the platform do.
-const ZONE: &str = "x-zone";
+const ZONE_HEADER: &str = "x-zone";
 
 /// Greatest answer: a view, or a configuration body, of a thousand services.
-const MAX_ANSWER: u32 = 16 << 20;
+const MAX_RESPONSE_BYTES: u32 = 16 << 20;
 
 /// Answers that are smaller are sent as they are.
-const WORTHWHILE: u16 = 512;
+const MIN_COMPRESSED_BYTES: u16 = 512;
 
 /// A client whose requests and answers are packed.
-pub type Client = HttpClient<RpcLogger<RpcService<Packer<Decompression<HttpBackend>>>>>;
+pub type Client = HttpClient<RpcLogger<RpcService<Compressor<Decompression<HttpBackend>>>>>;
 
 /// What a server's middleware is made of, the outermost last.
-pub type Middleware = Stack<CompressionLayer<SizeAbove>, Stack<RequestDecompressionLayer, Outer>>;
-type Outer = Stack<MapResponseBodyLayer<Unify>, Stack<ValidateRequestHeaderLayer<Guard>, Identity>>;
-type Unify = fn(UnsyncBoxBody<Bytes, BoxError>) -> HttpBody;
+pub type Middleware =
+    Stack<CompressionLayer<SizeAbove>, Stack<RequestDecompressionLayer, OuterLayers>>;
+type OuterLayers = Stack<
+    MapResponseBodyLayer<BoxBody>,
+    Stack<ValidateRequestHeaderLayer<TokenValidator>, Identity>,
+>;
+type BoxBody = fn(UnsyncBoxBody<Bytes, BoxError>) -> HttpBody;
 
 /// A client for the process at `address` of a fleet whose operators have `token`; each call is
 /// given up after `timeout`. Nothing is sent yet.
@@ -47,14 +51,14 @@
 /// # Errors
 /// The address is none that can be connected to.
 pub fn client(address: &str, token: &Token, timeout: Duration) -> Result<Client, ClientError> {
-    client_in("", address, token, timeout)
+    client_in_zone("", address, token, timeout)
 }
 
 /// As [`client`], for a caller in availability zone `zone`, which each call names.
 ///
 /// # Errors
 /// The address is none that can be connected to.
-pub fn client_in(
+pub fn client_in_zone(
     zone: &str,
     address: &str,
     token: &Token,
@@ -62,19 +66,19 @@
 ) -> Result<Client, ClientError> {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(zone) {
-        headers.insert(ZONE, value);
+        headers.insert(ZONE_HEADER, value);
     }
-    if let Ok(mut value) = HeaderValue::from_str(&token.pass().header()) {
+    if let Ok(mut value) = HeaderValue::from_str(&token.rpc_token().header()) {
         value.set_sensitive(true);
         headers.insert(AUTHORIZATION, value);
     }
     HttpClientBuilder::default()
         .request_timeout(timeout)
-        .max_response_size(MAX_ANSWER)
+        .max_response_size(MAX_RESPONSE_BYTES)
         .set_headers(headers)
         .set_http_middleware(
             ServiceBuilder::new()
-                .layer(Pack)
+                .layer(Compress)
                 .layer(DecompressionLayer::new()),
         )
         .build(format!("http://{address}"))
@@ -85,23 +89,23 @@
 ///
 /// Without it anybody who reaches the port could close terms, or send a view of a far epoch that
 /// no controller can follow: callers would see every write refused.
-pub fn guard(token: &Token) -> ServiceBuilder<Middleware> {
-    let guard = Guard(token.pass());
-    let answers = CompressionLayer::new().quality(CompressionLevel::Fastest);
+pub fn server_middleware(token: &Token) -> ServiceBuilder<Middleware> {
+    let validator = TokenValidator(token.rpc_token());
+    let compression = CompressionLayer::new().quality(CompressionLevel::Fastest);
     // The guard stands before the rest, so that strangers cannot have anything unpacked here.
     ServiceBuilder::new()
-        .layer(ValidateRequestHeaderLayer::custom(guard))
-        .layer(MapResponseBodyLayer::new(HttpBody::new as Unify))
+        .layer(ValidateRequestHeaderLayer::custom(validator))
+        .layer(MapResponseBodyLayer::new(HttpBody::new as BoxBody))
         .layer(RequestDecompressionLayer::new())
-        .layer(answers.compress_when(SizeAbove::new(WORTHWHILE)))
+        .layer(compression.compress_when(SizeAbove::new(MIN_COMPRESSED_BYTES)))
 }
 
 /// Lets requests with the fleet's pass through. A fleet without a token, which settings do not
 /// allow, is open: tests and embedders are.
 #[derive(Debug, Clone)]
-pub struct Guard(Token);
+pub struct TokenValidator(Token);
 
-impl<B> ValidateRequest<B> for Guard {
+impl<B> ValidateRequest<B> for TokenValidator {
     type ResponseBody = HttpBody;
 
     fn validate(&mut self, request: &mut HttpRequest<B>) -> Result<(), HttpResponse> {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -23,12 +23,12 @@
     /// The line, from 1; 0 when something is absent.
     pub line: usize,
     /// What is wrong there.
-    pub what: What,
+    pub kind: ProblemKind,
 }
 
 /// What is wrong, and what would be right.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
-pub enum What {
+pub enum ProblemKind {
     /// cannot be read: {0}
     Unreadable(String),
     /// is no INI: {0}
@@ -92,8 +92,8 @@
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            0 => write!(f, "{}: {}", self.file, self.what),
-            line => write!(f, "{}:{}: {}", self.file, line, self.what),
+            0 => write!(f, "{}: {}", self.file, self.kind),
+            line => write!(f, "{}:{}: {}", self.file, line, self.kind),
         }
     }
 }
@@ -114,7 +114,7 @@
     }
 }
 
-type Place = (String, String);
+type KeyPath = (String, String);
 
 /// Reads values out of one file and gathers what is wrong.
 ///
@@ -140,9 +140,9 @@
 #[derive(Debug)]
 pub struct Reader {
     file: String,
-    values: BTreeMap<Place, String>,
-    lines: BTreeMap<Place, usize>,
-    asked: BTreeSet<Place>,
+    values: BTreeMap<KeyPath, String>,
+    lines: BTreeMap<KeyPath, usize>,
+    requested: BTreeSet<KeyPath>,
     problems: Vec<Problem>,
 }
 
@@ -154,7 +154,7 @@
             Ok(text) => Reader::parse(&file, &text),
             Err(error) => {
                 let mut reader = Reader::parse(&file, "");
-                reader.report(0, What::Unreadable(error.to_string()));
+                reader.report(0, ProblemKind::Unreadable(error.to_string()));
                 reader
             }
         }
@@ -165,13 +165,13 @@
         let mut reader = Reader {
             file: file.to_owned(),
             values: BTreeMap::new(),
-            lines: lines(text),
-            asked: BTreeSet::new(),
+            lines: line_numbers(text),
+            requested: BTreeSet::new(),
             problems: Vec::new(),
         };
         match Ini::load_from_str_noescape(text) {
-            Ok(ini) => reader.take(&ini),
-            Err(error) => reader.report(error.line, What::Syntax(error.msg.to_string())),
+            Ok(ini) => reader.load(&ini),
+            Err(error) => reader.report(error.line, ProblemKind::Syntax(error.msg.to_string())),
         }
         reader
     }
@@ -179,7 +179,7 @@
     /// A value that has to be there; `example` is shown where it is not.
     pub fn required<V: Value>(&mut self, section: &str, key: &str, example: &str) -> Option<V> {
         if self.text(section, key).is_none() {
-            let missing = What::Missing {
+            let missing = ProblemKind::Missing {
                 section: section.to_owned(),
                 key: key.to_owned(),
                 example: example.to_owned(),
@@ -191,8 +191,8 @@
     }
 
     /// A value that may be absent, and what holds then.
-    pub fn optional<V: Value>(&mut self, section: &str, key: &str, absent: V) -> V {
-        self.maybe(section, key).unwrap_or(absent)
+    pub fn optional<V: Value>(&mut self, section: &str, key: &str, default: V) -> V {
+        self.maybe(section, key).unwrap_or(default)
     }
 
     /// A value that may be absent.
@@ -200,7 +200,7 @@
         let text = self.text(section, key)?;
         let value = V::read(&text);
         if value.is_none() {
-            let wrong = What::Wrong {
+            let wrong = ProblemKind::Wrong {
                 section: section.to_owned(),
                 key: key.to_owned(),
                 value: text,
@@ -213,13 +213,13 @@
 
     /// Adds that the file which `key` names cannot be read.
     pub fn unreadable(&mut self, section: &str, key: &str, error: &std::io::Error) {
-        let what = What::File {
+        let kind = ProblemKind::File {
             section: section.to_owned(),
             key: key.to_owned(),
             value: self.text(section, key).unwrap_or_default(),
             error: error.to_string(),
         };
-        self.report(self.line(section, key), what);
+        self.report(self.line(section, key), kind);
     }
 
     /// The operators' token, from the file that `token_file` in `[operators]` names.
@@ -250,13 +250,13 @@
         }
     }
 
-    fn take(&mut self, ini: &Ini) {
+    fn load(&mut self, ini: &Ini) {
         for (section, properties) in ini {
             let section = section.unwrap_or_default();
             for (key, value) in properties {
-                let place = (section.to_owned(), key.to_owned());
-                if self.values.insert(place, value.trim().to_owned()).is_some() {
-                    let twice = What::Twice {
+                let path = (section.to_owned(), key.to_owned());
+                if self.values.insert(path, value.trim().to_owned()).is_some() {
+                    let twice = ProblemKind::Twice {
                         section: section.to_owned(),
                         key: key.to_owned(),
                     };
@@ -267,53 +267,60 @@
     }
 
     fn text(&mut self, section: &str, key: &str) -> Option<String> {
-        let place = (section.to_owned(), key.to_owned());
-        let text = self.values.get(&place).cloned();
-        self.asked.insert(place);
+        let path = (section.to_owned(), key.to_owned());
+        let text = self.values.get(&path).cloned();
+        self.requested.insert(path);
         text
     }
 
     fn line(&self, section: &str, key: &str) -> usize {
-        let place = (section.to_owned(), key.to_owned());
-        self.lines.get(&place).copied().unwrap_or_default()
+        let path = (section.to_owned(), key.to_owned());
+        self.lines.get(&path).copied().unwrap_or_default()
     }
 
-    fn report(&mut self, line: usize, what: What) {
+    fn report(&mut self, line: usize, kind: ProblemKind) {
         let file = self.file.clone();
-        self.problems.push(Problem { file, line, what });
+        self.problems.push(Problem { file, line, kind });
     }
 
     fn report_unknown(&mut self) {
-        let unknown: Vec<Place> = self
+        let unknown: Vec<KeyPath> = self
             .values
             .keys()
-            .filter(|place| !self.asked.contains(*place))
+            .filter(|path| !self.requested.contains(*path))
             .cloned()
             .collect();
         for (section, key) in unknown {
             let line = self.line(&section, &key);
             let known = self.known_keys(&section);
-            let what = if known.is_empty() {
+            let kind = if known.is_empty() {
                 let known = self.known_sections();
-                What::UnknownSection { section, known }
+                ProblemKind::UnknownSection { section, known }
             } else {
-                What::UnknownKey {
+                ProblemKind::UnknownKey {
                     section,
                     key,
                     known,
                 }
             };
-            self.report(line, what);
+            self.report(line, kind);
         }
     }
 
     fn known_keys(&self, section: &str) -> String {
-        let keys = self.asked.iter().filter(|(asked, _)| asked == section);
+        let keys = self
+            .requested
+            .iter()
+            .filter(|(requested, _)| requested == section);
         join(keys.map(|(_, key)| key.as_str()))
     }
 
     fn known_sections(&self) -> String {
-        let sections: BTreeSet<&str> = self.asked.iter().map(|(asked, _)| asked.as_str()).collect();
+        let sections: BTreeSet<&str> = self
+            .requested
+            .iter()
+            .map(|(requested, _)| requested.as_str())
+            .collect();
         join(sections.into_iter())
     }
 }
@@ -323,7 +330,7 @@
 }
 
 /// The line of each key. The INI library tells lines of syntax errors only.
-fn lines(text: &str) -> BTreeMap<Place, usize> {
+fn line_numbers(text: &str) -> BTreeMap<KeyPath, usize> {
     let mut lines = BTreeMap::new();
     let mut section = String::new();
     for (index, line) in text.lines().enumerate() {
--- a/crates/daemon/src/settings/platform.rs
+++ b/crates/daemon/src/settings/platform.rs
@@ -7,7 +7,7 @@
 
 /// How long one request may take where the settings give no time: the services answer within
 /// milliseconds, and hundreds of them while they are slow.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The platform's services.
 #[derive(Debug, Clone, Copy)]
@@ -35,7 +35,7 @@
     pub fn at(address: SocketAddr, poll: Duration) -> Platform {
         Platform {
             address,
-            timeout: TIMEOUT,
+            timeout: DEFAULT_TIMEOUT,
             poll,
         }
     }
@@ -44,7 +44,7 @@
     /// where the section is wrong, which `reader` reports at its end.
     pub fn read(reader: &mut Reader, poll: Duration) -> Option<Platform> {
         let address = reader.required("platform", "address", "10.1.0.2:8400");
-        let timeout = reader.optional("platform", "timeout", TIMEOUT);
+        let timeout = reader.optional("platform", "timeout", DEFAULT_TIMEOUT);
         let poll = reader.optional("platform", "poll", poll);
         Some(Platform {
             address: address?,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -60,12 +60,12 @@
 
     /// Returns when the daemon drains or is over.
     pub async fn draining(&self) {
-        self.reached(Phase::Draining).await;
+        self.wait_for(Phase::Draining).await;
     }
 
     /// Returns when the daemon is over.
     pub async fn stopped(&self) {
-        self.reached(Phase::Stopped).await;
+        self.wait_for(Phase::Stopped).await;
     }
 
     /// A receiver for loops that select over the phase.
@@ -84,10 +84,14 @@
     pub fn on_signals(self) -> impl Future<Output = std::io::Result<()>> + Send + 'static {
         let terminate = signal(SignalKind::terminate());
         let interrupt = signal(SignalKind::interrupt());
-        async move { self.follow(terminate?, interrupt?).await }
+        async move { self.handle_signals(terminate?, interrupt?).await }
     }
 
-    async fn follow(self, mut terminate: Signal, mut interrupt: Signal) -> std::io::Result<()> {
+    async fn handle_signals(
+        self,
+        mut terminate: Signal,
+        mut interrupt: Signal,
+    ) -> std::io::Result<()> {
         while self.phase() != Phase::Stopped {
             tokio::select! {
                 _ = terminate.recv() => {}
@@ -104,15 +108,15 @@
 
     fn advance(&self, phase: Phase) {
         self.phase.send_if_modified(|current| {
-            let moves = phase > *current;
-            if moves {
+            let advances = phase > *current;
+            if advances {
                 *current = phase;
             }
-            moves
+            advances
         });
     }
 
-    async fn reached(&self, phase: Phase) {
+    async fn wait_for(&self, phase: Phase) {
         let mut receiver = self.phase.subscribe();
         // The sender lives in `self`, so waiting cannot fail.
         let _ = receiver.wait_for(|current| *current >= phase).await;
--- a/crates/daemon/src/token.rs
+++ b/crates/daemon/src/token.rs
@@ -6,7 +6,7 @@
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
 
-const PASS: &str = "flamingopost remote calls";
+const RPC_TOKEN_CONTEXT: &str = "flamingopost remote calls";
 
 /// A secret that operators send as `Authorization: Bearer TOKEN`. It is never shown.
 ///
@@ -51,11 +51,13 @@
 
     /// What processes show each other with every remote call, made from the token: whoever reads
     /// along between two processes does not learn the operators' token by it.
-    pub fn pass(&self) -> Token {
+    pub fn rpc_token(&self) -> Token {
         if self.0.is_empty() {
             return self.clone();
         }
-        let digest = Sha256::new().chain_update(PASS).chain_update(&self.0);
+        let digest = Sha256::new()
+            .chain_update(RPC_TOKEN_CONTEXT)
+            .chain_update(&self.0);
         let hex = digest
             .finalize()
             .iter()
--- a/crates/daemon/tests/remote.rs
+++ b/crates/daemon/tests/remote.rs
@@ -16,7 +16,7 @@
 
 async fn server(token: &str) -> (SocketAddr, ServerHandle) {
     let server = ServerBuilder::new()
-        .set_http_middleware(remote::guard(&Token::new(token)))
+        .set_http_middleware(remote::server_middleware(&Token::new(token)))
         .build("127.0.0.1:0")
         .await
         .unwrap();
@@ -49,9 +49,12 @@
 #[tokio::test]
 async fn what_processes_show_is_not_the_operators_token() {
     let token = Token::new("fleet");
-    assert!(!token.pass().header().contains("fleet"));
-    assert!(!token.admits(&token.pass().header()));
-    assert_eq!(token.pass().header(), Token::new("fleet").pass().header());
+    assert!(!token.rpc_token().header().contains("fleet"));
+    assert!(!token.admits(&token.rpc_token().header()));
+    assert_eq!(
+        token.rpc_token().header(),
+        Token::new("fleet").rpc_token().header()
+    );
 }
 
 /// Long bodies travel packed both ways, short ones as they are; nobody sees a difference.
@@ -95,7 +98,7 @@
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
     let request = client
         .post(format!("http://{address}"))
-        .header("authorization", Token::new(token).pass().header())
+        .header("authorization", Token::new(token).rpc_token().header())
         .header("content-encoding", "gzip")
         .header("content-type", "application/json")
         .body(packed);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flamingopost_daemon::log::{Format, Level};
-use flamingopost_daemon::settings::{Reader, What};
+use flamingopost_daemon::settings::{ProblemKind, Reader};
 
 const WRONG: &str = "[host]
 name =
@@ -60,7 +60,10 @@
     let mut reader = Reader::parse("entry.ini", "[host]\nname = a\n[oops\n");
     let decoded = read(&mut reader);
     let problems = reader.finish(decoded).unwrap_err().0;
-    assert!(matches!(problems[0].what, What::Syntax(_)), "{problems:?}");
+    assert!(
+        matches!(problems[0].kind, ProblemKind::Syntax(_)),
+        "{problems:?}"
+    );
     assert!(problems[0].line >= 3, "{problems:?}");
 }
 
@@ -69,7 +72,7 @@
     let mut reader = Reader::open(Path::new("no-such-file.ini"));
     let decoded = read(&mut reader);
     let problems = reader.finish(decoded).unwrap_err().0;
-    assert!(matches!(problems[0].what, What::Unreadable(_)));
+    assert!(matches!(problems[0].kind, ProblemKind::Unreadable(_)));
 }
 
 #[test]
--- a/crates/entry/examples/link_cost.rs
+++ b/crates/entry/examples/link_cost.rs
@@ -22,12 +22,12 @@
 use flamingopost_entry::link::{self, Host, Options};
 use flamingopost_entry::report::Outcome;
 use flamingopost_entry::shared::Shared;
-use flamingopost_platform::head::{HEAD, Head, body_key};
+use flamingopost_platform::head::{HEAD_KEY, Head, body_key};
 use flamingopost_platform::http::Client;
 use flamingopost_platform::object::Store as _;
-use flamingopost_platform::table::{Change, Guard, Table as _};
+use flamingopost_platform::table::{Change, Condition, Table as _};
 use flamingopost_standin::platform;
-use flamingopost_wire::authority::{Ask, Promise, Release, Released};
+use flamingopost_wire::authority::{Promise, PromiseRequest, Release, Released};
 use flamingopost_wire::knowledge::{Controller, Knowledge};
 use flamingopost_wire::lease::{Grant, Renewal, Reply};
 use flamingopost_wire::rpc::ControlServer;
@@ -312,8 +312,8 @@
         at_ms: 1_760_000_000_000,
     };
     let change = Change {
-        key: HEAD.to_owned(),
-        guard: Guard::Absent,
+        key: HEAD_KEY.to_owned(),
+        condition: Condition::Absent,
         body: head.encode(),
     };
     client.write(vec![change]).await.expect("the head");
@@ -329,7 +329,7 @@
 impl Control {
     async fn start(plan: &Plan, body: &str, renewals: Arc<AtomicU64>) -> SocketAddr {
         let server = ServerBuilder::new()
-            .set_http_middleware(remote::guard(&Token::new(TOKEN)))
+            .set_http_middleware(remote::server_middleware(&Token::new(TOKEN)))
             .build("127.0.0.1:0")
             .await
             .expect("a port");
@@ -422,7 +422,7 @@
         })
     }
 
-    async fn promise(&self, _: Ask) -> RpcResult<Promise> {
+    async fn promise(&self, _: PromiseRequest) -> RpcResult<Promise> {
         Err(unused())
     }
 
--- a/crates/entry/src/link/peers.rs
+++ b/crates/entry/src/link/peers.rs
@@ -54,7 +54,7 @@
         if clients.len() >= KEPT {
             clients.clear();
         }
-        let client = remote::client_in(&self.zone, address, &self.token, CALL)?;
+        let client = remote::client_in_zone(&self.zone, address, &self.token, CALL)?;
         clients.insert(address.to_owned(), client.clone());
         Ok(client)
     }
--- a/crates/entry/src/link/poll.rs
+++ b/crates/entry/src/link/poll.rs
@@ -6,7 +6,7 @@
 
 use flamingopost_daemon::event::Event as _;
 use flamingopost_platform::error::Error;
-use flamingopost_platform::head::{FLEET, HEAD, Head};
+use flamingopost_platform::head::{FLEET_PREFIX, HEAD_KEY, Head};
 use flamingopost_platform::table::{Row, Table};
 use futures::future::join_all;
 use serde::Deserialize;
@@ -42,8 +42,8 @@
     let mut silent = false;
     while link.is_running() {
         let rows = match link.is_missing_something() {
-            true => table.list(FLEET).await,
-            false => table.read(HEAD).await.map(Vec::from_iter),
+            true => table.list(FLEET_PREFIX).await,
+            false => table.read(HEAD_KEY).await.map(Vec::from_iter),
         };
         match rows {
             Ok(rows) => {
@@ -120,7 +120,7 @@
 fn take_rows(link: &Link, rows: &[Row]) {
     let mut head = None;
     for row in rows {
-        if row.key == HEAD {
+        if row.key == HEAD_KEY {
             match Head::decode(&row.body) {
                 Ok(read) => head = Some(read),
                 Err(error) => return bad_row(&row.key, &error.to_string()),
--- a/crates/entry/src/link/spread.rs
+++ b/crates/entry/src/link/spread.rs
@@ -154,7 +154,7 @@
                 self.adoption.record_head(head.version, digest)
             }
             Err(error) => {
-                let key = head::HEAD.to_owned();
+                let key = head::HEAD_KEY.to_owned();
                 let error = error.to_string();
                 Log::BadRow { key, error }.log();
                 AdoptionStep::Idle
@@ -197,7 +197,7 @@
 
     async fn fetch_stored(&self, version: u64) -> Option<Offer> {
         let (known, digest) = self.head.filter(|(known, _)| *known >= version)?;
-        let stored = head::fetch(self.store.as_ref(), digest).await;
+        let stored = head::fetch_body(self.store.as_ref(), digest).await;
         let body = String::from_utf8(stored.ok()??).ok()?;
         Some(Offer {
             version: known,
--- a/crates/entry/src/rpc.rs
+++ b/crates/entry/src/rpc.rs
@@ -49,7 +49,7 @@
         .http_only()
         .build();
     let server = ServerBuilder::with_config(config)
-        .set_http_middleware(remote::guard(token))
+        .set_http_middleware(remote::server_middleware(token))
         .build_from_tcp(socket)?;
     let stop = shared.stop().clone();
     let handle = server.start(Entry { shared, link }.into_rpc());
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -42,7 +42,7 @@
 impl Shared {
     /// What a host starts with: no configuration and no lease.
     pub fn new(clock: Arc<dyn Clock>, stop: Stop) -> Shared {
-        let incarnation = incarnation::draw();
+        let incarnation = incarnation::random();
         Shared {
             clock,
             stop,
--- a/crates/entry/tests/common/control.rs
+++ b/crates/entry/tests/common/control.rs
@@ -8,7 +8,7 @@
 use flamingopost_core::digest::Digest;
 use flamingopost_daemon::remote;
 use flamingopost_daemon::token::Token;
-use flamingopost_wire::authority::{Ask, Promise, Release, Released};
+use flamingopost_wire::authority::{Promise, PromiseRequest, Release, Released};
 use flamingopost_wire::knowledge::{Controller, Knowledge};
 use flamingopost_wire::lease::{Grant, Refusal, Renewal, Reply};
 use flamingopost_wire::rpc::ControlServer;
@@ -77,7 +77,7 @@
             renewals: Vec::new(),
         }));
         let server = ServerBuilder::new()
-            .set_http_middleware(remote::guard(&Token::new("")))
+            .set_http_middleware(remote::server_middleware(&Token::new("")))
             .build("127.0.0.1:0")
             .await
             .unwrap();
@@ -150,7 +150,7 @@
         Ok(knowledge)
     }
 
-    async fn promise(&self, _: Ask) -> RpcResult<Promise> {
+    async fn promise(&self, _: PromiseRequest) -> RpcResult<Promise> {
         Err(unused())
     }
 
--- a/crates/entry/tests/link.rs
+++ b/crates/entry/tests/link.rs
@@ -22,9 +22,9 @@
 use flamingopost_entry::rpc;
 use flamingopost_entry::shared::Shared;
 use flamingopost_platform::fake::{Fault, Platform};
-use flamingopost_platform::head::{HEAD, Head, body_key};
+use flamingopost_platform::head::{HEAD_KEY, Head, body_key};
 use flamingopost_platform::object::Store as _;
-use flamingopost_platform::table::{Change, Guard, Table as _};
+use flamingopost_platform::table::{Change, Condition, Table as _};
 use flamingopost_wire::close::Close;
 use flamingopost_wire::knowledge::Knowledge;
 use flamingopost_wire::rpc::EntryClient as _;
@@ -151,10 +151,10 @@
         operator: "ayele".to_owned(),
         at_ms: 0,
     };
-    let row = platform.read(HEAD).await.unwrap();
+    let row = platform.read(HEAD_KEY).await.unwrap();
     let change = Change {
-        key: HEAD.to_owned(),
-        guard: row.map_or(Guard::Absent, |row| Guard::Tag(row.tag)),
+        key: HEAD_KEY.to_owned(),
+        condition: row.map_or(Condition::Absent, |row| Condition::Tag(row.tag)),
         body: head.encode(),
     };
     platform.write(vec![change]).await.unwrap();
--- a/crates/platform/src/fake.rs
+++ b/crates/platform/src/fake.rs
@@ -9,7 +9,7 @@
 use crate::error::Error;
 use crate::hosts::{self, Host};
 use crate::object;
-use crate::table::{self, Change, Guard, Outcome, Row, Tag};
+use crate::table::{self, Change, Condition, Outcome, Row, Tag};
 
 /// What goes wrong with requests from now on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -65,7 +65,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    async fn enter(&self) -> Result<(), Error> {
+    async fn begin_request(&self) -> Result<(), Error> {
         let fault = self.lock().fault;
         if !fault.delay.is_zero() {
             tokio::time::sleep(fault.delay).await;
@@ -76,17 +76,17 @@
         Ok(())
     }
 
-    async fn enter_read(&self) -> Result<(), Error> {
+    async fn begin_read(&self) -> Result<(), Error> {
         self.lock().reads += 1;
-        self.enter().await
+        self.begin_request().await
     }
 
-    async fn enter_write(&self) -> Result<(), Error> {
+    async fn begin_write(&self) -> Result<(), Error> {
         self.lock().writes += 1;
-        self.enter().await
+        self.begin_request().await
     }
 
-    fn leave_write<T>(&self, answer: T) -> Result<T, Error> {
+    fn finish_write<T>(&self, answer: T) -> Result<T, Error> {
         if self.lock().fault.lost_answers {
             return Err(Error::Broken("answer lost".to_owned()));
         }
@@ -95,17 +95,17 @@
 }
 
 impl State {
-    fn holds(&self, change: &Change) -> bool {
-        match (&change.guard, self.rows.get(&change.key)) {
-            (Guard::Absent, None) => true,
-            (Guard::Tag(Tag(wanted)), Some((tag, _))) => *wanted == tag.to_string(),
+    fn condition_holds(&self, change: &Change) -> bool {
+        match (&change.condition, self.rows.get(&change.key)) {
+            (Condition::Absent, None) => true,
+            (Condition::Tag(Tag(wanted)), Some((tag, _))) => *wanted == tag.to_string(),
             _ => false,
         }
     }
 
     fn apply(&mut self, changes: Vec<Change>) -> Outcome {
-        if !changes.iter().all(|change| self.holds(change)) {
-            return Outcome::Lost;
+        if !changes.iter().all(|change| self.condition_holds(change)) {
+            return Outcome::Conflict;
         }
         let mut tags = Vec::new();
         for change in changes {
@@ -113,7 +113,7 @@
             self.rows.insert(change.key, (tag, change.body));
             tags.push(Tag(tag.to_string()));
         }
-        Outcome::Done(tags)
+        Outcome::Written(tags)
     }
 }
 
@@ -128,14 +128,14 @@
 #[async_trait]
 impl table::Table for Platform {
     async fn read(&self, key: &str) -> Result<Option<Row>, Error> {
-        self.enter_read().await?;
+        self.begin_read().await?;
         let state = self.lock();
         let found = state.rows.get(key);
         Ok(found.map(|(tag, body)| row(key, *tag, body)))
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<Row>, Error> {
-        self.enter_read().await?;
+        self.begin_read().await?;
         let state = self.lock();
         let rows = state.rows.range(prefix.to_owned()..);
         Ok(rows
@@ -145,30 +145,30 @@
     }
 
     async fn write(&self, changes: Vec<Change>) -> Result<Outcome, Error> {
-        self.enter_write().await?;
+        self.begin_write().await?;
         let outcome = self.lock().apply(changes);
-        self.leave_write(outcome)
+        self.finish_write(outcome)
     }
 }
 
 #[async_trait]
 impl object::Store for Platform {
     async fn get(&self, key: &str) -> Result<Option<Vec<u8>>, Error> {
-        self.enter_read().await?;
+        self.begin_read().await?;
         Ok(self.lock().objects.get(key).cloned())
     }
 
     async fn put(&self, key: &str, body: Vec<u8>) -> Result<(), Error> {
-        self.enter_write().await?;
+        self.begin_write().await?;
         self.lock().objects.insert(key.to_owned(), body);
-        self.leave_write(())
+        self.finish_write(())
     }
 }
 
 #[async_trait]
 impl hosts::List for Platform {
     async fn hosts(&self) -> Result<Vec<Host>, Error> {
-        self.enter_read().await?;
+        self.begin_read().await?;
         Ok(self.lock().hosts.clone())
     }
 }
--- a/crates/platform/src/group.rs
+++ b/crates/platform/src/group.rs
@@ -121,9 +121,9 @@
     /// # Errors
     /// No answer, or one that cannot be read.
     pub async fn status(&self) -> Result<Status, Error> {
-        let row = self.row("SELECT * FROM group_status()").await?;
-        let term: i64 = number(&row, "term")?;
-        let age: u64 = number(&row, "age_ms")?;
+        let row = self.query_row("SELECT * FROM group_status()").await?;
+        let term: i64 = parse_number(&row, "term")?;
+        let age: u64 = parse_number(&row, "age_ms")?;
         Ok(Status {
             term: Term::from_number(term),
             role: match column(&row, "role")? {
@@ -148,7 +148,7 @@
             Some(position) => format!("SELECT group_promote({number}, '{position}')"),
             None => format!("SELECT group_promote({number})"),
         };
-        self.row(&order).await.map(drop)
+        self.query_row(&order).await.map(drop)
     }
 
     /// Makes the server follow the primary of `term` at `address`; a divergent tail is discarded.
@@ -157,14 +157,14 @@
     /// As for [`Client::promote`].
     pub async fn follow(&self, address: SocketAddr, term: Term) -> Result<(), Error> {
         let order = format!("SELECT group_follow('{address}', {})", term.number());
-        self.row(&order).await.map(drop)
+        self.query_row(&order).await.map(drop)
     }
 
-    async fn row(&self, query: &str) -> Result<SimpleQueryRow, Error> {
-        let asking = tokio::time::timeout(self.timeout, self.postgres.simple_query(query));
-        let messages = match asking.await {
+    async fn query_row(&self, query: &str) -> Result<SimpleQueryRow, Error> {
+        let pending = tokio::time::timeout(self.timeout, self.postgres.simple_query(query));
+        let messages = match pending.await {
             Err(_) => return Err(Error::Timeout(self.timeout)),
-            Ok(answer) => answer.map_err(|error| failure(&error))?,
+            Ok(answer) => answer.map_err(|error| query_error(&error))?,
         };
         let row = messages.into_iter().find_map(|message| match message {
             SimpleQueryMessage::Row(row) => Some(row),
@@ -186,7 +186,7 @@
     error.code() == Some(&SqlState::TOO_MANY_CONNECTIONS)
 }
 
-fn failure(error: &tokio_postgres::Error) -> Error {
+fn query_error(error: &tokio_postgres::Error) -> Error {
     match error.as_db_error() {
         Some(refusal) => Error::Refused(refusal.message().to_owned()),
         None => Error::Broken,
@@ -197,7 +197,10 @@
     row.try_get(name).ok().flatten().ok_or(Error::Column(name))
 }
 
-fn number<T: std::str::FromStr>(row: &SimpleQueryRow, name: &'static str) -> Result<T, Error> {
+fn parse_number<T: std::str::FromStr>(
+    row: &SimpleQueryRow,
+    name: &'static str,
+) -> Result<T, Error> {
     let text = column(row, name)?;
     text.parse()
         .map_err(|_| Error::Value(name, text.to_owned()))
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -13,10 +13,10 @@
 use crate::object::Store;
 
 /// Prefix of all rows that a host polls for; one read.
-pub const FLEET: &str = "fleet/";
+pub const FLEET_PREFIX: &str = "fleet/";
 
 /// Key of the head row.
-pub const HEAD: &str = "fleet/head";
+pub const HEAD_KEY: &str = "fleet/head";
 
 /// An accepted version, as rows hold it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -95,7 +95,7 @@
 
 /// Prefix of the records of the hundred versions around `version`, so that a history of years
 /// is never read at once.
-pub fn history_page(version: u64) -> String {
+pub fn history_page_prefix(version: u64) -> String {
     let key = history_key(version);
     key[..key.len() - 2].to_owned()
 }
@@ -109,6 +109,6 @@
 ///
 /// # Errors
 /// The object store does not answer.
-pub async fn fetch(store: &dyn Store, digest: Digest) -> Result<Option<Vec<u8>>, Error> {
+pub async fn fetch_body(store: &dyn Store, digest: Digest) -> Result<Option<Vec<u8>>, Error> {
     store.get(&body_key(digest)).await
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -12,7 +12,7 @@
 use crate::error::Error;
 use crate::hosts::{self, Host};
 use crate::object;
-use crate::table::{self, Change, Guard, Outcome, Row, Tag};
+use crate::table::{self, Change, Condition, Outcome, Row, Tag};
 
 /// A client of all three HTTP services; clones share its connections.
 #[derive(Debug, Clone)]
@@ -72,7 +72,7 @@
 
     async fn send(&self, request: RequestBuilder) -> Result<Response, Error> {
         let response = request.header(ZONE_HEADER, &self.zone).send().await;
-        let response = response.map_err(|error| self.failure(&error))?;
+        let response = response.map_err(|error| self.request_error(&error))?;
         match response.status() {
             StatusCode::SERVICE_UNAVAILABLE => Err(Error::Refused),
             _ => Ok(response),
@@ -81,10 +81,11 @@
 
     async fn body(&self, response: Response) -> Result<Vec<u8>, Error> {
         let body = response.bytes().await;
-        body.map(Vec::from).map_err(|error| self.failure(&error))
+        body.map(Vec::from)
+            .map_err(|error| self.request_error(&error))
     }
 
-    fn failure(&self, error: &reqwest::Error) -> Error {
+    fn request_error(&self, error: &reqwest::Error) -> Error {
         // The connection was never made, so the request was never sent. A timeout while
         // connecting is of this kind too and has to be told apart first.
         if error.is_connect() || error.is_builder() {
@@ -119,7 +120,7 @@
     async fn list(&self, prefix: &str) -> Result<Vec<Row>, Error> {
         let request = self.http.get(self.url(&format!("/table?prefix={prefix}")));
         let response = self.send(request).await?;
-        let body = self.body(expect(response)?).await?;
+        let body = self.body(require_success(response)?).await?;
         let rows: Vec<Listed> = decode(&body)?;
         Ok(rows.into_iter().map(Row::from).collect())
     }
@@ -134,9 +135,9 @@
         match response.status() {
             StatusCode::OK | StatusCode::CREATED => {
                 let tags: Vec<String> = decode(&self.body(response).await?)?;
-                Ok(Outcome::Done(tags.into_iter().map(Tag).collect()))
+                Ok(Outcome::Written(tags.into_iter().map(Tag).collect()))
             }
-            StatusCode::PRECONDITION_FAILED => Ok(Outcome::Lost),
+            StatusCode::PRECONDITION_FAILED => Ok(Outcome::Conflict),
             other => Err(Error::Status(other.as_u16())),
         }
     }
@@ -149,7 +150,7 @@
         let response = self.send(request).await?;
         match response.status() {
             StatusCode::NOT_FOUND => Ok(None),
-            _ => self.body(expect(response)?).await.map(Some),
+            _ => self.body(require_success(response)?).await.map(Some),
         }
     }
 
@@ -164,7 +165,7 @@
         if response.status() == StatusCode::PRECONDITION_FAILED {
             return Ok(());
         }
-        expect(response).map(drop)
+        require_success(response).map(drop)
     }
 }
 
@@ -172,7 +173,7 @@
 impl hosts::List for Client {
     async fn hosts(&self) -> Result<Vec<Host>, Error> {
         let response = self.send(self.http.get(self.url("/hosts"))).await?;
-        let body = self.body(expect(response)?).await?;
+        let body = self.body(require_success(response)?).await?;
         decode(&body)
     }
 }
@@ -191,9 +192,9 @@
     type Error = Error;
 
     fn try_from(change: &'a Change) -> Result<Write<'a>, Error> {
-        let (if_match, if_none_match) = match &change.guard {
-            Guard::Absent => (None, Some("*")),
-            Guard::Tag(Tag(tag)) => (Some(tag.as_str()), None),
+        let (if_match, if_none_match) = match &change.condition {
+            Condition::Absent => (None, Some("*")),
+            Condition::Tag(Tag(tag)) => (Some(tag.as_str()), None),
         };
         let body =
             serde_json::from_str(&change.body).map_err(|error| Error::Answer(error.to_string()))?;
@@ -206,7 +207,7 @@
     }
 }
 
-fn expect(response: Response) -> Result<Response, Error> {
+fn require_success(response: Response) -> Result<Response, Error> {
     if response.status().is_success() {
         return Ok(response);
     }
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -21,7 +21,7 @@
 
 /// What a row has to be for a write to take effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Guard {
+pub enum Condition {
     /// There is no such row.
     Absent,
     /// The row still has this tag.
@@ -34,7 +34,7 @@
     /// The row's key.
     pub key: String,
     /// What the row has to be.
-    pub guard: Guard,
+    pub condition: Condition,
     /// The body to write, JSON.
     pub body: String,
 }
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The write took effect; the rows have these tags now, in the order of the changes.
-    Done(Vec<Tag>),
+    Written(Vec<Tag>),
     /// A guard did not hold; nothing was written.
-    Lost,
+    Conflict,
 }
 
 /// The table service.
--- a/crates/platform/tests/fake.rs
+++ b/crates/platform/tests/fake.rs
@@ -3,43 +3,43 @@
 use flamingopost_platform::error::{Effect, Error};
 use flamingopost_platform::fake::{Fault, Platform};
 use flamingopost_platform::object::Store;
-use flamingopost_platform::table::{Change, Guard, Outcome, Table, Tag};
+use flamingopost_platform::table::{Change, Condition, Outcome, Table, Tag};
 
-fn change(key: &str, guard: Guard, body: &str) -> Change {
+fn change(key: &str, condition: Condition, body: &str) -> Change {
     Change {
         key: key.to_owned(),
-        guard,
+        condition,
         body: body.to_owned(),
     }
 }
 
 fn done(tag: &str) -> Outcome {
-    Outcome::Done(vec![Tag(tag.to_owned())])
+    Outcome::Written(vec![Tag(tag.to_owned())])
 }
 
 #[tokio::test]
 async fn one_of_two_writers_loses() {
     let platform = Platform::default();
-    let first = platform.write(vec![change("fleet/head", Guard::Absent, "1")]);
+    let first = platform.write(vec![change("fleet/head", Condition::Absent, "1")]);
     assert_eq!(first.await, Ok(done("1")));
-    let second = platform.write(vec![change("fleet/head", Guard::Absent, "2")]);
-    assert_eq!(second.await, Ok(Outcome::Lost));
+    let second = platform.write(vec![change("fleet/head", Condition::Absent, "2")]);
+    assert_eq!(second.await, Ok(Outcome::Conflict));
     let row = platform.read("fleet/head").await.unwrap().unwrap();
     assert_eq!(row.body, "1");
-    let third = platform.write(vec![change("fleet/head", Guard::Tag(row.tag), "3")]);
+    let third = platform.write(vec![change("fleet/head", Condition::Tag(row.tag), "3")]);
     assert_eq!(third.await, Ok(done("2")));
 }
 
 #[tokio::test]
 async fn several_changes_take_effect_together_or_not_at_all() {
     let platform = Platform::default();
-    let only = platform.write(vec![change("fleet/a", Guard::Absent, "1")]);
+    let only = platform.write(vec![change("fleet/a", Condition::Absent, "1")]);
     assert_eq!(only.await, Ok(done("1")));
     let both = platform.write(vec![
-        change("fleet/b", Guard::Absent, "1"),
-        change("fleet/a", Guard::Absent, "2"),
+        change("fleet/b", Condition::Absent, "1"),
+        change("fleet/a", Condition::Absent, "2"),
     ]);
-    assert_eq!(both.await, Ok(Outcome::Lost));
+    assert_eq!(both.await, Ok(Outcome::Conflict));
     let rows = platform.list("fleet/").await.unwrap();
     assert_eq!(rows.len(), 1);
     assert_eq!(rows[0].body, "1");
@@ -54,7 +54,7 @@
         lost_answers: true,
         ..Fault::default()
     });
-    let lost = platform.write(vec![change("fleet/head", Guard::Absent, "1")]);
+    let lost = platform.write(vec![change("fleet/head", Condition::Absent, "1")]);
     let error = lost.await.unwrap_err();
     assert_eq!(error.effect(), Effect::Unknown);
     let row = platform.read("fleet/head").await.unwrap();
--- a/crates/wire/src/authority.rs
+++ b/crates/wire/src/authority.rs
@@ -9,7 +9,7 @@
 
 /// A controller tells a host that it is there, and may ask it not to claim the shard for a while.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PromiseRequest {
     /// The shard.
     pub shard: u16,
     /// Epoch of the asking authority.
@@ -69,7 +69,7 @@
         Promise {
             incarnation: promise.incarnation,
             given: promise.given,
-            valid_ms: millis(promise.valid),
+            valid_ms: to_millis(promise.valid),
             epoch: promise.epoch,
             revision: promise.revision,
         }
@@ -88,6 +88,6 @@
     }
 }
 
-fn millis(span: Duration) -> u64 {
+fn to_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/wire/src/explanation.rs
+++ b/crates/wire/src/explanation.rs
@@ -108,8 +108,8 @@
     ///
     /// let index = Index::new(Arc::new(Fleet::default()));
     /// let statement = statement::classify("SELECT 1");
-    /// let nobody = Explanation::new(&index, &Directory::default(), "ledger", "clerk", &statement);
-    /// assert_eq!(nobody, None);
+    /// let explanation = Explanation::new(&index, &Directory::default(), "ledger", "clerk", &statement);
+    /// assert_eq!(explanation, None);
     /// ```
     pub fn new(
         index: &Index,
@@ -119,7 +119,7 @@
         statement: &Statement,
     ) -> Option<Explanation> {
         let fleet = index.fleet().as_ref();
-        let (service, caller) = known(fleet, directory, service, caller)?;
+        let (service, caller) = find_keys(fleet, directory, service, caller)?;
         let role = fleet.callers.get(&caller)?.role.clone();
         let choice = index.choose(&Request {
             service,
@@ -157,13 +157,13 @@
         let weight = fleet.classes.get(&then.class).map(|class| class.weight);
         Treatment {
             target: target(then.target).to_owned(),
-            max_age_ms: choice.max_age(&statement.marker).map(milliseconds),
+            max_age_ms: choice.max_age(&statement.marker).map(to_millis),
             repeatable: then.repeatable,
-            deadline_ms: milliseconds(choice.deadline(&statement.marker)),
+            deadline_ms: to_millis(choice.deadline(&statement.marker)),
             class: class.to_owned(),
             weight: weight.unwrap_or_default(),
             retries: then.retries,
-            hedge_ms: then.hedge.map(milliseconds),
+            hedge_ms: then.hedge.map(to_millis),
             rate: then.rate,
             ack: ack(then.ack).to_owned(),
             refuse: then.refuse.clone(),
@@ -171,7 +171,7 @@
     }
 }
 
-fn known(
+fn find_keys(
     fleet: &Fleet,
     directory: &Directory,
     service: &str,
@@ -185,7 +185,7 @@
         .then_some((service, caller))
 }
 
-fn milliseconds(time: Duration) -> u64 {
+fn to_millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
--- a/crates/wire/src/row.rs
+++ b/crates/wire/src/row.rs
@@ -155,8 +155,8 @@
             term: service.state.term().to_string(),
             open: matches!(service.state, State::Open { .. }),
             primary,
-            history: starts(&service.history),
-            origins: origins(&service.origins),
+            history: encode_history(&service.history),
+            origins: encode_origins(&service.origins),
             losses: service.losses.iter().map(Loss::from).collect(),
         })
     }
@@ -177,19 +177,19 @@
         Ok(row::Service {
             state,
             primary,
-            history: history(&self.history)?,
-            origins: origins_of(&self.origins)?,
+            history: decode_history(&self.history)?,
+            origins: decode_origins(&self.origins)?,
             losses,
         })
     }
 }
 
-fn starts(history: &History) -> BTreeMap<String, u64> {
+fn encode_history(history: &History) -> BTreeMap<String, u64> {
     let starts = history.starts();
     starts.map(|(t, start)| (t.to_string(), start)).collect()
 }
 
-fn history(starts: &BTreeMap<String, u64>) -> Result<History, Error> {
+fn decode_history(starts: &BTreeMap<String, u64>) -> Result<History, Error> {
     let mut history = History::default();
     for (term, start) in starts {
         history.open(term.parse()?, *start);
@@ -197,7 +197,7 @@
     Ok(history)
 }
 
-fn origins(origins: &BTreeMap<Term, row::Origin>) -> BTreeMap<String, Origin> {
+fn encode_origins(origins: &BTreeMap<Term, row::Origin>) -> BTreeMap<String, Origin> {
     let origin = |origin: &row::Origin| Origin {
         parent: origin.parent.map(|parent| parent.to_string()),
         start: origin.start,
@@ -208,7 +208,9 @@
         .collect()
 }
 
-fn origins_of(origins: &BTreeMap<String, Origin>) -> Result<BTreeMap<Term, row::Origin>, Error> {
+fn decode_origins(
+    origins: &BTreeMap<String, Origin>,
+) -> Result<BTreeMap<Term, row::Origin>, Error> {
     let mut decoded = BTreeMap::new();
     for (term, origin) in origins {
         let parent = match &origin.parent {
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -3,7 +3,7 @@
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
 
-use crate::authority::{Ask, Promise, Release, Released};
+use crate::authority::{Promise, PromiseRequest, Release, Released};
 use crate::close::{Close, Closed};
 use crate::knowledge::Knowledge;
 use crate::lease::{Renewal, Reply};
@@ -24,7 +24,7 @@
 
     /// Tells a host that the controller is there; may ask for its promise.
     #[method(name = "promise")]
-    async fn promise(&self, ask: Ask) -> RpcResult<Promise>;
+    async fn promise(&self, ask: PromiseRequest) -> RpcResult<Promise>;
 
     /// Asks a replaced controller to give up, or anybody what it knows of the shard.
     #[method(name = "release")]
