--- a/crates/daemon/src/remote.rs
+++ b/crates/daemon/src/remote.rs
@@ -37,13 +37,9 @@
 pub type Client = HttpClient<RpcLogger<RpcService<Compressor<Decompression<HttpBackend>>>>>;
 
 /// What a server's middleware is made of, the outermost last.
-pub type Middleware =
-    Stack<CompressionLayer<SizeAbove>, Stack<RequestDecompressionLayer, OuterLayers>>;
-type OuterLayers = Stack<
-    MapResponseBodyLayer<BoxBody>,
-    Stack<ValidateRequestHeaderLayer<TokenValidator>, Identity>,
->;
-type BoxBody = fn(UnsyncBoxBody<Bytes, BoxError>) -> HttpBody;
+pub type Middleware = Stack<CompressionLayer<SizeAbove>, Stack<RequestDecompressionLayer, Outer>>;
+type Outer = Stack<MapResponseBodyLayer<Boxed>, Stack<ValidateRequestHeaderLayer<Auth>, Identity>>;
+type Boxed = fn(UnsyncBoxBody<Bytes, BoxError>) -> HttpBody;
 
 /// A client for the process at `address` of a fleet whose operators have `token`; each call is
 /// given up after `timeout`. Nothing is sent yet.
@@ -90,12 +86,12 @@
 /// Without it anybody who reaches the port could close terms, or send a view of a far epoch that
 /// no controller can follow: callers would see every write refused.
 pub fn server_middleware(token: &Token) -> ServiceBuilder<Middleware> {
-    let validator = TokenValidator(token.rpc_token());
+    let auth = Auth(token.rpc_token());
     let compression = CompressionLayer::new().quality(CompressionLevel::Fastest);
     // The guard stands before the rest, so that strangers cannot have anything unpacked here.
     ServiceBuilder::new()
-        .layer(ValidateRequestHeaderLayer::custom(validator))
-        .layer(MapResponseBodyLayer::new(HttpBody::new as BoxBody))
+        .layer(ValidateRequestHeaderLayer::custom(auth))
+        .layer(MapResponseBodyLayer::new(HttpBody::new as Boxed))
         .layer(RequestDecompressionLayer::new())
         .layer(compression.compress_when(SizeAbove::new(MIN_COMPRESSED_BYTES)))
 }
@@ -103,9 +99,9 @@
 /// Lets requests with the fleet's pass through. A fleet without a token, which settings do not
 /// allow, is open: tests and embedders are.
 #[derive(Debug, Clone)]
-pub struct TokenValidator(Token);
+pub struct Auth(Token);
 
-impl<B> ValidateRequest<B> for TokenValidator {
+impl<B> ValidateRequest<B> for Auth {
     type ResponseBody = HttpBody;
 
     fn validate(&mut self, request: &mut HttpRequest<B>) -> Result<(), HttpResponse> {
