--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_catalogue_lists_every_event() {
+fn catalogue_lists_every_event() {
     let text = fs::read_to_string(catalogue()).unwrap();
     let head = text.split("\n## ").next().unwrap_or_default();
     let wanted = render(head, &notes(&text));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn numbers_rise_within_the_range_of_their_crate() {
+fn numbers_ascend_within_the_range_of_their_crate() {
     for part in parts() {
         let numbers: Vec<u16> = part.kinds.iter().map(|kind| kind.number).collect();
         assert!(numbers.is_sorted_by(|one, next| one < next), "{numbers:?}");
--- a/crates/daemon/tests/http.rs
+++ b/crates/daemon/tests/http.rs
@@ -12,9 +12,9 @@
 use flamingopost_daemon::token::Token;
 use reqwest::{Client, StatusCode};
 
-struct Switch(Mutex<Readiness>);
+struct TestProbe(Mutex<Readiness>);
 
-impl Probe for Switch {
+impl Probe for TestProbe {
     fn readiness(&self) -> Readiness {
         self.0.lock().unwrap().clone()
     }
@@ -30,7 +30,7 @@
 
 struct Server {
     address: SocketAddr,
-    switch: Arc<Switch>,
+    probe: Arc<TestProbe>,
     stop: Stop,
     client: Client,
 }
@@ -39,15 +39,15 @@
     fn start(token: &str) -> Server {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = socket.local_addr().unwrap();
-        let switch = Arc::new(Switch(Mutex::new(Readiness::Ready)));
+        let probe = Arc::new(TestProbe(Mutex::new(Readiness::Ready)));
         let stop = Stop::default();
-        let (probe, over) = (switch.clone(), stop.clone());
+        let (served_probe, stopped) = (probe.clone(), stop.clone());
         let token = Token::new(token);
-        tokio::spawn(http::serve_on(socket, token, probe, routes, over));
+        tokio::spawn(http::serve_on(socket, token, served_probe, routes, stopped));
         let client = Client::builder().no_proxy().build().unwrap();
         Server {
             address,
-            switch,
+            probe,
             stop,
             client,
         }
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn operators_need_the_token() {
+async fn operator_routes_require_the_token() {
     let server = Server::start("right");
     for token in [None, Some("wrong"), Some(""), Some("right2"), Some("righ")] {
         let (status, body) = server.get("/v1/secret", token).await;
@@ -79,7 +79,7 @@
 
 /// A token file was left empty by mistake. Operators without any token must not get in by that.
 #[tokio::test]
-async fn an_empty_token_admits_nobody() {
+async fn an_empty_token_authorizes_no_request() {
     let server = Server::start("");
     for token in [None, Some("")] {
         let (status, _) = server.get("/v1/secret", token).await;
@@ -89,11 +89,11 @@
 }
 
 #[tokio::test]
-async fn the_balancer_sees_readiness() {
+async fn ready_route_reports_readiness() {
     let server = Server::start("t");
     assert_eq!(server.get("/live", None).await.0, StatusCode::OK);
     assert_eq!(server.get("/ready", None).await.0, StatusCode::OK);
-    *server.switch.0.lock().unwrap() = Readiness::Draining;
+    *server.probe.0.lock().unwrap() = Readiness::Draining;
     let (status, body) = server.get("/ready", None).await;
     assert_eq!(
         (status, body.as_str()),
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn metrics_show_histograms_and_invariants() {
+async fn metrics_route_exports_histograms_and_violations() {
     flamingopost_daemon::metrics::start();
     flamingopost_daemon::metrics::start();
     metrics::histogram!("bakery_wait_seconds", "class" => "rye").record(0.02);
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_page_names_every_metric() {
+fn metrics_page_lists_every_metric() {
     let mut used = BTreeSet::new();
     for part in ["daemon", "entry", "control", "proxy"] {
         sources(&root().join("crates").join(part).join("src"), &mut used);
--- a/crates/daemon/tests/remote.rs
+++ b/crates/daemon/tests/remote.rs
@@ -38,16 +38,16 @@
 /// Somebody on the hosts' network calls an entry host and closes the term of a service: callers
 /// would see every write refused until the next controller. Only who has the fleet's token may.
 #[tokio::test]
-async fn strangers_are_turned_away() {
+async fn calls_without_the_fleet_token_are_rejected() {
     let (address, _server) = server("fleet").await;
     assert_eq!(answer(address, "fleet").await, Some(42));
-    for stranger in ["", "guess", "fleet2"] {
-        assert_eq!(answer(address, stranger).await, None, "{stranger}");
+    for wrong in ["", "guess", "fleet2"] {
+        assert_eq!(answer(address, wrong).await, None, "{wrong}");
     }
 }
 
 #[tokio::test]
-async fn what_processes_show_is_not_the_operators_token() {
+async fn rpc_token_does_not_reveal_the_operator_token() {
     let token = Token::new("fleet");
     assert!(!token.rpc_token().header().contains("fleet"));
     assert!(!token.admits(&token.rpc_token().header()));
@@ -57,9 +57,9 @@
     );
 }
 
-/// Long bodies travel packed both ways, short ones as they are; nobody sees a difference.
+/// Long bodies travel compressed both ways, short ones as they are; nobody sees a difference.
 #[tokio::test]
-async fn long_and_short_messages_arrive_whole() {
+async fn long_and_short_messages_round_trip() {
     let (address, _server) = server("fleet").await;
     let token = Token::new("fleet");
     let client = remote::client(&address.to_string(), &token, Duration::from_secs(5)).unwrap();
@@ -75,32 +75,32 @@
 /// A process sends a few kilobytes that unpack to far more than the greatest message. No more than
 /// that is unpacked; a stranger's are not unpacked at all.
 #[tokio::test]
-async fn a_body_that_unpacks_to_too_much_is_refused() {
+async fn oversized_decompressed_body_is_rejected() {
     let (address, _server) = server("fleet").await;
-    let (in_bounds, _) = send_packed(address, "fleet", 4 << 20).await;
-    assert_eq!(in_bounds, StatusCode::OK);
-    let (beyond, size) = send_packed(address, "fleet", 64 << 20).await;
+    let (within_limit, _) = send_compressed(address, "fleet", 4 << 20).await;
+    assert_eq!(within_limit, StatusCode::OK);
+    let (oversized, size) = send_compressed(address, "fleet", 64 << 20).await;
     assert!(size < 1 << 20, "the body is small until it is unpacked");
-    assert!(!beyond.is_success(), "{beyond}");
-    let (of_stranger, _) = send_packed(address, "guess", 64 << 20).await;
-    assert_eq!(of_stranger, StatusCode::UNAUTHORIZED);
+    assert!(!oversized.is_success(), "{oversized}");
+    let (unauthorized, _) = send_compressed(address, "guess", 64 << 20).await;
+    assert_eq!(unauthorized, StatusCode::UNAUTHORIZED);
     assert_eq!(answer(address, "fleet").await, Some(42));
 }
 
-/// Sends a call whose parameter has `length` bytes, and returns the status and the packed size.
-async fn send_packed(address: SocketAddr, token: &str, length: usize) -> (StatusCode, usize) {
+/// Sends a call whose parameter has `length` bytes, and returns the status and the compressed size.
+async fn send_compressed(address: SocketAddr, token: &str, length: usize) -> (StatusCode, usize) {
     let text = "0".repeat(length);
     let call = format!(r#"{{"jsonrpc":"2.0","id":1,"method":"echo","params":["{text}"]}}"#);
     let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(call.as_bytes()).unwrap();
-    let packed = encoder.finish().unwrap();
-    let size = packed.len();
+    let compressed = encoder.finish().unwrap();
+    let size = compressed.len();
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
     let request = client
         .post(format!("http://{address}"))
         .header("authorization", Token::new(token).rpc_token().header())
         .header("content-encoding", "gzip")
         .header("content-type", "application/json")
-        .body(packed);
+        .body(compressed);
     (request.send().await.unwrap().status(), size)
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn everything_wrong_is_told_at_once() {
+fn all_problems_are_reported_at_once() {
     let mut reader = Reader::parse("entry.ini", WRONG);
     let decoded = read(&mut reader);
     let text = reader.finish(decoded).unwrap_err().to_string();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_is_not_ini_is_told_with_its_line() {
+fn syntax_errors_are_reported_with_their_line() {
     let mut reader = Reader::parse("entry.ini", "[host]\nname = a\n[oops\n");
     let decoded = read(&mut reader);
     let problems = reader.finish(decoded).unwrap_err().0;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_absent_file_is_a_problem_of_its_own() {
+fn missing_file_is_reported_as_unreadable() {
     let mut reader = Reader::open(Path::new("no-such-file.ini"));
     let decoded = read(&mut reader);
     let problems = reader.finish(decoded).unwrap_err().0;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn lists_and_times_are_read() {
+fn lists_and_durations_are_parsed() {
     let text = "[control]\npeers = 10.1.0.1:1, 10.1.0.2:2\nwait = 5m\nrelay = yes\n";
     let mut reader = Reader::parse("a.ini", text);
     let peers: Vec<SocketAddr> = reader.optional("control", "peers", Vec::new());
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -3,7 +3,7 @@
 use flamingopost_daemon::stop::{Phase, Stop};
 
 #[tokio::test]
-async fn all_who_share_it_hear_of_it() {
+async fn clones_observe_every_phase() {
     let stop = Stop::default();
     let waiting = stop.clone();
     let waiter = tokio::spawn(async move {
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn who_comes_late_does_not_wait() {
+async fn late_waiters_return_immediately() {
     let stop = Stop::default();
     stop.stop();
     stop.draining().await;
--- a/crates/platform/tests/fake.rs
+++ b/crates/platform/tests/fake.rs
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn one_of_two_writers_loses() {
+async fn second_of_two_concurrent_writes_conflicts() {
     let platform = Platform::default();
     let first = platform.write(vec![change("fleet/head", Condition::Absent, "1")]);
     assert_eq!(first.await, Ok(done("1")));
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn several_changes_take_effect_together_or_not_at_all() {
+async fn writes_of_several_rows_are_atomic() {
     let platform = Platform::default();
     let only = platform.write(vec![change("fleet/a", Condition::Absent, "1")]);
     assert_eq!(only.await, Ok(done("1")));
@@ -48,7 +48,7 @@
 /// An operator's submission takes effect, but its answer never arrives: the error must not read
 /// as "not done", or the operator would submit again on top of their own change.
 #[tokio::test]
-async fn a_lost_answer_reads_as_unknown() {
+async fn lost_response_has_an_unknown_effect() {
     let platform = Platform::default();
     platform.set_fault(Fault {
         lost_answers: true,
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_has_no_effect() {
+async fn refused_requests_have_no_effect() {
     let platform = Platform::default();
     platform.set_fault(Fault {
         down: true,
--- a/crates/wire/tests/row.rs
+++ b/crates/wire/tests/row.rs
@@ -56,7 +56,7 @@
 /// A claim that took effect is never recognised, and nobody controls the shard: its answer was
 /// lost, and the row read back differs from the one written by something that the text left out.
 #[test]
-fn a_row_reads_back_as_it_was_written() {
+fn rows_round_trip_through_json() {
     let mut directory = Directory::default();
     let row = full(&mut directory);
     let body = serde_json::to_string(&row::Row::encode(&row, &directory).unwrap()).unwrap();
@@ -66,7 +66,7 @@
 
 /// A process that has just started has other keys for the same names.
 #[test]
-fn names_travel_and_keys_do_not() {
+fn encoding_uses_names_instead_of_keys() {
     let mut directory = Directory::default();
     let row = full(&mut directory);
     let message = row::Row::encode(&row, &directory).unwrap();
@@ -78,7 +78,7 @@
 
 /// A damaged row is taken for one without a primary, and another is promoted.
 #[test]
-fn what_cannot_be_read_is_an_error() {
+fn malformed_rows_are_rejected() {
     let mut directory = Directory::default();
     let row = full(&mut directory);
     let message = row::Row::encode(&row, &directory).unwrap();
@@ -92,6 +92,6 @@
     assert!(damage(
         |service| service.losses[0].acknowledged = Some("2.1".to_owned())
     ));
-    let stranger = row::Row::encode(&row, &Directory::default());
-    assert_eq!(stranger, Err(row::Error::NoName));
+    let unknown = row::Row::encode(&row, &Directory::default());
+    assert_eq!(unknown, Err(row::Error::NoName));
 }
