--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that daemons run by.
+//! The clock of the daemons.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,9 +7,9 @@
 
 /// Time since the machine booted.
 ///
-/// `CLOCK_BOOTTIME` goes on counting while the machine is suspended, which
-/// [`std::time::Instant`] does not on Linux: a host that wakes up would judge by `Instant` that
-/// its leases still run and acknowledge writes of a primary that was replaced meanwhile.
+/// Reads `CLOCK_BOOTTIME`, which advances while the machine is suspended. [`std::time::Instant`]
+/// does not on Linux: after a resume, a host that used it would consider its leases valid and
+/// acknowledge writes of a primary that was replaced in the meantime.
 ///
 /// ```
 /// use flamingopost_core::clock::Clock;
--- a/crates/daemon/src/compression.rs
+++ b/crates/daemon/src/compression.rs
@@ -1,6 +1,6 @@
-//! Bodies of remote calls, packed by gzip.
+//! Gzip compression of the requests of remote calls.
 //!
-//! Renewals name the same servers again and again; packed, they take a fraction of the network.
+//! Lease renewals repeat the same server names and compress to a fraction of their size.
 
 use std::future::Future;
 use std::io::Write as _;
@@ -14,18 +14,19 @@
 use jsonrpsee::http_client::{HeaderValue, HttpBody, HttpRequest};
 use tower::{Layer, Service};
 
-/// Smaller bodies are sent as they are: packing would gain less than the headers take.
+/// Minimum size of a compressed body, in bytes. Below it, compression saves less than the headers
+/// cost.
 const MIN_COMPRESSED_BYTES: usize = 512;
 
 const CONTENT_ENCODING: &str = "content-encoding";
 const CONTENT_LENGTH: &str = "content-length";
 const GZIP: &str = "gzip";
 
-/// Packs the bodies of a client's requests.
+/// Middleware layer that compresses the bodies of a client's requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Compress;
 
-/// A client's service whose requests are packed.
+/// Client service that compresses the bodies of its requests.
 #[derive(Debug, Clone)]
 pub struct Compressor<S>(S);
 
@@ -52,7 +53,8 @@
     }
 
     fn call(&mut self, request: HttpRequest) -> Self::Future {
-        // The clone takes the place of the service that was polled ready, as tower asks.
+        // `poll_ready` was called on this instance, so the call uses it and leaves a clone behind,
+        // as tower requires.
         let clone = self.0.clone();
         let mut ready = std::mem::replace(&mut self.0, clone);
         Box::pin(async move {
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,42 +1,44 @@
-//! Numbered events: what daemons log.
+//! Numbered log events.
 //!
-//! Numbers: daemon 100-199, entry 1000-1999, control 2000-2999, stand-ins 3000-3999,
+//! Ranges of numbers: daemon 100-199, entry 1000-1999, control 2000-2999, stand-ins 3000-3999,
 //! load 4000-4999, pooled data path 5000-5999. `docs/EVENTS.md` is the catalogue.
 
 use std::fmt::Display;
 
 use crate::log::Level;
 
-/// An entry of the catalogue of events.
+/// Entry of the event catalogue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Kind {
-    /// Its number, which never changes its meaning.
+    /// Number of the event. The meaning of a number never changes.
     pub number: u16,
-    /// Its level.
+    /// Severity of the event.
     pub level: Level,
-    /// Its message, with the names of its fields in braces.
+    /// Message template, with field names in braces.
     pub message: &'static str,
 }
 
-/// Something worth a line in the log.
+/// An event that can be written to the log.
 pub trait Event: Display {
-    /// Its entry in the catalogue.
+    /// Returns the event's entry in the catalogue.
     fn kind(&self) -> Kind;
 
-    /// Writes it to the log.
+    /// Writes the event to the log.
     fn log(&self) {
         let kind = self.kind();
         spdlog::log!(kind.level.into(), "{}", self, kv: { event = kind.number });
     }
 }
 
-/// Defines an enum of events, with messages as doc comments, and `ALL`, its part of the catalogue.
+/// Defines an enum of events whose messages are the doc comments of its variants.
+///
+/// The associated constant `ALL` holds the enum's part of the event catalogue.
 ///
 /// ```
 /// use flamingopost_daemon::event::Event as _;
 ///
 /// flamingopost_daemon::events! {
-///     /// What the bakery logs.
+///     /// Events of a bakery.
 ///     pub enum Event {
 ///         /// oven reached {degrees} degrees
 ///         4990 Info Hot { degrees: u32 },
@@ -74,7 +76,7 @@
         }
 
         impl $name {
-            /// Every event, for the catalogue.
+            /// All events, for the catalogue.
             pub const ALL: &'static [$crate::event::Kind] = &[
                 $($crate::event::Kind {
                     number: $number,
@@ -101,21 +103,21 @@
 }
 
 events! {
-    /// Events that every daemon may log.
+    /// Events common to all daemons.
     pub enum Daemon {
-        /// {daemon} {version} starts as {host} in {zone}
+        /// {daemon} {version} is starting as host {host} in zone {zone}
         100 Info Started { daemon: &'static str, version: &'static str, host: String, zone: String },
-        /// {daemon} drains: it takes nothing new and finishes what runs
+        /// {daemon} is draining: it accepts no new work and finishes work in progress
         101 Info Draining { daemon: &'static str },
         /// {daemon} has stopped
         102 Info Stopped { daemon: &'static str },
-        /// {daemon} cannot go on: {error}
+        /// {daemon} failed: {error}
         103 Critical Failed { daemon: &'static str, error: String },
-        /// operators' HTTP listens on {address}
+        /// operator HTTP server is listening on {address}
         110 Info Listening { address: std::net::SocketAddr },
-        /// operator request to {path} refused: no or a wrong token
+        /// operator request to {path} rejected: token missing or wrong
         111 Warn Unauthorized { path: String },
-        /// invariant {invariant} was found violated {count} times
+        /// invariant {invariant} has been violated {count} times
         120 Critical Violated { invariant: String, count: u64 },
     }
 }
--- a/crates/daemon/src/health.rs
+++ b/crates/daemon/src/health.rs
@@ -1,6 +1,6 @@
-//! Liveness and readiness, for the platform's balancer.
+//! Readiness of a daemon, for the platform's load balancer.
 
-/// Whether a daemon should get work.
+/// Whether a daemon should receive traffic.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Readiness {
     /// ready
@@ -13,8 +13,8 @@
     Draining,
 }
 
-/// What answers for a daemon's readiness.
+/// Source of a daemon's readiness.
 pub trait Probe: Send + Sync {
-    /// Whether it should get work now.
+    /// Returns the current readiness.
     fn readiness(&self) -> Readiness;
 }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP: health and metrics for everyone, `/v1` for those with the token.
+//! HTTP server for operators: health and metrics are public, `/v1` requires the token.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -16,31 +16,31 @@
 use crate::stop::Stop;
 use crate::token::Token;
 
-/// Greatest body that an operator may send; a configuration of a thousand services fits.
+/// Maximum size of a request body. A configuration of a thousand services fits.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
 
 const WORKERS: usize = 1;
 const SHUTDOWN_SECONDS: u64 = 2;
 
-/// What listens and who may come in.
+/// Address and credentials of the HTTP server.
 #[derive(Debug, Clone)]
 pub struct Listener {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// The operators' token.
+    /// Token that operators have to send.
     pub token: Token,
 }
 
-/// An error of operators' HTTP, as JSON `{"error":"...","message":"..."}`.
+/// Body of an error response, as JSON `{"error":"...","message":"..."}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Refusal {
-    /// A fixed word that scripts may test.
+    /// Fixed error code for scripts.
     pub error: &'static str,
-    /// A sentence for people.
+    /// Description for people.
     pub message: String,
 }
 
-/// The request does not carry the operators' token.
+/// Why a request is not authorized.
 #[derive(Debug, displaydoc::Display)]
 enum AuthError {
     /// send the operators' token as `Authorization: Bearer TOKEN`
@@ -63,10 +63,11 @@
     }
 }
 
-/// Serves until `stop` is stopped. `routes` are added under `/v1`, behind the token.
+/// Serves HTTP until `stop` reaches the stopped phase. `routes` are added under `/v1` and require
+/// the token.
 ///
 /// # Errors
-/// When the address cannot be bound or the server fails.
+/// Returns an error if the address cannot be bound or the server fails.
 pub async fn serve<F>(
     listener: Listener,
     probe: Arc<dyn Probe>,
@@ -80,10 +81,10 @@
     serve_on(socket, listener.token, probe, routes, stop).await
 }
 
-/// As [`serve`], on a socket that already listens.
+/// Like [`serve`], on a socket that is already listening.
 ///
 /// # Errors
-/// When the server fails.
+/// Returns an error if the server fails.
 pub async fn serve_on<F>(
     socket: TcpListener,
     token: Token,
--- a/crates/daemon/src/incarnation.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -1,7 +1,9 @@
-//! The number that tells one run of a process from the next.
+//! Incarnations: random numbers that distinguish the runs of a process.
 
-/// Draws a number for this run. A restarted host is thereby a different lease holder, and no
-/// controller takes its empty memory for the knowledge of the one before.
+/// Returns a random incarnation for this run of the process.
+///
+/// It makes a restarted host a different lease holder, so that no controller mistakes its empty
+/// state for that of the previous run.
 pub fn random() -> u64 {
     rand::random()
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every flamingopost daemon shares: settings, clock, numbered log events, metrics, health,
-//! operators' HTTP and the way to stop.
+//! Building blocks shared by all flamingopost daemons: settings, clock, numbered log events,
+//! metrics, health, remote calls, the HTTP server for operators and graceful shutdown.
 
 pub mod clock;
 pub mod compression;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs: one line an event, to standard error or standard output.
+//! Logging: one line per event, to standard error or standard output.
 
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
@@ -7,34 +7,34 @@
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, Sink, StdStream, StdStreamSink};
 use spdlog::{LevelFilter, Logger, ThreadPool};
 
-/// How important an event is.
+/// Severity of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// The process cannot go on.
+    /// The process cannot continue, or an invariant is violated.
     Critical,
-    /// Something was lost, refused or broken that an operator has to look at.
+    /// Something was lost, refused or broken and needs an operator's attention.
     Error,
-    /// Something is not as it should be and is being coped with.
+    /// Something is wrong, and the process handles it.
     Warn,
-    /// A change of state in ordinary life.
+    /// A state change in normal operation.
     Info,
-    /// What an operator wants to see while looking for a cause.
+    /// Details for diagnosing a problem.
     Debug,
     /// Everything.
     Trace,
 }
 
-/// How a line is written.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Plain text for people.
     Text,
-    /// One JSON object a line: `level`, `timestamp` in milliseconds, `payload`, `kv.event`.
+    /// One JSON object per line: `level`, `timestamp` in milliseconds, `payload`, `kv.event`.
     Json,
 }
 
 impl Level {
-    /// The level called `name`.
+    /// Returns the level with the given name.
     pub fn parse(name: &str) -> Option<Level> {
         match name {
             "critical" => Some(Level::Critical),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Its name, as in settings and in the catalogue of events.
+    /// Returns the level's name, as used in settings and in the event catalogue.
     pub fn name(self) -> &'static str {
         match self {
             Level::Critical => "critical",
@@ -73,36 +73,37 @@
     }
 }
 
-/// Where lines go.
+/// Where log lines are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// Standard error, written by whoever logs.
+    /// Standard error, written synchronously by the logging thread.
     Error,
-    /// Standard output, written by a thread of its own. A reader that stalls never holds up
-    /// whoever logs: lines that do not fit into its queue are dropped.
+    /// Standard output, written asynchronously by a separate thread. A stalled reader never blocks
+    /// a logging thread: lines that do not fit into the queue are dropped.
     Output,
 }
 
-/// Lines that wait for a slow reader of standard output before new ones are dropped.
+/// Capacity of the queue for standard output, in lines. Lines beyond it are dropped.
 const QUEUE_LINES: usize = 1_024;
 
-/// How long a process that ends waits for its last lines to be written: a reader that is alive takes
+/// How long [`finish`] waits for queued lines to be written. An active reader takes
 /// milliseconds.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends events at `level` and above to standard error. May be called again: the last call
-/// holds for the whole process.
+/// Starts logging events of `level` and above to standard error.
+///
+/// May be called again: the last call applies to the whole process.
 ///
 /// # Errors
-/// When the logger cannot be built.
+/// Returns an error if the logger cannot be built.
 pub fn start(level: Level, format: Format) -> Result<(), spdlog::Error> {
     start_on(Target::Error, level, format)
 }
 
-/// As [`start`], to `target`.
+/// Like [`start`], with the given target.
 ///
 /// # Errors
-/// When the logger cannot be built.
+/// Returns an error if the logger cannot be built.
 pub fn start_on(target: Target, level: Level, format: Format) -> Result<(), spdlog::Error> {
     let sink = match format {
         Format::Text => sink(target, FullFormatter::new())?,
@@ -116,26 +117,26 @@
     Ok(())
 }
 
-/// Ends logging: waits until what was logged is written, at most [`FLUSH_TIMEOUT`]. What is logged after
-/// that goes nowhere.
+/// Stops logging and flushes queued lines, for at most [`FLUSH_TIMEOUT`]. Later events are
+/// discarded.
 ///
-/// Guards against a process that does not end: at its exit the library waits for the thread that
-/// writes to standard output, which stands still as long as nobody reads there. So that thread is
-/// waited for here, within bounds, and the library is left with a logger that has nothing to write.
+/// Guards against a process that hangs at exit: the logging library joins the thread that writes to
+/// standard output, which blocks while nobody reads from there. This function therefore waits for
+/// that thread with a timeout, and leaves the library with a logger that has nothing to write.
 ///
 /// # Errors
-/// When the logger that takes the place of the one before cannot be built.
+/// Returns an error if the replacement logger cannot be built.
 pub fn finish() -> Result<(), spdlog::Error> {
     let silent = Arc::new(Logger::builder().build()?);
     let logger = spdlog::swap_default_logger(silent);
     let (done, written) = mpsc::channel();
     std::thread::spawn(move || {
-        // The last reference to the pool: its queue is written to the end.
+        // Dropping the last reference to the pool flushes its queue.
         drop(logger);
-        // Whoever waits may have given up.
+        // The receiver may have timed out.
         let _ = done.send(());
     });
-    // Lines that nobody reads are lost with the process.
+    // After a timeout, lines that were not written are lost.
     let _ = written.recv_timeout(FLUSH_TIMEOUT);
     Ok(())
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the process, in the text form that Prometheus reads.
+//! Metrics of the process, in the Prometheus text format.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,27 +8,30 @@
 
 use crate::event::{Daemon, Event as _};
 
-/// Bounds of histograms of durations in seconds. They are fine around the contracts of today
-/// (hundredths to tenths of a second) and still hold a failover and a configuration change.
+/// Histogram buckets for durations, in seconds. They are fine-grained around today's latency
+/// targets (hundredths to tenths of a second) and still cover a failover and a configuration
+/// change.
 pub const DURATION_BUCKETS_SECONDS: [f64; 18] = [
     0.000_1, 0.000_25, 0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5,
     1.0, 2.0, 4.0, 8.0, 13.0,
 ];
 
-/// Name of the counter of violated invariants.
+/// Name of the counter of invariant violations.
 pub const VIOLATIONS: &str = "flamingopost_invariant_violations_total";
 
 static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
 static LOGGED_VIOLATIONS: [AtomicU64; Invariant::ALL.len()] =
     [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
-/// Starts recording. The first call in a process installs the recorder; later ones, by other
-/// daemons in the same process, share it.
+/// Starts recording metrics.
+///
+/// The first call in a process installs the recorder. Later calls, by other daemons in the same
+/// process, share it.
 pub fn start() {
     HANDLE.get_or_init(install);
 }
 
-/// What `/metrics` answers.
+/// Returns the response body of `/metrics`.
 pub fn render() -> String {
     export_violations();
     let handle = HANDLE.get_or_init(install);
@@ -46,8 +49,8 @@
         .unwrap_or_else(|_| PrometheusBuilder::new());
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
-    // Another recorder in the process (an embedder's) is left alone: it gets the metrics, and
-    // ours renders nothing.
+    // A recorder that an embedding application has installed stays in place and receives the
+    // metrics. This one then renders nothing.
     let _ = metrics::set_global_recorder(recorder);
     metrics::describe_counter!(VIOLATIONS, "Times an invariant was found violated");
     handle
--- a/crates/daemon/src/remote.rs
+++ b/crates/daemon/src/remote.rs
@@ -1,4 +1,4 @@
-//! Remote calls between our processes: who may make them, and how long they may take.
+//! Remote calls between flamingopost processes: authentication, compression and limits.
 
 use std::time::Duration;
 
@@ -24,36 +24,37 @@
 const AUTHORIZATION: &str = "authorization";
 const UNAUTHORIZED: u16 = 401;
 
-/// Names the caller's availability zone, as requests to the platform do.
+/// Header with the caller's availability zone, as in requests to the platform.
 const ZONE_HEADER: &str = "x-zone";
 
-/// Greatest answer: a view, or a configuration body, of a thousand services.
+/// Maximum size of a response. A view or a configuration body of a thousand services fits.
 const MAX_RESPONSE_BYTES: u32 = 16 << 20;
 
-/// Answers that are smaller are sent as they are.
+/// Minimum size of a compressed response, in bytes.
 const MIN_COMPRESSED_BYTES: u16 = 512;
 
-/// A client whose requests and answers are packed.
+/// RPC client with compressed requests and responses.
 pub type Client = HttpClient<RpcLogger<RpcService<Compressor<Decompression<HttpBackend>>>>>;
 
-/// What a server's middleware is made of, the outermost last.
+/// Middleware of an RPC server, the outermost layer last.
 pub type Middleware = Stack<CompressionLayer<SizeAbove>, Stack<RequestDecompressionLayer, Outer>>;
 type Outer = Stack<MapResponseBodyLayer<Boxed>, Stack<ValidateRequestHeaderLayer<Auth>, Identity>>;
 type Boxed = fn(UnsyncBoxBody<Bytes, BoxError>) -> HttpBody;
 
-/// A client for the process at `address` of a fleet whose operators have `token`; each call is
-/// given up after `timeout`. Nothing is sent yet.
+/// Returns a client for the process at `address` in the fleet of the operators' `token`.
+///
+/// Every call is cancelled after `timeout`. Creating the client sends nothing.
 ///
 /// # Errors
-/// The address is none that can be connected to.
+/// Returns an error if the address is invalid.
 pub fn client(address: &str, token: &Token, timeout: Duration) -> Result<Client, ClientError> {
     client_in_zone("", address, token, timeout)
 }
 
-/// As [`client`], for a caller in availability zone `zone`, which each call names.
+/// Like [`client`], for a caller in availability zone `zone`, which every call names.
 ///
 /// # Errors
-/// The address is none that can be connected to.
+/// Returns an error if the address is invalid.
 pub fn client_in_zone(
     zone: &str,
     address: &str,
@@ -80,15 +81,16 @@
         .build(format!("http://{address}"))
 }
 
-/// Middleware that turns away whoever does not belong to the fleet, and unpacks and packs for
-/// the others.
+/// Returns middleware that rejects unauthenticated calls, and decompresses requests and compresses
+/// responses of all others.
 ///
-/// Without it anybody who reaches the port could close terms, or send a view of a far epoch that
-/// no controller can follow: callers would see every write refused.
+/// Without it, anyone with access to the port could close terms, or send a view of an epoch that
+/// no controller can reach: callers would see every write refused.
 pub fn server_middleware(token: &Token) -> ServiceBuilder<Middleware> {
     let auth = Auth(token.rpc_token());
     let compression = CompressionLayer::new().quality(CompressionLevel::Fastest);
-    // The guard stands before the rest, so that strangers cannot have anything unpacked here.
+    // Authentication is the outermost layer, so that unauthenticated bodies are never
+    // decompressed.
     ServiceBuilder::new()
         .layer(ValidateRequestHeaderLayer::custom(auth))
         .layer(MapResponseBodyLayer::new(HttpBody::new as Boxed))
@@ -96,8 +98,10 @@
         .layer(compression.compress_when(SizeAbove::new(MIN_COMPRESSED_BYTES)))
 }
 
-/// Lets requests with the fleet's pass through. A fleet without a token, which settings do not
-/// allow, is open: tests and embedders are.
+/// Accepts requests that carry the fleet's RPC token.
+///
+/// A fleet without a token accepts all requests. Settings do not allow that; tests and embedding
+/// applications may.
 #[derive(Debug, Clone)]
 pub struct Auth(Token);
 
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a host, read from INI; everything wrong with a file is reported at once.
+//! Settings of a host, read from an INI file. All problems of a file are reported at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,31 +15,31 @@
 pub use log::Log;
 pub use platform::Platform;
 
-/// One thing that is wrong in a settings file.
+/// A problem in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// The line, from 1; 0 when something is absent.
+    /// Line number, from 1; 0 if the problem belongs to no line, such as a missing key.
     pub line: usize,
-    /// What is wrong there.
+    /// What is wrong.
     pub kind: ProblemKind,
 }
 
-/// What is wrong, and what would be right.
+/// What is wrong in a settings file, and how to fix it.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum ProblemKind {
     /// cannot be read: {0}
     Unreadable(String),
-    /// is no INI: {0}
+    /// is not valid INI: {0}
     Syntax(String),
     /// [{section}] lacks `{key}`: add for example `{key} = {example}`
     Missing {
-        /// Section that lacks it.
+        /// Section that lacks the key.
         section: String,
-        /// The key.
+        /// The missing key.
         key: String,
-        /// A value that would be right.
+        /// Example of a valid value.
         example: String,
     },
     /// `{key} = {value}` in [{section}] is wrong: write {shape}
@@ -48,25 +48,25 @@
         section: String,
         /// Key.
         key: String,
-        /// Value found.
+        /// The invalid value.
         value: String,
-        /// What the value must look like.
+        /// Expected format of the value.
         shape: String,
     },
     /// `{key}` is unknown in [{section}]: remove it, or use one of {known}
     UnknownKey {
         /// Section.
         section: String,
-        /// Key found.
+        /// The unknown key.
         key: String,
-        /// Keys that may stand there.
+        /// Valid keys of the section.
         known: String,
     },
     /// section [{section}] is unknown: remove it, or use one of {known}
     UnknownSection {
-        /// Section found.
+        /// The unknown section.
         section: String,
-        /// Sections that may stand there.
+        /// Valid sections.
         known: String,
     },
     /// `{key} = {value}` in [{section}] names a file that cannot be read: {error}
@@ -75,12 +75,12 @@
         section: String,
         /// Key.
         key: String,
-        /// The path found.
+        /// Path of the file.
         value: String,
-        /// Why it cannot be read.
+        /// Why the file cannot be read.
         error: String,
     },
-    /// `{key}` stands twice in [{section}]: keep one
+    /// `{key}` appears twice in [{section}]: keep one
     Twice {
         /// Section.
         section: String,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Everything that is wrong with a file, one problem a line.
+/// All problems of a file. They are displayed one per line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problems(pub Vec<Problem>);
 
@@ -114,9 +114,10 @@
     }
 }
 
+/// Section and key.
 type KeyPath = (String, String);
 
-/// Reads values out of one file and gathers what is wrong.
+/// Reads values from one settings file and collects its problems.
 ///
 /// ```
 /// use std::time::Duration;
@@ -147,7 +148,7 @@
 }
 
 impl Reader {
-    /// Reads `path`; a file that cannot be read is a problem like any other.
+    /// Reads the file at `path`. An unreadable file is reported as a problem by [`Reader::finish`].
     pub fn open(path: &Path) -> Reader {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Reads `text`, which came from `file`.
+    /// Parses `text`, the contents of `file`.
     pub fn parse(file: &str, text: &str) -> Reader {
         let mut reader = Reader {
             file: file.to_owned(),
@@ -176,7 +177,7 @@
         reader
     }
 
-    /// A value that has to be there; `example` is shown where it is not.
+    /// Returns a required value. If it is missing, the problem shows `example`.
     pub fn required<V: Value>(&mut self, section: &str, key: &str, example: &str) -> Option<V> {
         if self.text(section, key).is_none() {
             let missing = ProblemKind::Missing {
@@ -190,12 +191,12 @@
         self.maybe(section, key)
     }
 
-    /// A value that may be absent, and what holds then.
+    /// Returns an optional value, or `default` if it is absent or invalid.
     pub fn optional<V: Value>(&mut self, section: &str, key: &str, default: V) -> V {
         self.maybe(section, key).unwrap_or(default)
     }
 
-    /// A value that may be absent.
+    /// Returns an optional value, or `None` if it is absent or invalid.
     pub fn maybe<V: Value>(&mut self, section: &str, key: &str) -> Option<V> {
         let text = self.text(section, key)?;
         let value = V::read(&text);
@@ -211,7 +212,7 @@
         value
     }
 
-    /// Adds that the file which `key` names cannot be read.
+    /// Reports that the file named by `key` cannot be read.
     pub fn unreadable(&mut self, section: &str, key: &str, error: &std::io::Error) {
         let kind = ProblemKind::File {
             section: section.to_owned(),
@@ -222,10 +223,10 @@
         self.report(self.line(section, key), kind);
     }
 
-    /// The operators' token, from the file that `token_file` in `[operators]` names.
+    /// Returns the operators' token, read from the file named by `token_file` in `[operators]`.
     ///
-    /// A file that is empty by mistake is a problem: processes of a fleet without a token would
-    /// take calls from anybody.
+    /// An empty file is a problem: the processes of a fleet without a token accept calls from
+    /// anyone.
     pub fn token(&mut self) -> Option<Token> {
         let (section, key) = ("operators", "token_file");
         let path: PathBuf = self.required(section, key, "/etc/flamingopost/token")?;
@@ -238,10 +239,11 @@
         None
     }
 
-    /// The decoded settings, if nothing was wrong and nothing stands in the file unread.
+    /// Returns the decoded settings if the file has no problem. Every key that was not requested is
+    /// a problem.
     ///
     /// # Errors
-    /// Everything that is wrong with the file.
+    /// Returns all problems of the file.
     pub fn finish<T>(mut self, decoded: Option<T>) -> Result<T, Problems> {
         self.report_unknown();
         match decoded {
@@ -329,7 +331,7 @@
     names.collect::<Vec<_>>().join(", ")
 }
 
-/// The line of each key. The INI library tells lines of syntax errors only.
+/// Returns the line number of each key. The INI library provides them for syntax errors only.
 fn line_numbers(text: &str) -> BTreeMap<KeyPath, usize> {
     let mut lines = BTreeMap::new();
     let mut section = String::new();
--- a/crates/daemon/src/settings/log.rs
+++ b/crates/daemon/src/settings/log.rs
@@ -1,14 +1,14 @@
-//! What a process writes to its log, and how.
+//! Settings of the log.
 
 use super::Reader;
 use crate::log::{Format, Level};
 
-/// What a process writes to its log, and how.
+/// Settings of the log.
 #[derive(Debug, Clone, Copy)]
 pub struct Log {
-    /// Least important level that is written.
+    /// Minimum level of events that are written.
     pub level: Level,
-    /// How lines are written.
+    /// Format of the lines.
     pub format: Format,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl Log {
-    /// Decodes the section `[log]`; what it does not give is at its default.
+    /// Decodes the section `[log]`. Missing keys take their defaults.
     pub fn read(reader: &mut Reader) -> Log {
         let Log { level, format } = Log::default();
         Log {
--- a/crates/daemon/src/settings/platform.rs
+++ b/crates/daemon/src/settings/platform.rs
@@ -1,27 +1,28 @@
-//! Where a process finds the platform's services.
+//! Settings of the connection to the platform's services.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::Reader;
 
-/// How long one request may take where the settings give no time: the services answer within
-/// milliseconds, and hundreds of them while they are slow.
+/// Default timeout of a request. The services respond within milliseconds, and within hundreds of
+/// milliseconds while they are slow.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The platform's services.
+/// Settings of the connection to the platform's services.
 #[derive(Debug, Clone, Copy)]
 pub struct Platform {
-    /// Their address.
+    /// Address of the services.
     pub address: SocketAddr,
-    /// How long one request may take.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time between two reads of the rows that the process follows.
+    /// Interval between reads of the rows that the process watches.
     pub poll: Duration,
 }
 
 impl Platform {
-    /// The services at `address`, read each `poll`, with everything else at its default.
+    /// Returns the settings for the services at `address` with the poll interval `poll`, and
+    /// defaults otherwise.
     ///
     /// ```
     /// use std::time::Duration;
@@ -40,8 +41,9 @@
         }
     }
 
-    /// Decodes the section `[platform]`; `poll` holds where the section gives no other. `None`
-    /// where the section is wrong, which `reader` reports at its end.
+    /// Decodes the section `[platform]`. `poll` is the default poll interval.
+    ///
+    /// Returns `None` if the section has no valid address, which [`Reader::finish`] reports.
     pub fn read(reader: &mut Reader, poll: Duration) -> Option<Platform> {
         let address = reader.required("platform", "address", "10.1.0.2:8400");
         let timeout = reader.optional("platform", "timeout", DEFAULT_TIMEOUT);
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,22 +1,22 @@
-//! How a daemon is told to finish.
+//! Graceful shutdown of a daemon.
 
 use std::sync::Arc;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-/// How far a daemon is on its way out. It only moves forward.
+/// Shutdown phase of a daemon. It only advances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It works.
+    /// The daemon works normally.
     Running,
-    /// It takes nothing new and finishes what runs.
+    /// The daemon accepts no new work and finishes work in progress.
     Draining,
-    /// It is over: what still runs is cut off.
+    /// The daemon stops, and aborts work that is still in progress.
     Stopped,
 }
 
-/// Shared by all tasks of a daemon; clones see the same phase.
+/// Shutdown signal shared by all tasks of a daemon. Clones observe the same phase.
 ///
 /// ```
 /// use flamingopost_daemon::stop::{Phase, Stop};
@@ -43,44 +43,44 @@
 }
 
 impl Stop {
-    /// The phase now.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Asks for a graceful end.
+    /// Starts draining, unless the daemon is already draining or stopped.
     pub fn drain(&self) {
         self.advance(Phase::Draining);
     }
 
-    /// Ends at once.
+    /// Stops the daemon immediately.
     pub fn stop(&self) {
         self.advance(Phase::Stopped);
     }
 
-    /// Returns when the daemon drains or is over.
+    /// Waits until the daemon is draining or stopped.
     pub async fn draining(&self) {
         self.wait_for(Phase::Draining).await;
     }
 
-    /// Returns when the daemon is over.
+    /// Waits until the daemon is stopped.
     pub async fn stopped(&self) {
         self.wait_for(Phase::Stopped).await;
     }
 
-    /// A receiver for loops that select over the phase.
+    /// Returns a receiver of phase changes, for use in `select!` loops.
     pub fn subscribe(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Drains on the first SIGTERM or SIGINT and stops on the second, so that an operator in a
-    /// hurry does not have to look for the process.
+    /// Drains on the first SIGTERM or SIGINT and stops on the second, so that an operator can force
+    /// the end without looking up the process.
     ///
-    /// Signals are listened for from the call on, not from when the future is first polled: one
-    /// that came in between would end the process on the spot, with its callers in it.
+    /// The signal handlers are installed by the call itself, not when the future is first polled. A
+    /// signal in between would terminate the process at once, with callers still connected.
     ///
     /// # Errors
-    /// When the process may not listen for signals.
+    /// Returns an error if the signal handlers cannot be installed.
     pub fn on_signals(self) -> impl Future<Output = std::io::Result<()>> + Send + 'static {
         let terminate = signal(SignalKind::terminate());
         let interrupt = signal(SignalKind::interrupt());
@@ -118,7 +118,7 @@
 
     async fn wait_for(&self, phase: Phase) {
         let mut receiver = self.phase.subscribe();
-        // The sender lives in `self`, so waiting cannot fail.
+        // `self` owns the sender, so the wait cannot fail.
         let _ = receiver.wait_for(|current| *current >= phase).await;
     }
 }
--- a/crates/daemon/src/token.rs
+++ b/crates/daemon/src/token.rs
@@ -1,4 +1,4 @@
-//! The bearer token of operators.
+//! The bearer token of operators, and the RPC token derived from it.
 
 use std::fmt;
 use std::path::Path;
@@ -6,9 +6,10 @@
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
 
+/// Prefix of the hash input that separates the RPC token from other hashes of the token.
 const RPC_TOKEN_CONTEXT: &str = "flamingopost remote calls";
 
-/// A secret that operators send as `Authorization: Bearer TOKEN`. It is never shown.
+/// A secret that operators send as `Authorization: Bearer TOKEN`. `Debug` does not print it.
 ///
 /// ```
 /// use flamingopost_daemon::token::Token;
@@ -22,25 +23,24 @@
 pub struct Token(String);
 
 impl Token {
-    /// A token that reads `text`.
+    /// Creates a token from `text`.
     pub fn new(text: &str) -> Token {
         Token(text.to_owned())
     }
 
-    /// The token in a file, without white space around it.
+    /// Reads the token from a file. Surrounding whitespace is removed.
     ///
     /// # Errors
-    /// When the file cannot be read.
+    /// Returns an error if the file cannot be read.
     pub fn load(path: &Path) -> std::io::Result<Token> {
         let text = std::fs::read_to_string(path)?;
         Ok(Token(text.trim().to_owned()))
     }
 
-    /// Whether the value of an `Authorization` header carries this token.
+    /// Reports whether the value of an `Authorization` header carries this token.
     ///
-    /// The comparison takes the same time wherever the first difference lies: else a caller
-    /// could find the token byte by byte from the time that refusals take. An empty token
-    /// admits nobody.
+    /// The comparison takes constant time. Otherwise a caller could guess the token byte by byte
+    /// from the time that refusals take. An empty token admits no request.
     pub fn admits(&self, header: &str) -> bool {
         let Some(offered) = header.strip_prefix("Bearer ") else {
             return false;
@@ -49,8 +49,10 @@
         bool::from(same) && !self.0.is_empty()
     }
 
-    /// What processes show each other with every remote call, made from the token: whoever reads
-    /// along between two processes does not learn the operators' token by it.
+    /// Returns the token that processes send with every remote call.
+    ///
+    /// It is a hash of the operators' token, so that intercepted traffic between processes does not
+    /// reveal the latter.
     pub fn rpc_token(&self) -> Token {
         if self.0.is_empty() {
             return self.clone();
@@ -66,17 +68,17 @@
         Token(hex)
     }
 
-    /// Whether there is no token.
+    /// Reports whether the token is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Bytes that whoever does not have the token cannot guess.
+    /// Returns the token's bytes, as a secret that cannot be guessed without the token.
     pub fn secret(&self) -> Vec<u8> {
         self.0.clone().into_bytes()
     }
 
-    /// The value of the `Authorization` header that carries this token.
+    /// Returns the value of the `Authorization` header that carries this token.
     pub fn header(&self) -> String {
         format!("Bearer {}", self.0)
     }
--- a/crates/daemon/src/value.rs
+++ b/crates/daemon/src/value.rs
@@ -1,4 +1,4 @@
-//! Values that settings may have, and how each is written.
+//! Types of values in settings files, and their formats.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,12 +6,12 @@
 
 use crate::log::{Format, Level};
 
-/// A value that can be read from a settings file.
+/// A type that can be parsed from a settings file.
 pub trait Value: Sized {
-    /// What an operator has to write, for the message about a wrong value.
+    /// Expected format, for the message about an invalid value.
     const SHAPE: &'static str;
 
-    /// The value behind `text`, if it has the right shape.
+    /// Parses `text`. Returns `None` if it does not have the expected format.
     fn read(text: &str) -> Option<Self>;
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl<V: Value> Value for Vec<V> {
-    const SHAPE: &'static str = "a list divided by commas";
+    const SHAPE: &'static str = "a comma-separated list";
 
     fn read(text: &str) -> Option<Vec<V>> {
         text.split(',')
--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -1,7 +1,7 @@
-//! `docs/EVENTS.md` lists every numbered event, and nothing else.
+//! `docs/EVENTS.md` lists exactly the numbered events.
 //!
-//! After adding an event run this test with `BLESS=1`: it writes the rows anew and keeps the
-//! notes; then write a note for the new one.
+//! After adding an event, run this test with `BLESS=1` to rewrite the rows of the catalogue. Notes
+//! are kept. Then write a note for the new event.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,7 +10,7 @@
 
 use flamingopost_daemon::event::{Daemon, Kind};
 
-/// A crate's part of the catalogue.
+/// The events of one crate.
 struct Part {
     title: &'static str,
     numbers: RangeInclusive<u16>,
@@ -56,7 +56,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/EVENTS.md")
 }
 
-/// The notes of a catalogue by number.
+/// Returns the notes of the catalogue by event number.
 fn notes(text: &str) -> BTreeMap<u16, String> {
     let rows = text.lines().filter_map(|line| {
         let mut cells = line.strip_prefix("| ")?.split(" | ");
--- a/crates/daemon/tests/http.rs
+++ b/crates/daemon/tests/http.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP: health for everyone, the rest for those with the token.
+//! HTTP server for operators: health and metrics are public, other routes require the token.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -77,7 +77,7 @@
     server.stop.stop();
 }
 
-/// A token file was left empty by mistake. Operators without any token must not get in by that.
+/// Guards against unauthorized access when the token file is empty by mistake.
 #[tokio::test]
 async fn an_empty_token_authorizes_no_request() {
     let server = Server::start("");
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! `docs/operators/METRICS.md` names every metric that daemons have, and no other.
+//! `docs/operators/METRICS.md` lists exactly the metrics of the daemons.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,7 +8,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Every word in `text` that has the form of a metric's name between two `quote`s.
+/// Returns all metric names in `text` that are enclosed in `quote` characters.
 fn names(text: &str, quote: char) -> BTreeSet<String> {
     text.split(quote)
         .filter(|word| word.starts_with("flamingopost_"))
--- a/crates/daemon/tests/remote.rs
+++ b/crates/daemon/tests/remote.rs
@@ -1,4 +1,4 @@
-//! Remote calls are for processes of the fleet only.
+//! Authentication and compression of remote calls.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -35,8 +35,8 @@
     client.request("answer", rpc_params![]).await.ok()
 }
 
-/// Somebody on the hosts' network calls an entry host and closes the term of a service: callers
-/// would see every write refused until the next controller. Only who has the fleet's token may.
+/// Guards against a process on the hosts' network that is not part of the fleet and closes the term
+/// of a service: callers would see every write refused until the next controller.
 #[tokio::test]
 async fn calls_without_the_fleet_token_are_rejected() {
     let (address, _server) = server("fleet").await;
@@ -57,7 +57,7 @@
     );
 }
 
-/// Long bodies travel compressed both ways, short ones as they are; nobody sees a difference.
+/// Long bodies are compressed in both directions and short ones are not. Both arrive unchanged.
 #[tokio::test]
 async fn long_and_short_messages_round_trip() {
     let (address, _server) = server("fleet").await;
@@ -72,22 +72,22 @@
     }
 }
 
-/// A process sends a few kilobytes that unpack to far more than the greatest message. No more than
-/// that is unpacked; a stranger's are not unpacked at all.
+/// Guards against a small body that decompresses to far more than the maximum message size.
+/// Decompression stops at that size. Unauthenticated bodies are not decompressed at all.
 #[tokio::test]
 async fn oversized_decompressed_body_is_rejected() {
     let (address, _server) = server("fleet").await;
     let (within_limit, _) = send_compressed(address, "fleet", 4 << 20).await;
     assert_eq!(within_limit, StatusCode::OK);
     let (oversized, size) = send_compressed(address, "fleet", 64 << 20).await;
-    assert!(size < 1 << 20, "the body is small until it is unpacked");
+    assert!(size < 1 << 20, "the compressed body is small");
     assert!(!oversized.is_success(), "{oversized}");
     let (unauthorized, _) = send_compressed(address, "guess", 64 << 20).await;
     assert_eq!(unauthorized, StatusCode::UNAUTHORIZED);
     assert_eq!(answer(address, "fleet").await, Some(42));
 }
 
-/// Sends a call whose parameter has `length` bytes, and returns the status and the compressed size.
+/// Sends a call whose parameter has `length` bytes. Returns the status and the compressed size.
 async fn send_compressed(address: SocketAddr, token: &str, length: usize) -> (StatusCode, usize) {
     let text = "0".repeat(length);
     let call = format!(r#"{{"jsonrpc":"2.0","id":1,"method":"echo","params":["{text}"]}}"#);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: everything wrong with one is told at once, with its line and the fix.
+//! Settings files: all problems are reported at once, each with its line and a fix.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -39,7 +39,7 @@
     let text = reader.finish(decoded).unwrap_err().to_string();
     let lines: Vec<&str> = text.lines().collect();
     let wanted = [
-        "entry.ini:11: `level` stands twice in [log]: keep one",
+        "entry.ini:11: `level` appears twice in [log]: keep one",
         "entry.ini:2: `name = ` in [host] is wrong: write text",
         "entry.ini: [host] lacks `zone`: add for example `zone = dumdum`",
         "entry.ini:5: `callers = localhost:6432` in [listen] is wrong: \
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -1,4 +1,4 @@
-//! How a daemon is told to finish.
+//! Shutdown phases of a daemon.
 
 use flamingopost_daemon::stop::{Phase, Stop};
 
