--- a/crates/wire/src/authority.rs
+++ b/crates/wire/src/authority.rs
@@ -1,4 +1,4 @@
-//! Authority over a shard: promises of named standbys, and release to a successor.
+//! Authority over a shard: promises of the standbys, and release to a successor.
 
 use std::time::Duration;
 
@@ -7,42 +7,45 @@
 
 use crate::row::Row;
 
-/// A controller tells a host that it is there, and may ask it not to claim the shard for a while.
+/// Heartbeat of a controller to a host. It may ask the host for a promise not to claim the shard
+/// for a while.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromiseRequest {
     /// The shard.
     pub shard: u16,
-    /// Epoch of the asking authority.
+    /// Epoch of the controller's authority.
     pub epoch: u32,
-    /// Host of the asking controller.
+    /// Host of the controller.
     pub controller: String,
-    /// Address of the controller's remote calls.
+    /// RPC address of the controller.
     pub rpc: String,
-    /// Whether a promise is wanted.
+    /// Whether the controller requests a promise.
     pub promise: bool,
     /// Revision of the controller's row.
     pub revision: u64,
-    /// The row, which the standby must know should it claim later; absent when it has it.
+    /// The controller's row, which a standby needs in order to claim the shard later; absent if the
+    /// host already has this revision.
     pub row: Option<Row>,
 }
 
-/// The host's answer. The promise runs from the moment the ask was *sent*.
+/// The host's response. The promise runs from the moment the request was *sent*.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promise {
-    /// The process that answers.
+    /// Incarnation of the responding process.
     pub incarnation: u64,
-    /// Whether the host promises.
+    /// Whether the host gives the promise.
     pub given: bool,
-    /// How long, in milliseconds.
+    /// Duration of the promise, in milliseconds.
     pub valid_ms: u64,
-    /// The greatest epoch the host knows for the shard.
+    /// Highest epoch of the shard known to the host.
     pub epoch: u32,
-    /// Revision up to which the host has the controller's row; 0 when it has none.
+    /// Revision of the controller's row known to the host; 0 if it has none.
     pub revision: u64,
 }
 
-/// A successor asks a replaced controller to give up at once instead of waiting it out, and asks
-/// others what they know.
+/// Request of a successor. It asks the replaced controller to release its authority at once, so
+/// that the successor does not have to wait until it expires, and asks other processes what they
+/// know of the shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The shard.
@@ -51,16 +54,17 @@
     pub epoch: u32,
 }
 
-/// The answer: the process holds no authority below the successor's epoch.
+/// The response: the process holds no authority below the successor's epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Released {
-    /// The process that answers; only the one that the replaced row named counts as released.
+    /// Incarnation of the responding process. Only the process named by the replaced row counts as
+    /// released.
     pub incarnation: u64,
-    /// Milliseconds for which leases that it granted may still run.
+    /// Milliseconds for which leases that the process granted may still be valid.
     pub leases_ms: u64,
-    /// The epoch of which it knows all that was decided; 0 when there is none.
+    /// Epoch whose decisions are all known to the process; 0 if there is none.
     pub witness: u32,
-    /// The shard's row as it last knew it.
+    /// The shard's row as last known to the process.
     pub row: Option<Row>,
 }
 
--- a/crates/wire/src/close.rs
+++ b/crates/wire/src/close.rs
@@ -1,4 +1,4 @@
-//! Revocation: a controller closes terms at a lease holder.
+//! Revocation of leases: a controller closes terms at a lease holder.
 
 use std::collections::BTreeMap;
 
@@ -6,26 +6,26 @@
 
 use crate::view::{Shard, Version};
 
-/// Closes what the new view shows as closed. The holder adopts the view and from then on
-/// acknowledges no write of those terms.
+/// Closes the terms that the new view shows as closed. The lease holder adopts the view and
+/// acknowledges no writes of those terms from then on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Close {
     /// The shard.
     pub shard: u16,
-    /// Its new view.
+    /// The shard's new view.
     pub view: Shard,
     /// Configuration version in force at the controller.
     pub config: u64,
 }
 
-/// The holder's answer.
+/// The lease holder's response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Closed {
-    /// The holder's incarnation.
+    /// Incarnation of the lease holder.
     pub incarnation: u64,
-    /// Version of the view that the holder acts by now; the one sent, or a newer one.
+    /// Version of the view in force at the holder: the one sent, or a newer one.
     pub version: Version,
-    /// By service: the highest position the holder ever acknowledged, `EPOCH.COUNT/LOG`.
+    /// Highest position that the holder has ever acknowledged, `EPOCH.COUNT/LOG`, by service.
     pub acknowledged: BTreeMap<String, String>,
     /// Configuration version in force at the holder.
     pub config: u64,
--- a/crates/wire/src/explanation.rs
+++ b/crates/wire/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP: which rule applies to a statement, and where it would go.
+//! HTTP for operators: which rule applies to a statement, and how the statement is routed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,93 +10,94 @@
 use flamingopost_core::statement::{SessionState, Statement};
 use serde::{Deserialize, Serialize};
 
-/// `GET /v1/explain?service=&caller=&sql=` on an entry host.
+/// Response of `GET /v1/explain?service=&caller=&sql=` on an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The caller's role.
     pub role: String,
     /// `read` or `write`.
     pub access: String,
-    /// Tables that the statement touches.
+    /// Tables that the statement refers to.
     pub tables: BTreeSet<String>,
-    /// The tag of its marker.
+    /// Tag in the statement's marker.
     pub tag: Option<String>,
-    /// What it leaves on its connection: `unchanged`, `tracked` or `pinned`.
+    /// Effect of the statement on the session state: `unchanged`, `tracked` or `pinned`.
     pub session_state: String,
-    /// What in its marker cannot be understood.
+    /// Error in the statement's marker.
     pub mistake: Option<String>,
-    /// The rule that applies; absent where none matches.
+    /// The rule that applies; absent if none matches.
     pub rule: Option<Rule>,
-    /// The treatment that follows.
+    /// The resulting treatment.
     pub treatment: Treatment,
-    /// Where it would go now; absent where nobody has looked.
+    /// Where the statement would be sent now; absent if the route was not determined.
     pub route: Option<Route>,
 }
 
 /// A rule.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rule {
-    /// Its name.
+    /// Name of the rule.
     pub name: String,
-    /// Its line in the configuration.
+    /// Line of the rule in the configuration.
     pub line: usize,
 }
 
-/// A treatment, with what the marker asks taken into account.
+/// How a statement is treated. Requests of its marker are taken into account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Treatment {
     /// `primary` or `replica`.
     pub target: String,
-    /// Greatest data age in milliseconds.
+    /// Maximum staleness of the data, in milliseconds.
     pub max_age_ms: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether the statement may be executed more than once.
     pub repeatable: bool,
     /// Deadline in milliseconds.
     pub deadline_ms: u64,
-    /// Class.
+    /// Class of the request.
     pub class: String,
     /// Weight of the class.
     pub weight: u32,
-    /// Retries.
+    /// Maximum number of retries.
     pub retries: u8,
-    /// Wait before a second copy, in milliseconds.
+    /// Delay before a hedged request is sent, in milliseconds.
     pub hedge_ms: Option<u64>,
-    /// Most requests a second at one entry host.
+    /// Maximum requests per second at one entry host.
     pub rate: Option<u32>,
-    /// `primary` or `replica`.
+    /// Servers that must have a write before it is acknowledged: `primary`, or `replica` for the
+    /// primary and at least one replica.
     pub ack: String,
-    /// Why it is refused.
+    /// Why the statement is refused; absent if it is not.
     pub refuse: Option<String>,
 }
 
-/// Where a statement would go.
+/// Where a statement would be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Route {
-    /// To a server.
+    /// The statement is sent to a server.
     Go {
         /// The server.
         server: String,
-        /// What it is: `primary of TERM` or `replica`.
+        /// Role of the server: `primary of TERM` or `replica`.
         part: String,
     },
-    /// Nowhere yet.
+    /// The statement waits for a server.
     Wait {
-        /// When it would look again.
+        /// Time until the next routing attempt, in milliseconds.
         wait_ms: u64,
     },
-    /// Nowhere.
+    /// The statement is refused.
     Refuse {
         /// SQLSTATE of the refusal.
         sqlstate: String,
-        /// Its message.
+        /// Message of the refusal.
         message: String,
     },
 }
 
 impl Explanation {
-    /// What `index` decides for `statement` from `caller` to `service`; the route is left out.
-    /// `None` when the fleet does not have them.
+    /// Returns the decision of `index` for `statement` from `caller` to `service`, without a route.
+    /// Returns `None` if the fleet does not have the service or the caller.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -108,8 +109,8 @@
     ///
     /// let index = Index::new(Arc::new(Fleet::default()));
     /// let statement = statement::classify("SELECT 1");
-    /// let explanation = Explanation::new(&index, &Directory::default(), "ledger", "clerk", &statement);
-    /// assert_eq!(explanation, None);
+    /// let unknown = Explanation::new(&index, &Directory::default(), "ledger", "clerk", &statement);
+    /// assert_eq!(unknown, None);
     /// ```
     pub fn new(
         index: &Index,
--- a/crates/wire/src/host_status.rs
+++ b/crates/wire/src/host_status.rs
@@ -1,79 +1,79 @@
-//! Operators' HTTP: what an entry host tells of itself.
+//! HTTP for operators: the status of an entry host.
 
 use serde::{Deserialize, Serialize};
 
 use crate::knowledge::Controller;
 
-/// `GET /v1/status` on an entry host.
+/// Response of `GET /v1/status` on an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Number that the process drew at its start.
+    /// Random number that the process drew at its start.
     pub incarnation: u64,
     /// `running`, `draining` or `stopped`.
     pub phase: String,
-    /// Configuration version in force; absent where there is none yet.
+    /// Configuration version in force; absent if there is none yet.
     pub version: Option<u64>,
-    /// SHA-256 of its body, hexadecimal.
+    /// SHA-256 of the configuration's body, hexadecimal.
     pub digest: Option<String>,
-    /// Highest configuration version heard of.
+    /// Highest configuration version that the host knows of.
     pub heard: u64,
-    /// Its lease of each shard.
+    /// The host's lease of each shard.
     pub shards: Vec<Shard>,
-    /// Services that it has served.
+    /// Services that the host has served.
     pub services: Vec<Service>,
 }
 
-/// One lease.
+/// Lease of one shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
     /// The shard.
     pub shard: u16,
-    /// Where its controller is; absent while that is not known.
+    /// The shard's controller; absent while it is unknown.
     pub controller: Option<Controller>,
-    /// Version of the view acted by, `EPOCH.CHANGE`.
+    /// Version of the view in force, `EPOCH.CHANGE`.
     pub view: Option<String>,
-    /// Milliseconds for which the lease still runs.
+    /// Remaining validity of the lease, in milliseconds.
     pub lease_left_ms: u64,
 }
 
-/// One service.
+/// Status of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub service: String,
-    /// Its shard.
+    /// Shard of the service.
     pub shard: u16,
     /// `open`, `lapsed`, `closed` or `unknown`.
     pub state: String,
-    /// Its term, `EPOCH.COUNT`.
+    /// Term of the service, `EPOCH.COUNT`.
     pub term: Option<String>,
     /// The primary; absent while the term is closed.
     pub primary: Option<String>,
     /// Highest position acknowledged by this process, `EPOCH.COUNT/LOG`.
     pub acknowledged: Option<String>,
-    /// Its servers, with the pool to each.
+    /// Backend servers of the service and the connection pool of each.
     pub servers: Vec<Server>,
 }
 
-/// One backend server and the pool of connections to it.
+/// A backend server and its connection pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
-    /// Connections that this host may have open now.
+    /// Number of connections that this host may have open now.
     pub allotment: u16,
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: u16,
-    /// Open connections that nobody uses.
+    /// Number of open connections that are idle.
     pub idle: usize,
-    /// Requests that wait for one.
+    /// Number of requests that wait for a connection.
     pub waiting: usize,
-    /// Position last heard of it, `EPOCH.COUNT/LOG`.
+    /// Last known replication position, `EPOCH.COUNT/LOG`.
     pub position: Option<String>,
-    /// Whether it receives no new work.
+    /// Whether the server is being drained and receives no new work.
     pub leaving: bool,
 }
--- a/crates/wire/src/knowledge.rs
+++ b/crates/wire/src/knowledge.rs
@@ -1,24 +1,24 @@
-//! What one process tells another that has just started, or lost the platform.
+//! State that a process sends to another that has just started or cannot reach the platform.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The configuration in force and where controllers are.
+/// The configuration in force and the addresses of controllers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Knowledge {
-    /// Configuration version; 0 when there is none yet.
+    /// Configuration version; 0 if there is none yet.
     pub version: u64,
     /// SHA-256 of the body, hexadecimal.
     pub digest: String,
-    /// The body in INI; absent when the asker already has this version or a newer one.
+    /// The body in INI; absent if the requesting process has this version or a newer one.
     pub body: Option<String>,
-    /// Address of each shard's controller, with the epoch of its authority.
+    /// Controller of each shard.
     pub controllers: BTreeMap<u16, Controller>,
-    /// Who answers; absent where an entry host does.
+    /// The responding control process; absent in responses of entry hosts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub process: Option<Process>,
-    /// Other control processes that the answering one knows, by host.
+    /// RPC addresses of other control processes known to the responding one, by host.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub peers: BTreeMap<String, String>,
 }
@@ -26,23 +26,23 @@
 /// A control process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Process {
-    /// Its host.
+    /// Host of the process.
     pub host: String,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Address of its remote calls.
+    /// RPC address of the process.
     pub rpc: String,
-    /// Address of its HTTP for operators.
+    /// Address of the process's HTTP server for operators.
     pub admin: String,
-    /// Number that it drew at its start.
+    /// Random number that the process drew at its start.
     pub incarnation: u64,
 }
 
-/// Where a shard's controller is.
+/// Address of a shard's controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Controller {
-    /// Epoch of its authority.
+    /// Epoch of the controller's authority.
     pub epoch: u32,
-    /// Address of its remote calls.
+    /// RPC address of the controller.
     pub rpc: String,
 }
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -1,4 +1,4 @@
-//! Lease renewal: the heartbeat of an entry host, and what it gets in return.
+//! Lease renewal: the heartbeat of an entry host and the controller's response.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,108 +8,111 @@
 
 use crate::view::{Shard, Version};
 
-/// One entry host asks one shard's controller to renew its lease.
+/// Request of an entry host to a shard's controller to renew its lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
     /// The shard.
     pub shard: u16,
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// Number that a process draws at its start, so a restart is not the same holder.
+    /// Random number that the process drew at its start. It makes a restarted host a different
+    /// lease holder.
     pub incarnation: u64,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Address of the host's own remote calls, for revocation and pushes.
+    /// RPC address of the host, for revocations and pushed views.
     pub rpc: String,
     /// Configuration version in force at the host.
     pub config: u64,
-    /// View version the host acts by; absent at its start.
+    /// Version of the view in force at the host; absent at its start.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Version>,
-    /// What the host saw of each backend server since its last renewal.
+    /// Observations of each backend server since the last renewal.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub reports: BTreeMap<String, Report>,
-    /// Connections the host wants to each backend server.
+    /// Number of connections that the host requests, by backend server.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub demand: BTreeMap<String, u16>,
-    /// Whether the host is about to stop and gives up its lease and its connections.
+    /// Whether the host is about to stop and releases its lease and its connections.
     #[serde(default, skip_serializing_if = "is_default")]
     pub stopping: bool,
 }
 
-/// What one host saw of one backend server. All absent: it answers, and nothing is wrong.
+/// Observations of one backend server by one host. Without any values, the server responds and has
+/// no failures.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Answers received, probes included.
+    /// Number of responses received, including those to probes.
     #[serde(default, skip_serializing_if = "is_default")]
     pub answers: u32,
-    /// Connections refused, broken or timed out.
+    /// Number of connections refused, broken or timed out.
     #[serde(default, skip_serializing_if = "is_default")]
     pub failures: u32,
-    /// Those of them that were refused or broken, which a server that is merely slow does not do.
+    /// Number of those that were refused or broken. A server that is merely slow causes none.
     #[serde(default, skip_serializing_if = "is_default")]
     pub broken: u32,
-    /// Milliseconds since the last answer; absent when there never was one.
+    /// Milliseconds since the last response; absent if there was none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub silent_ms: Option<u64>,
-    /// Last known position, `EPOCH.COUNT/LOG`.
+    /// Last known replication position, `EPOCH.COUNT/LOG`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub position: Option<String>,
 }
 
-/// The controller's answer. The lease runs from the moment the host *sent* the renewal.
+/// A granted lease. It runs from the moment the host *sent* the renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Version of the view that the lease covers.
     pub version: Version,
-    /// How long, in milliseconds; 0 when nothing is granted.
+    /// Duration of the lease, in milliseconds; 0 if nothing is granted.
     pub valid_ms: u64,
-    /// The view, when it is newer than the one the host named.
+    /// The view; absent if the host's is not older.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub view: Option<Shard>,
-    /// Connections the host may open to each backend server, for as long as the lease runs.
+    /// Number of connections that the host may have while the lease is valid, by backend server.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub allotment: BTreeMap<String, u16>,
-    /// Connections that the host may keep beyond its lease, by backend server, so that a zone
-    /// that is cut off from its controller goes on serving.
+    /// Connections that the host may keep after its lease has expired, by backend server, so that
+    /// an availability zone that is partitioned from its controller continues to serve.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub floors: BTreeMap<String, Floor>,
-    /// Whether operators want the host to take nothing new and end.
+    /// Whether operators are draining the host: it accepts no new work and then stops.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub drain: bool,
-    /// Highest configuration version the controller knows.
+    /// Highest configuration version known to the controller.
     pub config: u64,
 }
 
 /// Connections that outlast a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Floor {
-    /// How many.
+    /// Number of connections.
     pub connections: u16,
-    /// How long from the moment the host *sent* the renewal, in milliseconds.
+    /// Validity from the moment the host *sent* the renewal, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// Why a renewal is refused.
+/// Refusal of a renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The controller's address, where the refusing process knows a better one.
+    /// Address of the controller, if the refusing process knows a better one.
     pub redirect: Option<String>,
-    /// Highest configuration version the refusing process knows.
+    /// Highest configuration version known to the refusing process.
     pub config: u64,
 }
 
-/// What a renewal leads to.
+/// Response to a renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reply {
-    /// A lease.
+    /// The lease is granted.
     Granted(Grant),
-    /// This process does not lead the shard, or its authority has run out.
+    /// The process does not control the shard, or its authority has expired.
     Refused(Refusal),
 }
 
-/// What is usual stays out of messages, which every host sends several times a second.
+/// Reports whether a field has its default and is left out of the message. Every host sends
+/// renewals several times a second.
 fn is_default<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
 //! Messages and `jsonrpsee` interfaces between flamingopost processes.
 //!
-//! Names travel, never keys; durations travel as milliseconds; terms and positions as text
-//! (`EPOCH.COUNT` and `EPOCH.COUNT/LOG`). Every message carries the configuration version that
-//! its sender has in force, so one host that has seen a new version is enough for its zone.
+//! Messages contain names instead of interned keys, durations in milliseconds, and terms and
+//! positions as text (`EPOCH.COUNT` and `EPOCH.COUNT/LOG`). Every message carries the configuration
+//! version in force at its sender, so that one host with a new version suffices to spread it in its
+//! zone.
 
 pub mod authority;
 pub mod close;
--- a/crates/wire/src/row.rs
+++ b/crates/wire/src/row.rs
@@ -1,4 +1,4 @@
-//! The body of a shard's row in the table service, JSON.
+//! JSON body of a shard's row in the table service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,11 +15,11 @@
 pub struct Row {
     /// Epoch of the controller's authority.
     pub epoch: u32,
-    /// Changes of the row since it was made.
+    /// Number of changes since the row was created.
     pub revision: u64,
     /// Host of the controller.
     pub controller: String,
-    /// The controller's process on that host.
+    /// Incarnation of the controller's process.
     pub incarnation: u64,
     /// Hosts of the standbys.
     pub standbys: BTreeSet<String>,
@@ -27,20 +27,20 @@
     pub services: BTreeMap<String, Service>,
 }
 
-/// One service.
+/// Recorded state of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its newest term.
+    /// Newest term of the service.
     pub term: String,
-    /// Whether that term is open; otherwise a promotion is under way.
+    /// Whether that term is open; otherwise a promotion is in progress.
     pub open: bool,
     /// The primary of that term; absent before the first.
     pub primary: Option<String>,
-    /// First log position of each term that led to the newest one.
+    /// First log position of each term in the history of the newest one.
     pub history: BTreeMap<String, u64>,
-    /// Where every term began that was ever opened.
+    /// Origin of every term that was ever opened.
     pub origins: BTreeMap<String, Origin>,
-    /// What promotions have lost.
+    /// Losses of promotions.
     #[serde(default)]
     pub losses: Vec<Loss>,
 }
@@ -48,26 +48,26 @@
 /// Where a term began.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// The term whose log it went on from; absent for the first.
+    /// The term whose log it continues; absent for the first term.
     pub parent: Option<String>,
-    /// The log position there.
+    /// Log position at which the term began.
     pub start: u64,
 }
 
-/// What one promotion lost or may have lost.
+/// Acknowledged writes that a promotion lost or may have lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// The term that it opened.
+    /// The term that the promotion opened.
     pub opened: String,
     /// Where that term began.
     pub start: u64,
-    /// The highest position known to have been acknowledged, if it is past `start`.
+    /// Highest position known to have been acknowledged, if it is past `start`.
     pub acknowledged: Option<String>,
-    /// Whether every lease holder told what it had acknowledged.
+    /// Whether every lease holder reported its acknowledged positions.
     pub complete: bool,
 }
 
-/// What is wrong with a row.
+/// Error in a row.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// {0}
@@ -95,10 +95,11 @@
 }
 
 impl Row {
-    /// The body for `row`; names come from `directory`.
+    /// Encodes `row` with the names in `directory`.
     ///
     /// # Errors
-    /// A key that `directory` has no name for: leaving it out would lose a service or a standby.
+    /// Returns an error if `directory` has no name for a key. Omitting the key would lose a service
+    /// or a standby.
     pub fn encode(row: &row::Row, directory: &Directory) -> Result<Row, Error> {
         let host = |key| directory.hosts.name(key).map(str::to_owned);
         let mut standbys = BTreeSet::new();
@@ -120,10 +121,11 @@
         })
     }
 
-    /// The row behind the body; unseen names are added to `directory`.
+    /// Decodes the row. Unknown names are added to `directory`.
     ///
     /// # Errors
-    /// A term or position that cannot be read, or an open service without a primary.
+    /// Returns an error if a term or position cannot be parsed, or if an open service has no
+    /// primary.
     pub fn decode(&self, directory: &mut Directory) -> Result<row::Row, Error> {
         let mut services = BTreeMap::new();
         for (name, service) in &self.services {
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The remote interfaces.
+//! RPC interfaces of control processes and entry hosts.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
@@ -9,52 +9,55 @@
 use crate::lease::{Renewal, Reply};
 use crate::status::{Ordered, Status};
 
-/// What a control process answers.
+/// RPC interface of a control process.
 #[rpc(server, client, namespace = "control")]
 pub trait Control {
-    /// Renews leases: several at once, for a relay; the answers come in the same order.
+    /// Renews leases. A relay sends several at once. The responses are in the same order.
     #[method(name = "renew")]
     async fn renew(&self, renewals: Vec<Renewal>) -> RpcResult<Vec<Reply>>;
 
-    /// Renews leases on behalf of the hosts of a zone; as `renew`, but never passed on again.
+    /// Renews leases on behalf of the hosts of a zone. Like `renew`, but never relayed again.
     #[method(name = "relayed")]
     async fn relayed(&self, renewals: Vec<Renewal>) -> RpcResult<Vec<Reply>> {
         self.renew(renewals).await
     }
 
-    /// Tells a host that the controller is there; may ask for its promise.
+    /// Receives a controller's heartbeat, which may request a promise.
     #[method(name = "promise")]
     async fn promise(&self, ask: PromiseRequest) -> RpcResult<Promise>;
 
-    /// Asks a replaced controller to give up, or anybody what it knows of the shard.
+    /// Asks a replaced controller to release its authority, or any process for its knowledge of the
+    /// shard.
     #[method(name = "release")]
     async fn release(&self, release: Release) -> RpcResult<Released>;
 
-    /// Tells what this process knows; `version` is what the asker has.
+    /// Returns the configuration in force and known controllers. `version` is the configuration
+    /// version of the requesting process.
     #[method(name = "knowledge")]
     async fn knowledge(&self, version: u64) -> RpcResult<Knowledge>;
 
-    /// Tells the state of the shards that this process leads.
+    /// Returns the state of the shards that this process controls.
     #[method(name = "status")]
     async fn status(&self) -> RpcResult<Status>;
 
-    /// Orders a planned promotion for a service whose shard this process leads.
+    /// Orders a planned promotion for a service whose shard this process controls.
     #[method(name = "order")]
     async fn order(&self, service: String) -> RpcResult<Ordered>;
 }
 
-/// What an entry host answers.
+/// RPC interface of an entry host.
 #[rpc(server, client, namespace = "entry")]
 pub trait Entry {
     /// Closes terms.
     #[method(name = "close")]
     async fn close(&self, close: Close) -> RpcResult<Closed>;
 
-    /// Tells of a new view, so that a new term is in use before the next renewal.
+    /// Pushes a new view, so that a new term is in use before the next renewal.
     #[method(name = "view")]
     async fn view(&self, close: Close) -> RpcResult<u64>;
 
-    /// Tells what this host knows; `version` is what the asker has.
+    /// Returns the configuration in force and known controllers. `version` is the configuration
+    /// version of the requesting process.
     #[method(name = "knowledge")]
     async fn knowledge(&self, version: u64) -> RpcResult<Knowledge>;
 }
--- a/crates/wire/src/status.rs
+++ b/crates/wire/src/status.rs
@@ -1,8 +1,8 @@
-//! The state of a fleet, for operators.
+//! Status of a fleet, for operators.
 
 use serde::{Deserialize, Serialize};
 
-/// What one controller, or all of them together, see.
+/// Status of a fleet as known to one controller or to all of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Entry hosts.
@@ -13,69 +13,69 @@
     pub controllers: Vec<Controller>,
 }
 
-/// An entry host's process.
+/// Process of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Number that the process drew at its start.
+    /// Random number that the process drew at its start.
     pub incarnation: u64,
-    /// Configuration version in force there.
+    /// Configuration version in force at the host.
     pub config: u64,
-    /// Whether it takes part: joining, live, suspect, gone or leaving.
+    /// Membership state: joining, live, suspect, gone or leaving.
     pub state: String,
-    /// Milliseconds for which its lease still runs at least; the least of its shards.
+    /// Minimum remaining validity of the host's leases of all shards, in milliseconds.
     pub lease_left_ms: u64,
-    /// Connections allotted to it, all servers together.
+    /// Number of connections allotted to the host, over all servers.
     pub connections: u32,
 }
 
 /// A service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub service: String,
-    /// Its shard.
+    /// Shard of the service.
     pub shard: u16,
-    /// Its newest term, `EPOCH.COUNT`.
+    /// Newest term of the service, `EPOCH.COUNT`.
     pub term: String,
     /// The primary; absent while the term is closed.
     pub primary: Option<String>,
-    /// `open`, or what its promotion waits for.
+    /// `open`, or what the promotion in progress waits for.
     pub state: String,
-    /// Its servers.
+    /// Backend servers of the service.
     pub servers: Vec<Server>,
-    /// What promotions lost.
+    /// Acknowledged writes lost by promotions.
     pub lost: Vec<Loss>,
 }
 
 /// A backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: String,
-    /// What it believes to be; absent while it does not answer.
+    /// Role that the server reports; absent while it does not respond.
     pub role: Option<String>,
-    /// How far its data reach, `EPOCH.COUNT/LOG`.
+    /// Replication position of the server, `EPOCH.COUNT/LOG`.
     pub position: Option<String>,
-    /// How old its data may be, in milliseconds.
+    /// Maximum staleness of the server's data, in milliseconds.
     pub age_ms: Option<u64>,
-    /// Who calls it leaving.
+    /// Sources that report the server as leaving.
     pub leaving: Vec<String>,
 }
 
-/// Acknowledged writes that a promotion could not keep.
+/// Acknowledged writes that a promotion lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// The term that began without them.
+    /// The term that was opened without the writes.
     pub term: String,
-    /// The highest position that was acknowledged, `EPOCH.COUNT/LOG`.
+    /// Highest acknowledged position, `EPOCH.COUNT/LOG`.
     pub acknowledged: String,
-    /// Where the new term begins.
+    /// Log position at which the new term begins.
     pub start: u64,
 }
 
@@ -84,15 +84,15 @@
 pub struct Controller {
     /// The shard.
     pub shard: u16,
-    /// Epoch of its authority.
+    /// Epoch of the controller's authority.
     pub epoch: u32,
-    /// Its host.
+    /// Host of the controller.
     pub host: String,
-    /// Hosts that would take over.
+    /// Hosts that may take over the shard.
     pub standbys: Vec<String>,
 }
 
-/// What an ordered promotion led to.
+/// Result of an order for a planned promotion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum Ordered {
@@ -106,27 +106,28 @@
     NoCandidate,
 }
 
-/// `POST /v1/claim`: takes over a shard of which nobody is left who could.
+/// Request of `POST /v1/claim`: takes over a shard whose controller and standbys are all gone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The shard.
     pub shard: u16,
-    /// The hosts that the operator has made sure are gone: the controller and all standbys of the
-    /// shard's row.
+    /// Hosts that the operator has confirmed to be gone: the controller and all standbys named in
+    /// the shard's row.
     pub gone: std::collections::BTreeSet<String>,
 }
 
-/// What came of a claim.
+/// Result of a claim by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Claimed {
-    /// This process claims the shard now.
+    /// The process has begun to claim the shard.
     Begun,
-    /// This process leads it already.
+    /// The process already controls the shard.
     Leads,
-    /// There is no such shard.
+    /// The shard does not exist.
     NoSuchShard,
-    /// These hosts could still take over or go on; they are not all named as gone.
+    /// The request does not name all of these hosts as gone, and each could still take over or
+    /// continue.
     Named {
         /// The controller and the standbys of the row.
         hosts: std::collections::BTreeSet<String>,
--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -1,74 +1,76 @@
-//! Operators' HTTP: submitting configurations and reading them back.
+//! HTTP for operators: submission and retrieval of configurations.
 
 use flamingopost_core::config::Report;
 use serde::{Deserialize, Serialize};
 
-/// `POST /v1/config`: a new configuration.
+/// Request of `POST /v1/config`: a new configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The version that it was made from.
+    /// Version on which the configuration is based.
     pub base: u64,
-    /// Id that the operator's tool drew; the same for every try of one submission.
+    /// Random id drawn by the operator's tool. It is the same in every retry of a submission.
     pub submission: String,
-    /// Who submits it.
+    /// Name of the operator.
     pub operator: String,
     /// The configuration in INI.
     pub body: String,
 }
 
-/// It is the new configuration.
+/// Success response: the submission is the new configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its version.
+    /// Version of the new configuration.
     pub version: u64,
 }
 
-/// It is not, or nobody knows; the `type` field tells which.
+/// Error response: the submission was refused, or its outcome is unknown. The `type` field names
+/// the variant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Refused {
-    /// 409: another one came first.
+    /// 409: another submission was accepted first.
     Conflict {
-        /// The version that did.
+        /// The accepted version.
         winner: Winner,
     },
-    /// 422: it is no valid configuration.
+    /// 422: the configuration is invalid.
     Invalid {
-        /// Everything that is wrong in it.
+        /// All problems of the configuration.
         problems: Vec<Problem>,
     },
     /// 503: nothing was changed.
     Unavailable,
-    /// 503: whether it was accepted is not known; the id in the history settles it.
+    /// 503: it is unknown whether the submission was accepted. The submission id in the history
+    /// settles it.
     Unknown,
 }
 
-/// The version that came first.
+/// The version that was accepted first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Winner {
     /// The version.
     pub version: u64,
-    /// Who submitted it.
+    /// Operator who submitted the version.
     pub operator: String,
     /// Id of its submission.
     pub submission: String,
 }
 
-/// One thing that is wrong in a configuration.
+/// A problem in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The file, as the checker was told.
+    /// Name of the file, as passed to the checker.
     pub file: String,
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
     /// What is wrong.
     pub what: String,
-    /// What would be right.
+    /// How to fix it.
     pub fix: String,
 }
 
 impl Problem {
-    /// The problems of a report.
+    /// Returns all problems of a report.
     pub fn all(report: &Report) -> Vec<Problem> {
         let problems = report.problems.iter();
         problems
@@ -82,7 +84,7 @@
     }
 }
 
-/// `GET /v1/config` and `GET /v1/config/{version}`: a configuration and whose it is.
+/// Response of `GET /v1/config` and `GET /v1/config/{version}`: a configuration and its origin.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
     /// Its version.
@@ -91,7 +93,7 @@
     pub digest: String,
     /// The configuration in INI.
     pub body: String,
-    /// Who submitted it.
+    /// Operator who submitted the version.
     pub submitted_by: String,
     /// Id of its submission.
     pub submission: String,
@@ -106,14 +108,14 @@
     pub digest: String,
     /// Id of its submission.
     pub submission: String,
-    /// Who submitted it.
+    /// Operator who submitted the version.
     pub operator: String,
-    /// When, in seconds since 1970 by the clock of the host that wrote it.
+    /// Time of submission in seconds since 1970, by the clock of the host that wrote the record.
     #[serde(default)]
     pub at: Option<u64>,
 }
 
-/// `POST /v1/drain` on a controller: who is to receive no new work.
+/// Request of `POST /v1/drain` on a controller: what is to receive no new work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Drain {
--- a/crates/wire/src/view.rs
+++ b/crates/wire/src/view.rs
@@ -1,4 +1,4 @@
-//! A shard's view on the wire.
+//! Encoding of a shard's view.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,35 +11,35 @@
 /// Version of a shard's view.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// Epoch of the authority.
+    /// Epoch of the controller's authority.
     pub epoch: u32,
-    /// Changes under that epoch.
+    /// Number of changes in that epoch.
     pub change: u64,
 }
 
 /// The services of one shard at one version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
-    /// The version of all that follows.
+    /// Version of the view.
     pub version: Version,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
 }
 
-/// One service.
+/// State of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its newest term.
+    /// Newest term of the service.
     pub term: String,
     /// The primary of that term; absent while the term is closed.
     pub primary: Option<String>,
     /// First log position of each term.
     pub history: BTreeMap<String, u64>,
-    /// Servers that receive no new work.
+    /// Servers that are being drained and receive no new work.
     pub leaving: BTreeSet<String>,
 }
 
-/// What is wrong with a view from another process.
+/// Error in a view received from another process.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// {0}
@@ -75,7 +75,7 @@
 }
 
 impl Shard {
-    /// The message for `shard`; names come from `directory`.
+    /// Encodes `shard` with the names in `directory`.
     pub fn encode(shard: &view::Shard, directory: &Directory) -> Shard {
         let services = shard
             .services
@@ -91,10 +91,10 @@
         }
     }
 
-    /// The view behind the message; unseen names are added to `directory`.
+    /// Decodes the view. Unknown names are added to `directory`.
     ///
     /// # Errors
-    /// A term that cannot be read.
+    /// Returns an error if a term cannot be parsed.
     pub fn decode(&self, directory: &mut Directory) -> Result<view::Shard, Error> {
         let mut services = BTreeMap::new();
         for (name, service) in &self.services {
--- a/crates/wire/tests/row.rs
+++ b/crates/wire/tests/row.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a shard's row.
+//! Encoding and decoding of a shard's row.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,8 +53,9 @@
     }
 }
 
-/// A claim that took effect is never recognised, and nobody controls the shard: its answer was
-/// lost, and the row read back differs from the one written by something that the text left out.
+/// Guards against a shard without a controller: if the response to a claim is lost, and the row
+/// read back differs from the written one because the JSON omits a field, the claim is never
+/// recognised as successful.
 #[test]
 fn rows_round_trip_through_json() {
     let mut directory = Directory::default();
@@ -64,7 +65,7 @@
     assert_eq!(read.decode(&mut directory), Ok(row));
 }
 
-/// A process that has just started has other keys for the same names.
+/// Another process may have different keys for the same names.
 #[test]
 fn encoding_uses_names_instead_of_keys() {
     let mut directory = Directory::default();
@@ -76,7 +77,7 @@
     assert_eq!(row::Row::encode(&decoded, &other), Ok(message));
 }
 
-/// A damaged row is taken for one without a primary, and another is promoted.
+/// Guards against a second promotion because a malformed row is taken for one without a primary.
 #[test]
 fn malformed_rows_are_rejected() {
     let mut directory = Directory::default();
