--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,8 +1,8 @@
-//! What can go wrong between us and the platform.
+//! Errors of requests to the platform.
 
 use std::time::Duration;
 
-/// Why the platform's service gave no usable answer.
+/// Why a request to a service of the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// the platform's service cannot be reached: {0}
@@ -21,17 +21,17 @@
 
 impl std::error::Error for Error {}
 
-/// What an error says about the effect of the request.
+/// What an error implies about the effect of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// The request took no effect.
+    /// The request had no effect.
     None,
-    /// It may have taken effect; a writer finds out by reading back.
+    /// The request may have taken effect. A writer finds out by reading back.
     Unknown,
 }
 
 impl Error {
-    /// Whether the request may have taken effect.
+    /// Returns whether the request may have taken effect.
     ///
     /// ```
     /// use std::time::Duration;
@@ -43,8 +43,8 @@
     pub fn effect(&self) -> Effect {
         match self {
             Error::Unreachable(_) | Error::Refused => Effect::None,
-            // 4xx is a refusal before any effect. A gateway's 5xx says nothing about the
-            // service behind it.
+            // A 4xx status is a refusal before any effect. A gateway's 5xx status does not tell
+            // what the service behind it did.
             Error::Status(status) if *status < 500 => Effect::None,
             Error::Status(_) | Error::Timeout(_) | Error::Broken(_) | Error::Answer(_) => {
                 Effect::Unknown
--- a/crates/platform/src/fake.rs
+++ b/crates/platform/src/fake.rs
@@ -1,4 +1,4 @@
-//! A platform in memory for tests: behind the same traits, with faults set by hand.
+//! In-memory platform for tests, with the same traits and with injected faults.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -11,18 +11,18 @@
 use crate::object;
 use crate::table::{self, Change, Condition, Outcome, Row, Tag};
 
-/// What goes wrong with requests from now on.
+/// Faults that are injected into requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Fault {
     /// Every request is refused.
     pub down: bool,
-    /// Writes take effect, their answers are lost.
+    /// Writes take effect, but their responses are lost.
     pub lost_answers: bool,
-    /// Every request takes this long.
+    /// Delay of every request.
     pub delay: Duration,
 }
 
-/// A table service, object store and list of hosts in memory.
+/// In-memory table service, object store and host list.
 #[derive(Debug, Default)]
 pub struct Platform {
     state: Mutex<State>,
@@ -39,22 +39,22 @@
 }
 
 impl Platform {
-    /// Sets what goes wrong from now on.
+    /// Sets the faults of all following requests.
     pub fn set_fault(&self, fault: Fault) {
         self.lock().fault = fault;
     }
 
-    /// Sets the list of hosts.
+    /// Sets the host list.
     pub fn set_hosts(&self, hosts: Vec<Host>) {
         self.lock().hosts = hosts;
     }
 
-    /// Requests so far that read.
+    /// Returns the number of read requests so far.
     pub fn reads(&self) -> u64 {
         self.lock().reads
     }
 
-    /// Requests so far that wrote, refused ones included.
+    /// Returns the number of write requests so far, including refused ones.
     pub fn writes(&self) -> u64 {
         self.lock().writes
     }
--- a/crates/platform/src/group.rs
+++ b/crates/platform/src/group.rs
@@ -1,4 +1,4 @@
-//! A database group: state of a server, promotion, following.
+//! Client of a backend server in a database group: status, promotion and replication.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use tokio_postgres::error::SqlState;
 use tokio_postgres::{NoTls, SimpleQueryMessage, SimpleQueryRow};
 
-/// The user under which we connect to backend servers.
+/// User name for connections to backend servers.
 const USER: &str = "flamingopost";
 
-/// A connection to one backend server; it is closed when dropped.
+/// Connection to one backend server. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct Client {
     postgres: tokio_postgres::Client,
@@ -20,31 +20,31 @@
     timeout: Duration,
 }
 
-/// What a server says of itself.
+/// Status that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
-    /// The greatest term it knows.
+    /// Highest term known to the server.
     pub term: Term,
-    /// Whether it leads that term or follows.
+    /// Role of the server in that term.
     pub role: Role,
-    /// How far its data reach.
+    /// Replication position of the server.
     pub position: Position,
-    /// How old its data may be.
+    /// Maximum staleness of the server's data.
     pub age: Duration,
-    /// Whether it is about to be taken away.
+    /// Whether the server is about to be removed.
     pub leaving: bool,
 }
 
-/// What a server believes to be.
+/// Role that a server reports. It may be outdated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It believes that it leads.
+    /// The server considers itself the primary.
     Primary,
-    /// It follows.
+    /// The server is a replica.
     Replica,
 }
 
-/// Why a server did not do what was asked.
+/// Why a request to a server failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// the server cannot be reached: {0}
@@ -74,11 +74,12 @@
 }
 
 impl Client {
-    /// Connects to the server at `address` as a member of `service`'s group; `name` says who
-    /// connects, `ZONE/HOST`.
+    /// Connects to the server at `address`, a member of the group of `service`. `name` identifies
+    /// the connecting process as `ZONE/HOST`.
     ///
     /// # Errors
-    /// No connection within `timeout`; nothing was asked of the server.
+    /// Returns an error if no connection is established within `timeout`. No request was sent in
+    /// that case.
     pub async fn connect(
         address: SocketAddr,
         service: &str,
@@ -101,7 +102,7 @@
             Ok(Ok(pair)) => pair,
         };
         let driver = tokio::spawn(async move {
-            // The error shows as a closed connection at the next request.
+            // The next request reports the error as a closed connection.
             let _closed = connection.await;
         });
         Ok(Client {
@@ -111,15 +112,15 @@
         })
     }
 
-    /// Whether the connection is known to be closed.
+    /// Reports whether the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.postgres.is_closed()
     }
 
-    /// Asks the server about itself.
+    /// Returns the status of the server.
     ///
     /// # Errors
-    /// No answer, or one that cannot be read.
+    /// Returns an error if the server does not respond or the response cannot be parsed.
     pub async fn status(&self) -> Result<Status, Error> {
         let row = self.query_row("SELECT * FROM group_status()").await?;
         let term: i64 = parse_number(&row, "term")?;
@@ -136,12 +137,12 @@
         })
     }
 
-    /// Makes the server the primary of `term`, provided that its data reach `at_least`.
-    /// Repeating the order for the same term is harmless.
+    /// Promotes the server to primary of `term`, provided that its replication position is at least
+    /// `at_least`. The order is idempotent for the same term.
     ///
     /// # Errors
-    /// [`Error::Refused`] when the server knows a greater term or lacks data;
-    /// [`Error::Timeout`] and [`Error::Broken`] leave open whether it was promoted.
+    /// Returns [`Error::Refused`] if the server knows a higher term or lacks data. After
+    /// [`Error::Timeout`] and [`Error::Broken`] it is unknown whether the server was promoted.
     pub async fn promote(&self, term: Term, at_least: Option<Position>) -> Result<(), Error> {
         let number = term.number();
         let order = match at_least {
@@ -151,10 +152,11 @@
         self.query_row(&order).await.map(drop)
     }
 
-    /// Makes the server follow the primary of `term` at `address`; a divergent tail is discarded.
+    /// Makes the server replicate from the primary of `term` at `address`. The server discards the
+    /// divergent tail of its log.
     ///
     /// # Errors
-    /// As for [`Client::promote`].
+    /// Returns the same errors as [`Client::promote`].
     pub async fn follow(&self, address: SocketAddr, term: Term) -> Result<(), Error> {
         let order = format!("SELECT group_follow('{address}', {})", term.number());
         self.query_row(&order).await.map(drop)
@@ -176,8 +178,8 @@
 
 impl Drop for Client {
     fn drop(&mut self) {
-        // Dropping the client alone ends the session politely, which a paused server never
-        // answers: the task and its socket would stay for as long as the pause lasts.
+        // Dropping only the client closes the session gracefully and waits for the server. With a
+        // paused server, the task and its socket would stay for as long as the pause lasts.
         self.driver.abort();
     }
 }
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -1,7 +1,7 @@
 //! The fleet's configuration in the platform's services.
 //!
-//! Row `fleet/head` names the newest version; row `history/VERSION` records each; the body of a
-//! version is object `config/DIGEST`.
+//! The row `fleet/head` names the newest version, a row `history/VERSION` records each version, and
+//! the object `config/DIGEST` is the body of a version.
 
 use std::time::Duration;
 
@@ -12,31 +12,32 @@
 use crate::error::Error;
 use crate::object::Store;
 
-/// Prefix of all rows that a host polls for; one read.
+/// Prefix of all rows that a host polls, in a single read.
 pub const FLEET_PREFIX: &str = "fleet/";
 
 /// Key of the head row.
 pub const HEAD_KEY: &str = "fleet/head";
 
-/// An accepted version, as rows hold it.
+/// Record of an accepted version, as stored in rows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The version, from 1.
     pub version: u64,
     /// SHA-256 of the body, hexadecimal.
     pub digest: String,
-    /// Id that the operator's tool drew for the submission.
+    /// Random id of the submission, drawn by the operator's tool.
     pub submission: String,
-    /// Who submitted it.
+    /// Operator who submitted the version.
     pub operator: String,
-    /// When, in milliseconds since 1970, by the clock of the process that wrote it.
+    /// Time of submission in milliseconds since 1970, by the clock of the process that wrote the
+    /// row.
     pub at_ms: u64,
 }
 
-/// A head row that cannot be read.
+/// Why a head row cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum ReadError {
-    /// {0} is no configuration record
+    /// not a configuration record: {0}
     Json(String),
     /// {0}
     Digest(digest::ParseError),
@@ -45,7 +46,7 @@
 impl std::error::Error for ReadError {}
 
 impl Head {
-    /// The row for `record`, written `since_epoch` after 1970 began.
+    /// Creates the row for `record`, written at `since_epoch` after the Unix epoch.
     pub fn new(record: &Record, since_epoch: Duration) -> Head {
         Head {
             version: record.version,
@@ -56,17 +57,17 @@
         }
     }
 
-    /// Reads a row's body.
+    /// Decodes a row's body.
     ///
     /// # Errors
-    /// It is no record of a version.
+    /// Returns an error if the body is not a record of a version.
     pub fn decode(body: &str) -> Result<Head, ReadError> {
         serde_json::from_str(body).map_err(|_| ReadError::Json(body.to_owned()))
     }
 
-    /// The row's body.
+    /// Encodes the row's body.
     pub fn encode(&self) -> String {
-        // A struct of numbers and strings always has a JSON form.
+        // Serializing a struct of numbers and strings cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
@@ -84,7 +85,7 @@
     }
 }
 
-/// Key of the record of `version`.
+/// Returns the key of the record of `version`.
 ///
 /// ```
 /// assert_eq!(flamingopost_platform::head::history_key(12), "history/0000000012");
@@ -93,22 +94,22 @@
     format!("history/{version:010}")
 }
 
-/// Prefix of the records of the hundred versions around `version`, so that a history of years
-/// is never read at once.
+/// Returns the key prefix of the records of the hundred versions around `version`, so that a long
+/// history is never read at once.
 pub fn history_page_prefix(version: u64) -> String {
     let key = history_key(version);
     key[..key.len() - 2].to_owned()
 }
 
-/// Key of the body with `digest`.
+/// Returns the key of the body with `digest`.
 pub fn body_key(digest: Digest) -> String {
     format!("config/{digest}")
 }
 
-/// Fetches the body with `digest`; the caller checks it against the digest.
+/// Fetches the body with `digest`. The caller verifies the digest.
 ///
 /// # Errors
-/// The object store does not answer.
+/// Returns an error if the object store does not respond.
 pub async fn fetch_body(store: &dyn Store, digest: Digest) -> Result<Option<Vec<u8>>, Error> {
     store.get(&body_key(digest)).await
 }
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -1,34 +1,34 @@
-//! The platform's lagging list of hosts.
+//! The platform's host list, which lags behind.
 
 use async_trait::async_trait;
 use serde::{Deserialize, Serialize};
 
 use crate::error::Error;
 
-/// One host on the list: an entry host or a backend server's.
+/// A host on the list: an entry host or the host of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Its address, `IP:PORT`.
+    /// Address of the host, `IP:PORT`.
     pub address: String,
-    /// What the platform says of it.
+    /// State reported by the platform.
     pub state: State,
 }
 
-/// What the platform says of a host.
+/// State of a host as reported by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It runs, or did a while ago.
+    /// The host runs, or ran a while ago.
     Live,
-    /// It is about to be taken away.
+    /// The host is about to be removed.
     Leaving,
 }
 
-/// The list of hosts. It lags: it is a hint and never evidence that a host is gone.
+/// The host list. It lags behind: it is a hint and never evidence that a host is gone.
 #[async_trait]
 pub trait List: Send + Sync {
     /// Reads the list.
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP with conditional requests (RFC 9110).
+//! HTTP client of the platform's services, with conditional requests (RFC 9110).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::object;
 use crate::table::{self, Change, Condition, Outcome, Row, Tag};
 
-/// A client of all three HTTP services; clones share its connections.
+/// Client of the table service, the object store and the host list. Clones share its connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: reqwest::Client,
@@ -23,7 +23,7 @@
     timeout: Duration,
 }
 
-/// The availability zone that a request comes from.
+/// Header with the availability zone of the requesting process.
 const ZONE_HEADER: &str = "x-zone";
 
 /// A row on the wire.
@@ -46,11 +46,11 @@
 }
 
 impl Client {
-    /// A client in `zone` of the platform at `address`; every request is given up after
+    /// Creates a client in `zone` for the platform at `address`. Every request is cancelled after
     /// `timeout`.
     ///
     /// # Errors
-    /// The HTTP client cannot be set up.
+    /// Returns an error if the HTTP client cannot be set up.
     pub fn new(address: SocketAddr, zone: &str, timeout: Duration) -> Result<Client, Error> {
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -86,8 +86,8 @@
     }
 
     fn request_error(&self, error: &reqwest::Error) -> Error {
-        // The connection was never made, so the request was never sent. A timeout while
-        // connecting is of this kind too and has to be told apart first.
+        // The connection was never established, so the request was not sent. This must be checked
+        // before `is_timeout`, which is also true for a timeout while connecting.
         if error.is_connect() || error.is_builder() {
             return Error::Unreachable(error.to_string());
         }
@@ -161,7 +161,7 @@
             .header(IF_NONE_MATCH, "*")
             .body(body);
         let response = self.send(request).await?;
-        // The key is the content's digest: what is there already is the same object.
+        // The key is the digest of the content, so an existing object is the same.
         if response.status() == StatusCode::PRECONDITION_FAILED {
             return Ok(());
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Clients of the platform: table service, object store, list of hosts, database groups.
+//! Clients of the platform: table service, object store, host list and database groups.
 //!
-//! The traits stand at the process's edge, so that tests put small fakes in their place; the
-//! decisions that use what is read here live in `flamingopost-core`.
+//! The traits are the boundary of the process, so that tests can substitute small fakes. Decisions
+//! based on the platform's data are made in `flamingopost-core`.
 
 pub mod error;
 pub mod fake;
--- a/crates/platform/src/object.rs
+++ b/crates/platform/src/object.rs
@@ -4,8 +4,8 @@
 
 use crate::error::Error;
 
-/// The object store. Objects are written once under a key that is derived from their content, so
-/// a repeated write is harmless.
+/// The object store. Objects are immutable, and their keys are derived from their content, so that
+/// writes are idempotent.
 #[async_trait]
 pub trait Store: Send + Sync {
     /// Reads an object.
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -4,47 +4,47 @@
 
 use crate::error::Error;
 
-/// A row and the tag that its next compare-and-set has to name.
+/// A row and the tag that the next compare-and-set has to name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its tag, which changes with every write.
+    /// Tag of the row, which changes with every write.
     pub tag: Tag,
-    /// Its body, JSON.
+    /// JSON body of the row.
     pub body: String,
 }
 
-/// The version of a row, opaque to all but the service.
+/// Version of a row, opaque to clients of the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tag(pub String);
 
-/// What a row has to be for a write to take effect.
+/// Precondition of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row still has this tag.
     Tag(Tag),
 }
 
-/// One write.
+/// A conditional write of one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The row's key.
+    /// Key of the row to write.
     pub key: String,
-    /// What the row has to be.
+    /// Precondition of the write.
     pub condition: Condition,
-    /// The body to write, JSON.
+    /// JSON body to write.
     pub body: String,
 }
 
-/// What a compare-and-set led to, where an answer came.
+/// Outcome of a compare-and-set that received a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The write took effect; the rows have these tags now, in the order of the changes.
+    /// The writes took effect. The tags are the new ones, in the order of the changes.
     Written(Vec<Tag>),
-    /// A guard did not hold; nothing was written.
+    /// A precondition did not hold, and nothing was written.
     Conflict,
 }
 
@@ -54,12 +54,12 @@
     /// Reads one row.
     async fn read(&self, key: &str) -> Result<Option<Row>, Error>;
 
-    /// Reads all rows whose keys start with `prefix`, at one cost.
+    /// Reads all rows whose keys start with `prefix`, at the cost of one request.
     async fn list(&self, prefix: &str) -> Result<Vec<Row>, Error>;
 
-    /// Writes all of `changes` or none.
+    /// Writes all of `changes` atomically.
     ///
-    /// After an error whose [`effect`](Error::effect) is unknown the writer has to read back:
-    /// the answer may have been lost after the write took effect.
+    /// After an error whose [`effect`](Error::effect) is unknown, the writer has to read back: the
+    /// response may have been lost after the write took effect.
     async fn write(&self, changes: Vec<Change>) -> Result<Outcome, Error>;
 }
--- a/crates/platform/tests/fake.rs
+++ b/crates/platform/tests/fake.rs
@@ -1,4 +1,4 @@
-//! The fake keeps the contract that the real services keep.
+//! The in-memory platform keeps the contract of the real services.
 
 use flamingopost_platform::error::{Effect, Error};
 use flamingopost_platform::fake::{Fault, Platform};
@@ -45,8 +45,9 @@
     assert_eq!(rows[0].body, "1");
 }
 
-/// An operator's submission takes effect, but its answer never arrives: the error must not read
-/// as "not done", or the operator would submit again on top of their own change.
+/// Guards against a duplicate submission: an operator's submission takes effect, but its response
+/// is lost. If the error implied no effect, the operator would submit again on top of their own
+/// change.
 #[tokio::test]
 async fn lost_response_has_an_unknown_effect() {
     let platform = Platform::default();
--- a/crates/wire/src/explanation.rs
+++ b/crates/wire/src/explanation.rs
@@ -109,8 +109,8 @@
     ///
     /// let index = Index::new(Arc::new(Fleet::default()));
     /// let statement = statement::classify("SELECT 1");
-    /// let unknown = Explanation::new(&index, &Directory::default(), "ledger", "clerk", &statement);
-    /// assert_eq!(unknown, None);
+    /// let result = Explanation::new(&index, &Directory::default(), "ledger", "clerk", &statement);
+    /// assert_eq!(result, None);
     /// ```
     pub fn new(
         index: &Index,
