--- a/crates/core/src/config/builder.rs
+++ b/crates/core/src/config/builder.rs
@@ -9,10 +9,15 @@
 use crate::fleet::{Caller, Class, Customer, Fleet, Server, Service, Zone};
 use crate::key::{ClassKey, ServerKey, ServiceKey};
 
+/// Number of shards of a fleet that does not set it.
 const DEFAULT_SHARDS: u16 = 16;
+/// Greatest number of shards.
 const MAX_SHARDS: u16 = 1024;
+/// Greatest weight of a customer or class.
 const MAX_WEIGHT: u32 = 1_000_000;
+/// Weight of a customer that does not set it.
 const DEFAULT_CUSTOMER_WEIGHT: u32 = 1;
+/// Name of the class that is the default class if the fleet does not name one.
 const DEFAULT_CLASS: &str = "default";
 
 /// Builds the fleet of `document`. The fleet is complete only if nothing was added to `problems`.
@@ -214,7 +219,7 @@
         };
         if own.is_empty() {
             let service = section.name.clone();
-            reader.note(section.line, Fault::NoServers { service });
+            reader.report(section.line, Fault::NoServers { service });
         }
         Limits::check_defaults(&mut reader);
         let servers = own.iter().map(|name| self.directory.servers.intern(name));
@@ -236,7 +241,7 @@
         if let Some(entry) = verifier
             && let Err(fault) = verifier::check(&entry.value)
         {
-            reader.note(entry.line, fault);
+            reader.report(entry.line, fault);
         }
         let customer = reader.required("customer");
         let customer = customer.and_then(|entry| reader.reference(entry, Kind::Customer));
@@ -293,7 +298,7 @@
         server: name.to_owned(),
         own: own.iter().map(|name| (*name).to_owned()).collect(),
     };
-    reader.note(entry.line, fault);
+    reader.report(entry.line, fault);
     None
 }
 
@@ -320,7 +325,7 @@
         if limits.slots > limits.connections {
             let (slots, connections) = (limits.slots, limits.connections);
             let line = reader.section.line;
-            reader.note(line, Fault::SlotsBeyondConnections { slots, connections });
+            reader.report(line, Fault::SlotsBeyondConnections { slots, connections });
         }
         Some(limits)
     }
--- a/crates/core/src/session/state.rs
+++ b/crates/core/src/session/state.rs
@@ -209,7 +209,7 @@
     /// Returns the statements that bring a connection with the parameters `connection` to the
     /// state of this session.
     pub fn replay(&self, connection: &ConnectionParameters) -> Vec<Replay> {
-        let stale = connection
+        let leftover = connection
             .parameters
             .keys()
             .filter(|name| !self.parameters.contains_key(*name))
@@ -222,7 +222,7 @@
                 name: name.clone(),
                 text: text.clone(),
             });
-        stale.chain(missing).collect()
+        leftover.chain(missing).collect()
     }
 
     /// Returns the parameters that are set on a connection used by this session.
@@ -240,9 +240,9 @@
 
     /// Pins the session if it changes a parameter after a savepoint.
     ///
-    /// A rollback to a savepoint reverts every later `SET`, and which ones those are is not tracked.
-    /// If they were replayed on another connection, a statement would run under a setting that the
-    /// caller had reverted.
+    /// A rollback to a savepoint reverts every later `SET`, and which ones those are is not
+    /// tracked. If they were replayed on another connection, a statement would run under a setting
+    /// that the caller had reverted.
     fn pin_after_savepoint(&mut self) {
         if self.has_savepoint {
             self.pins.insert(Pin::Untracked);
