--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -10,7 +10,7 @@
 use flamingopost_core::submission::{Outcome, Record};
 use flamingopost_daemon::event::Event as _;
 use flamingopost_daemon::stop::Phase;
-use flamingopost_platform::head::HEAD;
+use flamingopost_platform::head::HEAD_KEY;
 use flamingopost_platform::table::Table as _;
 
 use crate::event::Event;
@@ -25,7 +25,7 @@
 /// file's digest.
 pub async fn run(shared: Arc<Shared>, file: &Path) {
     while shared.stop().phase() != Phase::Stopped && shared.config().is_none() {
-        match shared.platform().read(HEAD).await {
+        match shared.platform().read(HEAD_KEY).await {
             Ok(Some(_)) => return,
             Ok(None) => {
                 if let Some(outcome) = submit(&shared, file).await {
--- a/crates/control/src/shard_floors.rs
+++ b/crates/control/src/shard_floors.rs
@@ -4,7 +4,7 @@
 use actix::{AsyncContext as _, Context, WrapFuture as _};
 use flamingopost_daemon::event::Event as _;
 use flamingopost_platform::error::Error;
-use flamingopost_platform::table::{Change, Guard, Outcome, Row, Table as _, Tag};
+use flamingopost_platform::table::{Change, Condition, Outcome, Row, Table as _, Tag};
 
 use crate::budgets::Floors;
 use crate::event::Event as Log;
@@ -72,11 +72,11 @@
         self.floors_row.in_flight = true;
         let change = Change {
             key: floors::key(self.number),
-            guard: self
+            condition: self
                 .floors_row
                 .tag
                 .clone()
-                .map_or(Guard::Absent, Guard::Tag),
+                .map_or(Condition::Absent, Condition::Tag),
             body: floors::encode(&floors, &self.shared.directory()),
         };
         let shared = self.shared.clone();
@@ -89,13 +89,13 @@
 
     fn on_floors_written(&mut self, floors: Floors, result: Result<Outcome, Error>) {
         match result {
-            Ok(Outcome::Done(tags)) => {
+            Ok(Outcome::Written(tags)) => {
                 self.floors_row.tag = tags.into_iter().next();
                 self.budgets.record_persisted(floors);
             }
             // Another controller has written the row, or the answer to an earlier write was lost.
             // The row has to be read before floors are granted on its basis.
-            Ok(Outcome::Lost) | Err(_) => self.budgets.invalidate_persisted(),
+            Ok(Outcome::Conflict) | Err(_) => self.budgets.invalidate_persisted(),
         }
     }
 }
--- a/crates/control/src/shard_message.rs
+++ b/crates/control/src/shard_message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use actix::{ActorContext as _, Handler, Message, MessageResult};
-use flamingopost_wire::authority::{Ask, Promise, Release, Released};
+use flamingopost_wire::authority::{Promise, PromiseRequest, Release, Released};
 use flamingopost_wire::lease;
 use flamingopost_wire::status::{self, Claimed, Ordered};
 
@@ -32,7 +32,7 @@
 /// the heartbeat's row cannot be decoded.
 #[derive(Message)]
 #[rtype(result = "Option<Promise>")]
-pub struct Heartbeat(pub Ask);
+pub struct Heartbeat(pub PromiseRequest);
 
 /// Releases the shard to a successor that requests it.
 #[derive(Message)]
--- a/crates/control/tests/takeover.rs
+++ b/crates/control/tests/takeover.rs
@@ -7,7 +7,7 @@
 use common::{Fleet, eventually, server_name, wait_for_new_primary, wait_for_primary};
 use flamingopost_core::timing;
 use flamingopost_platform::http::Client;
-use flamingopost_platform::table::{Change, Guard, Table as _};
+use flamingopost_platform::table::{Change, Condition, Table as _};
 use flamingopost_standin::backend::fault::Faults as ServerFaults;
 use flamingopost_standin::platform::Faults;
 use serde_json::json;
@@ -138,7 +138,7 @@
     fleet.named_standbys(old).await;
     let padding = Change {
         key: "fleet/padding".to_owned(),
-        guard: Guard::Absent,
+        condition: Condition::Absent,
         body: format!("\"{}\"", "x".repeat(64 << 10)),
     };
     let table = Client::new(fleet.platform.address(), "", common::TEST_TIMEOUT).unwrap();
--- a/crates/daemon/src/packing.rs
+++ b/crates/daemon/src/compression.rs
@@ -1,6 +1,6 @@
-//! Bodies of remote calls, packed by gzip.
+//! Gzip compression of the requests of remote calls.
 //!
-//! Renewals name the same servers again and again; packed, they take a fraction of the network.
+//! Lease renewals repeat the same server names and compress to a fraction of their size.
 
 use std::future::Future;
 use std::io::Write as _;
@@ -14,30 +14,31 @@
 use jsonrpsee::http_client::{HeaderValue, HttpBody, HttpRequest};
 use tower::{Layer, Service};
 
-/// Smaller bodies are sent as they are: packing would gain less than the headers take.
-const WORTHWHILE: usize = 512;
+/// Minimum size of a compressed body, in bytes. Below it, compression saves less than the headers
+/// cost.
+const MIN_COMPRESSED_BYTES: usize = 512;
 
 const CONTENT_ENCODING: &str = "content-encoding";
 const CONTENT_LENGTH: &str = "content-length";
 const GZIP: &str = "gzip";
 
-/// Packs the bodies of a client's requests.
+/// Middleware layer that compresses the bodies of a client's requests.
 #[derive(Debug, Clone, Copy)]
-pub struct Pack;
+pub struct Compress;
 
-/// A client's service whose requests are packed.
+/// Client service that compresses the bodies of its requests.
 #[derive(Debug, Clone)]
-pub struct Packer<S>(S);
+pub struct Compressor<S>(S);
 
-impl<S> Layer<S> for Pack {
-    type Service = Packer<S>;
+impl<S> Layer<S> for Compress {
+    type Service = Compressor<S>;
 
-    fn layer(&self, inner: S) -> Packer<S> {
-        Packer(inner)
+    fn layer(&self, inner: S) -> Compressor<S> {
+        Compressor(inner)
     }
 }
 
-impl<S> Service<HttpRequest> for Packer<S>
+impl<S> Service<HttpRequest> for Compressor<S>
 where
     S: Service<HttpRequest> + Clone + Send + 'static,
     S::Error: From<HttpError>,
@@ -52,31 +53,32 @@
     }
 
     fn call(&mut self, request: HttpRequest) -> Self::Future {
-        // The clone takes the place of the service that was polled ready, as tower asks.
+        // `poll_ready` was called on this instance, so the call uses it and leaves a clone behind,
+        // as tower requires.
         let clone = self.0.clone();
         let mut ready = std::mem::replace(&mut self.0, clone);
         Box::pin(async move {
-            let request = pack(request).await?;
+            let request = compress(request).await?;
             ready.call(request).await
         })
     }
 }
 
-async fn pack(request: HttpRequest) -> Result<HttpRequest, HttpError> {
+async fn compress(request: HttpRequest) -> Result<HttpRequest, HttpError> {
     let (mut head, body) = request.into_parts();
     let collected = body.collect().await.map_err(HttpError::Stream)?;
     let bytes = collected.to_bytes();
-    if bytes.len() < WORTHWHILE {
+    if bytes.len() < MIN_COMPRESSED_BYTES {
         return Ok(HttpRequest::from_parts(
             head,
             HttpBody::from(bytes.to_vec()),
         ));
     }
-    let packed = gzip(&bytes).map_err(|error| HttpError::Stream(error.into()))?;
+    let compressed = gzip(&bytes).map_err(|error| HttpError::Stream(error.into()))?;
     head.headers.remove(CONTENT_LENGTH);
     head.headers
         .insert(CONTENT_ENCODING, HeaderValue::from_static(GZIP));
-    Ok(HttpRequest::from_parts(head, HttpBody::from(packed)))
+    Ok(HttpRequest::from_parts(head, HttpBody::from(compressed)))
 }
 
 fn gzip(bytes: &[u8]) -> std::io::Result<Vec<u8>> {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,14 +1,14 @@
-//! What every flamingopost daemon shares: settings, clock, numbered log events, metrics, health,
-//! operators' HTTP and the way to stop.
+//! Building blocks shared by all flamingopost daemons: settings, clock, numbered log events,
+//! metrics, health, remote calls, the HTTP server for operators and graceful shutdown.
 
 pub mod clock;
+pub mod compression;
 pub mod event;
 pub mod health;
 pub mod http;
 pub mod incarnation;
 pub mod log;
 pub mod metrics;
-pub mod packing;
 pub mod remote;
 pub mod settings;
 pub mod stop;
--- a/crates/daemon/src/remote.rs
+++ b/crates/daemon/src/remote.rs
@@ -1,4 +1,4 @@
-//! Remote calls between our processes: who may make them, and how long they may take.
+//! Remote calls between flamingopost processes: authentication, compression and limits.
 
 use std::time::Duration;
 
@@ -18,43 +18,44 @@
 use tower_http::map_response_body::MapResponseBodyLayer;
 use tower_http::validate_request::{ValidateRequest, ValidateRequestHeaderLayer};
 
-use crate::packing::{Pack, Packer};
+use crate::compression::{Compress, Compressor};
 use crate::token::Token;
 
 const AUTHORIZATION: &str = "authorization";
 const UNAUTHORIZED: u16 = 401;
 
-/// Names the caller's availability zone, as requests to the platform do.
-const ZONE: &str = "x-zone";
+/// Header with the caller's availability zone, as in requests to the platform.
+const ZONE_HEADER: &str = "x-zone";
 
-/// Greatest answer: a view, or a configuration body, of a thousand services.
-const MAX_ANSWER: u32 = 16 << 20;
+/// Maximum size of a response. A view or a configuration body of a thousand services fits.
+const MAX_RESPONSE_BYTES: u32 = 16 << 20;
 
-/// Answers that are smaller are sent as they are.
-const WORTHWHILE: u16 = 512;
+/// Minimum size of a compressed response, in bytes.
+const MIN_COMPRESSED_BYTES: u16 = 512;
 
-/// A client whose requests and answers are packed.
-pub type Client = HttpClient<RpcLogger<RpcService<Packer<Decompression<HttpBackend>>>>>;
+/// RPC client with compressed requests and responses.
+pub type Client = HttpClient<RpcLogger<RpcService<Compressor<Decompression<HttpBackend>>>>>;
 
-/// What a server's middleware is made of, the outermost last.
+/// Middleware of an RPC server, the outermost layer last.
 pub type Middleware = Stack<CompressionLayer<SizeAbove>, Stack<RequestDecompressionLayer, Outer>>;
-type Outer = Stack<MapResponseBodyLayer<Unify>, Stack<ValidateRequestHeaderLayer<Guard>, Identity>>;
-type Unify = fn(UnsyncBoxBody<Bytes, BoxError>) -> HttpBody;
+type Outer = Stack<MapResponseBodyLayer<Boxed>, Stack<ValidateRequestHeaderLayer<Auth>, Identity>>;
+type Boxed = fn(UnsyncBoxBody<Bytes, BoxError>) -> HttpBody;
 
-/// A client for the process at `address` of a fleet whose operators have `token`; each call is
-/// given up after `timeout`. Nothing is sent yet.
+/// Returns a client for the process at `address` in the fleet of the operators' `token`.
+///
+/// Every call is cancelled after `timeout`. Creating the client sends nothing.
 ///
 /// # Errors
-/// The address is none that can be connected to.
+/// Returns an error if the address is invalid.
 pub fn client(address: &str, token: &Token, timeout: Duration) -> Result<Client, ClientError> {
-    client_in("", address, token, timeout)
+    client_in_zone("", address, token, timeout)
 }
 
-/// As [`client`], for a caller in availability zone `zone`, which each call names.
+/// Like [`client`], for a caller in availability zone `zone`, which every call names.
 ///
 /// # Errors
-/// The address is none that can be connected to.
-pub fn client_in(
+/// Returns an error if the address is invalid.
+pub fn client_in_zone(
     zone: &str,
     address: &str,
     token: &Token,
@@ -62,46 +63,49 @@
 ) -> Result<Client, ClientError> {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(zone) {
-        headers.insert(ZONE, value);
+        headers.insert(ZONE_HEADER, value);
     }
-    if let Ok(mut value) = HeaderValue::from_str(&token.pass().header()) {
+    if let Ok(mut value) = HeaderValue::from_str(&token.rpc_token().header()) {
         value.set_sensitive(true);
         headers.insert(AUTHORIZATION, value);
     }
     HttpClientBuilder::default()
         .request_timeout(timeout)
-        .max_response_size(MAX_ANSWER)
+        .max_response_size(MAX_RESPONSE_BYTES)
         .set_headers(headers)
         .set_http_middleware(
             ServiceBuilder::new()
-                .layer(Pack)
+                .layer(Compress)
                 .layer(DecompressionLayer::new()),
         )
         .build(format!("http://{address}"))
 }
 
-/// Middleware that turns away whoever does not belong to the fleet, and unpacks and packs for
-/// the others.
+/// Returns middleware that rejects unauthenticated calls, and decompresses requests and compresses
+/// responses of all others.
 ///
-/// Without it anybody who reaches the port could close terms, or send a view of a far epoch that
-/// no controller can follow: callers would see every write refused.
-pub fn guard(token: &Token) -> ServiceBuilder<Middleware> {
-    let guard = Guard(token.pass());
-    let answers = CompressionLayer::new().quality(CompressionLevel::Fastest);
-    // The guard stands before the rest, so that strangers cannot have anything unpacked here.
+/// Without it, anyone with access to the port could close terms, or send a view of an epoch that
+/// no controller can reach: callers would see every write refused.
+pub fn server_middleware(token: &Token) -> ServiceBuilder<Middleware> {
+    let auth = Auth(token.rpc_token());
+    let compression = CompressionLayer::new().quality(CompressionLevel::Fastest);
+    // Authentication is the outermost layer, so that unauthenticated bodies are never
+    // decompressed.
     ServiceBuilder::new()
-        .layer(ValidateRequestHeaderLayer::custom(guard))
-        .layer(MapResponseBodyLayer::new(HttpBody::new as Unify))
+        .layer(ValidateRequestHeaderLayer::custom(auth))
+        .layer(MapResponseBodyLayer::new(HttpBody::new as Boxed))
         .layer(RequestDecompressionLayer::new())
-        .layer(answers.compress_when(SizeAbove::new(WORTHWHILE)))
+        .layer(compression.compress_when(SizeAbove::new(MIN_COMPRESSED_BYTES)))
 }
 
-/// Lets requests with the fleet's pass through. A fleet without a token, which settings do not
-/// allow, is open: tests and embedders are.
+/// Accepts requests that carry the fleet's RPC token.
+///
+/// A fleet without a token accepts all requests. Settings do not allow that; tests and embedding
+/// applications may.
 #[derive(Debug, Clone)]
-pub struct Guard(Token);
+pub struct Auth(Token);
 
-impl<B> ValidateRequest<B> for Guard {
+impl<B> ValidateRequest<B> for Auth {
     type ResponseBody = HttpBody;
 
     fn validate(&mut self, request: &mut HttpRequest<B>) -> Result<(), HttpResponse> {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a host, read from INI; everything wrong with a file is reported at once.
+//! Settings of a host, read from an INI file. All problems of a file are reported at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,31 +15,31 @@
 pub use log::Log;
 pub use platform::Platform;
 
-/// One thing that is wrong in a settings file.
+/// A problem in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// The line, from 1; 0 when something is absent.
+    /// Line number, from 1; 0 if the problem belongs to no line, such as a missing key.
     pub line: usize,
-    /// What is wrong there.
-    pub what: What,
+    /// What is wrong.
+    pub kind: ProblemKind,
 }
 
-/// What is wrong, and what would be right.
+/// What is wrong in a settings file, and how to fix it.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
-pub enum What {
+pub enum ProblemKind {
     /// cannot be read: {0}
     Unreadable(String),
-    /// is no INI: {0}
+    /// is not valid INI: {0}
     Syntax(String),
     /// [{section}] lacks `{key}`: add for example `{key} = {example}`
     Missing {
-        /// Section that lacks it.
+        /// Section that lacks the key.
         section: String,
-        /// The key.
+        /// The missing key.
         key: String,
-        /// A value that would be right.
+        /// Example of a valid value.
         example: String,
     },
     /// `{key} = {value}` in [{section}] is wrong: write {shape}
@@ -48,25 +48,25 @@
         section: String,
         /// Key.
         key: String,
-        /// Value found.
+        /// The invalid value.
         value: String,
-        /// What the value must look like.
+        /// Expected format of the value.
         shape: String,
     },
     /// `{key}` is unknown in [{section}]: remove it, or use one of {known}
     UnknownKey {
         /// Section.
         section: String,
-        /// Key found.
+        /// The unknown key.
         key: String,
-        /// Keys that may stand there.
+        /// Valid keys of the section.
         known: String,
     },
     /// section [{section}] is unknown: remove it, or use one of {known}
     UnknownSection {
-        /// Section found.
+        /// The unknown section.
         section: String,
-        /// Sections that may stand there.
+        /// Valid sections.
         known: String,
     },
     /// `{key} = {value}` in [{section}] names a file that cannot be read: {error}
@@ -75,12 +75,12 @@
         section: String,
         /// Key.
         key: String,
-        /// The path found.
+        /// Path of the file.
         value: String,
-        /// Why it cannot be read.
+        /// Why the file cannot be read.
         error: String,
     },
-    /// `{key}` stands twice in [{section}]: keep one
+    /// `{key}` appears twice in [{section}]: keep one
     Twice {
         /// Section.
         section: String,
@@ -92,13 +92,13 @@
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            0 => write!(f, "{}: {}", self.file, self.what),
-            line => write!(f, "{}:{}: {}", self.file, line, self.what),
+            0 => write!(f, "{}: {}", self.file, self.kind),
+            line => write!(f, "{}:{}: {}", self.file, line, self.kind),
         }
     }
 }
 
-/// Everything that is wrong with a file, one problem a line.
+/// All problems of a file. They are displayed one per line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problems(pub Vec<Problem>);
 
@@ -114,9 +114,10 @@
     }
 }
 
-type Place = (String, String);
+/// Section and key.
+type KeyPath = (String, String);
 
-/// Reads values out of one file and gathers what is wrong.
+/// Reads values from one settings file and collects its problems.
 ///
 /// ```
 /// use std::time::Duration;
@@ -140,46 +141,46 @@
 #[derive(Debug)]
 pub struct Reader {
     file: String,
-    values: BTreeMap<Place, String>,
-    lines: BTreeMap<Place, usize>,
-    asked: BTreeSet<Place>,
+    values: BTreeMap<KeyPath, String>,
+    lines: BTreeMap<KeyPath, usize>,
+    requested: BTreeSet<KeyPath>,
     problems: Vec<Problem>,
 }
 
 impl Reader {
-    /// Reads `path`; a file that cannot be read is a problem like any other.
+    /// Reads the file at `path`. An unreadable file is reported as a problem by [`Reader::finish`].
     pub fn open(path: &Path) -> Reader {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Reader::parse(&file, &text),
             Err(error) => {
                 let mut reader = Reader::parse(&file, "");
-                reader.report(0, What::Unreadable(error.to_string()));
+                reader.report(0, ProblemKind::Unreadable(error.to_string()));
                 reader
             }
         }
     }
 
-    /// Reads `text`, which came from `file`.
+    /// Parses `text`, the contents of `file`.
     pub fn parse(file: &str, text: &str) -> Reader {
         let mut reader = Reader {
             file: file.to_owned(),
             values: BTreeMap::new(),
-            lines: lines(text),
-            asked: BTreeSet::new(),
+            lines: line_numbers(text),
+            requested: BTreeSet::new(),
             problems: Vec::new(),
         };
         match Ini::load_from_str_noescape(text) {
-            Ok(ini) => reader.take(&ini),
-            Err(error) => reader.report(error.line, What::Syntax(error.msg.to_string())),
+            Ok(ini) => reader.load(&ini),
+            Err(error) => reader.report(error.line, ProblemKind::Syntax(error.msg.to_string())),
         }
         reader
     }
 
-    /// A value that has to be there; `example` is shown where it is not.
+    /// Returns a required value. If it is missing, the problem shows `example`.
     pub fn required<V: Value>(&mut self, section: &str, key: &str, example: &str) -> Option<V> {
         if self.text(section, key).is_none() {
-            let missing = What::Missing {
+            let missing = ProblemKind::Missing {
                 section: section.to_owned(),
                 key: key.to_owned(),
                 example: example.to_owned(),
@@ -190,17 +191,17 @@
         self.maybe(section, key)
     }
 
-    /// A value that may be absent, and what holds then.
-    pub fn optional<V: Value>(&mut self, section: &str, key: &str, absent: V) -> V {
-        self.maybe(section, key).unwrap_or(absent)
+    /// Returns an optional value, or `default` if it is absent or invalid.
+    pub fn optional<V: Value>(&mut self, section: &str, key: &str, default: V) -> V {
+        self.maybe(section, key).unwrap_or(default)
     }
 
-    /// A value that may be absent.
+    /// Returns an optional value, or `None` if it is absent or invalid.
     pub fn maybe<V: Value>(&mut self, section: &str, key: &str) -> Option<V> {
         let text = self.text(section, key)?;
         let value = V::read(&text);
         if value.is_none() {
-            let wrong = What::Wrong {
+            let wrong = ProblemKind::Wrong {
                 section: section.to_owned(),
                 key: key.to_owned(),
                 value: text,
@@ -211,21 +212,21 @@
         value
     }
 
-    /// Adds that the file which `key` names cannot be read.
+    /// Reports that the file named by `key` cannot be read.
     pub fn unreadable(&mut self, section: &str, key: &str, error: &std::io::Error) {
-        let what = What::File {
+        let kind = ProblemKind::File {
             section: section.to_owned(),
             key: key.to_owned(),
             value: self.text(section, key).unwrap_or_default(),
             error: error.to_string(),
         };
-        self.report(self.line(section, key), what);
+        self.report(self.line(section, key), kind);
     }
 
-    /// The operators' token, from the file that `token_file` in `[operators]` names.
+    /// Returns the operators' token, read from the file named by `token_file` in `[operators]`.
     ///
-    /// A file that is empty by mistake is a problem: processes of a fleet without a token would
-    /// take calls from anybody.
+    /// An empty file is a problem: the processes of a fleet without a token accept calls from
+    /// anyone.
     pub fn token(&mut self) -> Option<Token> {
         let (section, key) = ("operators", "token_file");
         let path: PathBuf = self.required(section, key, "/etc/flamingopost/token")?;
@@ -238,10 +239,11 @@
         None
     }
 
-    /// The decoded settings, if nothing was wrong and nothing stands in the file unread.
+    /// Returns the decoded settings if the file has no problem. Every key that was not requested is
+    /// a problem.
     ///
     /// # Errors
-    /// Everything that is wrong with the file.
+    /// Returns all problems of the file.
     pub fn finish<T>(mut self, decoded: Option<T>) -> Result<T, Problems> {
         self.report_unknown();
         match decoded {
@@ -250,13 +252,13 @@
         }
     }
 
-    fn take(&mut self, ini: &Ini) {
+    fn load(&mut self, ini: &Ini) {
         for (section, properties) in ini {
             let section = section.unwrap_or_default();
             for (key, value) in properties {
-                let place = (section.to_owned(), key.to_owned());
-                if self.values.insert(place, value.trim().to_owned()).is_some() {
-                    let twice = What::Twice {
+                let path = (section.to_owned(), key.to_owned());
+                if self.values.insert(path, value.trim().to_owned()).is_some() {
+                    let twice = ProblemKind::Twice {
                         section: section.to_owned(),
                         key: key.to_owned(),
                     };
@@ -267,53 +269,60 @@
     }
 
     fn text(&mut self, section: &str, key: &str) -> Option<String> {
-        let place = (section.to_owned(), key.to_owned());
-        let text = self.values.get(&place).cloned();
-        self.asked.insert(place);
+        let path = (section.to_owned(), key.to_owned());
+        let text = self.values.get(&path).cloned();
+        self.requested.insert(path);
         text
     }
 
     fn line(&self, section: &str, key: &str) -> usize {
-        let place = (section.to_owned(), key.to_owned());
-        self.lines.get(&place).copied().unwrap_or_default()
+        let path = (section.to_owned(), key.to_owned());
+        self.lines.get(&path).copied().unwrap_or_default()
     }
 
-    fn report(&mut self, line: usize, what: What) {
+    fn report(&mut self, line: usize, kind: ProblemKind) {
         let file = self.file.clone();
-        self.problems.push(Problem { file, line, what });
+        self.problems.push(Problem { file, line, kind });
     }
 
     fn report_unknown(&mut self) {
-        let unknown: Vec<Place> = self
+        let unknown: Vec<KeyPath> = self
             .values
             .keys()
-            .filter(|place| !self.asked.contains(*place))
+            .filter(|path| !self.requested.contains(*path))
             .cloned()
             .collect();
         for (section, key) in unknown {
             let line = self.line(&section, &key);
             let known = self.known_keys(&section);
-            let what = if known.is_empty() {
+            let kind = if known.is_empty() {
                 let known = self.known_sections();
-                What::UnknownSection { section, known }
+                ProblemKind::UnknownSection { section, known }
             } else {
-                What::UnknownKey {
+                ProblemKind::UnknownKey {
                     section,
                     key,
                     known,
                 }
             };
-            self.report(line, what);
+            self.report(line, kind);
         }
     }
 
     fn known_keys(&self, section: &str) -> String {
-        let keys = self.asked.iter().filter(|(asked, _)| asked == section);
+        let keys = self
+            .requested
+            .iter()
+            .filter(|(requested, _)| requested == section);
         join(keys.map(|(_, key)| key.as_str()))
     }
 
     fn known_sections(&self) -> String {
-        let sections: BTreeSet<&str> = self.asked.iter().map(|(asked, _)| asked.as_str()).collect();
+        let sections: BTreeSet<&str> = self
+            .requested
+            .iter()
+            .map(|(requested, _)| requested.as_str())
+            .collect();
         join(sections.into_iter())
     }
 }
@@ -322,8 +331,8 @@
     names.collect::<Vec<_>>().join(", ")
 }
 
-/// The line of each key. The INI library tells lines of syntax errors only.
-fn lines(text: &str) -> BTreeMap<Place, usize> {
+/// Returns the line number of each key. The INI library provides them for syntax errors only.
+fn line_numbers(text: &str) -> BTreeMap<KeyPath, usize> {
     let mut lines = BTreeMap::new();
     let mut section = String::new();
     for (index, line) in text.lines().enumerate() {
--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -1,7 +1,7 @@
-//! `docs/EVENTS.md` lists every numbered event, and nothing else.
+//! `docs/EVENTS.md` lists exactly the numbered events.
 //!
-//! After adding an event run this test with `BLESS=1`: it writes the rows anew and keeps the
-//! notes; then write a note for the new one.
+//! After adding an event, run this test with `BLESS=1` to rewrite the rows of the catalogue. Notes
+//! are kept. Then write a note for the new event.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,7 +10,7 @@
 
 use flamingopost_daemon::event::{Daemon, Kind};
 
-/// A crate's part of the catalogue.
+/// The events of one crate.
 struct Part {
     title: &'static str,
     numbers: RangeInclusive<u16>,
@@ -56,7 +56,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/EVENTS.md")
 }
 
-/// The notes of a catalogue by number.
+/// Returns the notes of the catalogue by event number.
 fn notes(text: &str) -> BTreeMap<u16, String> {
     let rows = text.lines().filter_map(|line| {
         let mut cells = line.strip_prefix("| ")?.split(" | ");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_catalogue_lists_every_event() {
+fn catalogue_lists_every_event() {
     let text = fs::read_to_string(catalogue()).unwrap();
     let head = text.split("\n## ").next().unwrap_or_default();
     let wanted = render(head, &notes(&text));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn numbers_rise_within_the_range_of_their_crate() {
+fn numbers_ascend_within_the_range_of_their_crate() {
     for part in parts() {
         let numbers: Vec<u16> = part.kinds.iter().map(|kind| kind.number).collect();
         assert!(numbers.is_sorted_by(|one, next| one < next), "{numbers:?}");
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! `docs/operators/METRICS.md` names every metric that daemons have, and no other.
+//! `docs/operators/METRICS.md` lists exactly the metrics of the daemons.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,7 +8,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Every word in `text` that has the form of a metric's name between two `quote`s.
+/// Returns all metric names in `text` that are enclosed in `quote` characters.
 fn names(text: &str, quote: char) -> BTreeSet<String> {
     text.split(quote)
         .filter(|word| word.starts_with("flamingopost_"))
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_page_names_every_metric() {
+fn metrics_page_lists_every_metric() {
     let mut used = BTreeSet::new();
     for part in ["daemon", "entry", "control", "proxy"] {
         sources(&root().join("crates").join(part).join("src"), &mut used);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files: everything wrong with one is told at once, with its line and the fix.
+//! Settings files: all problems are reported at once, each with its line and a fix.
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
 use flamingopost_daemon::log::{Format, Level};
-use flamingopost_daemon::settings::{Reader, What};
+use flamingopost_daemon::settings::{ProblemKind, Reader};
 
 const WRONG: &str = "[host]
 name =
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn everything_wrong_is_told_at_once() {
+fn all_problems_are_reported_at_once() {
     let mut reader = Reader::parse("entry.ini", WRONG);
     let decoded = read(&mut reader);
     let text = reader.finish(decoded).unwrap_err().to_string();
     let lines: Vec<&str> = text.lines().collect();
     let wanted = [
-        "entry.ini:11: `level` stands twice in [log]: keep one",
+        "entry.ini:11: `level` appears twice in [log]: keep one",
         "entry.ini:2: `name = ` in [host] is wrong: write text",
         "entry.ini: [host] lacks `zone`: add for example `zone = dumdum`",
         "entry.ini:5: `callers = localhost:6432` in [listen] is wrong: \
@@ -56,24 +56,27 @@
 }
 
 #[test]
-fn what_is_not_ini_is_told_with_its_line() {
+fn syntax_errors_are_reported_with_their_line() {
     let mut reader = Reader::parse("entry.ini", "[host]\nname = a\n[oops\n");
     let decoded = read(&mut reader);
     let problems = reader.finish(decoded).unwrap_err().0;
-    assert!(matches!(problems[0].what, What::Syntax(_)), "{problems:?}");
+    assert!(
+        matches!(problems[0].kind, ProblemKind::Syntax(_)),
+        "{problems:?}"
+    );
     assert!(problems[0].line >= 3, "{problems:?}");
 }
 
 #[test]
-fn an_absent_file_is_a_problem_of_its_own() {
+fn missing_file_is_reported_as_unreadable() {
     let mut reader = Reader::open(Path::new("no-such-file.ini"));
     let decoded = read(&mut reader);
     let problems = reader.finish(decoded).unwrap_err().0;
-    assert!(matches!(problems[0].what, What::Unreadable(_)));
+    assert!(matches!(problems[0].kind, ProblemKind::Unreadable(_)));
 }
 
 #[test]
-fn lists_and_times_are_read() {
+fn lists_and_durations_are_parsed() {
     let text = "[control]\npeers = 10.1.0.1:1, 10.1.0.2:2\nwait = 5m\nrelay = yes\n";
     let mut reader = Reader::parse("a.ini", text);
     let peers: Vec<SocketAddr> = reader.optional("control", "peers", Vec::new());
--- a/crates/wire/src/row.rs
+++ b/crates/wire/src/row.rs
@@ -1,4 +1,4 @@
-//! The body of a shard's row in the table service, JSON.
+//! JSON body of a shard's row in the table service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,11 +15,11 @@
 pub struct Row {
     /// Epoch of the controller's authority.
     pub epoch: u32,
-    /// Changes of the row since it was made.
+    /// Number of changes since the row was created.
     pub revision: u64,
     /// Host of the controller.
     pub controller: String,
-    /// The controller's process on that host.
+    /// Incarnation of the controller's process.
     pub incarnation: u64,
     /// Hosts of the standbys.
     pub standbys: BTreeSet<String>,
@@ -27,20 +27,20 @@
     pub services: BTreeMap<String, Service>,
 }
 
-/// One service.
+/// Recorded state of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its newest term.
+    /// Newest term of the service.
     pub term: String,
-    /// Whether that term is open; otherwise a promotion is under way.
+    /// Whether that term is open; otherwise a promotion is in progress.
     pub open: bool,
     /// The primary of that term; absent before the first.
     pub primary: Option<String>,
-    /// First log position of each term that led to the newest one.
+    /// First log position of each term in the history of the newest one.
     pub history: BTreeMap<String, u64>,
-    /// Where every term began that was ever opened.
+    /// Origin of every term that was ever opened.
     pub origins: BTreeMap<String, Origin>,
-    /// What promotions have lost.
+    /// Losses of promotions.
     #[serde(default)]
     pub losses: Vec<Loss>,
 }
@@ -48,26 +48,26 @@
 /// Where a term began.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// The term whose log it went on from; absent for the first.
+    /// The term whose log it continues; absent for the first term.
     pub parent: Option<String>,
-    /// The log position there.
+    /// Log position at which the term began.
     pub start: u64,
 }
 
-/// What one promotion lost or may have lost.
+/// Acknowledged writes that a promotion lost or may have lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// The term that it opened.
+    /// The term that the promotion opened.
     pub opened: String,
     /// Where that term began.
     pub start: u64,
-    /// The highest position known to have been acknowledged, if it is past `start`.
+    /// Highest position known to have been acknowledged, if it is past `start`.
     pub acknowledged: Option<String>,
-    /// Whether every lease holder told what it had acknowledged.
+    /// Whether every lease holder reported its acknowledged positions.
     pub complete: bool,
 }
 
-/// What is wrong with a row.
+/// Error in a row.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// {0}
@@ -95,10 +95,11 @@
 }
 
 impl Row {
-    /// The body for `row`; names come from `directory`.
+    /// Encodes `row` with the names in `directory`.
     ///
     /// # Errors
-    /// A key that `directory` has no name for: leaving it out would lose a service or a standby.
+    /// Returns an error if `directory` has no name for a key. Omitting the key would lose a service
+    /// or a standby.
     pub fn encode(row: &row::Row, directory: &Directory) -> Result<Row, Error> {
         let host = |key| directory.hosts.name(key).map(str::to_owned);
         let mut standbys = BTreeSet::new();
@@ -120,10 +121,11 @@
         })
     }
 
-    /// The row behind the body; unseen names are added to `directory`.
+    /// Decodes the row. Unknown names are added to `directory`.
     ///
     /// # Errors
-    /// A term or position that cannot be read, or an open service without a primary.
+    /// Returns an error if a term or position cannot be parsed, or if an open service has no
+    /// primary.
     pub fn decode(&self, directory: &mut Directory) -> Result<row::Row, Error> {
         let mut services = BTreeMap::new();
         for (name, service) in &self.services {
@@ -155,8 +157,8 @@
             term: service.state.term().to_string(),
             open: matches!(service.state, State::Open { .. }),
             primary,
-            history: starts(&service.history),
-            origins: origins(&service.origins),
+            history: encode_history(&service.history),
+            origins: encode_origins(&service.origins),
             losses: service.losses.iter().map(Loss::from).collect(),
         })
     }
@@ -177,19 +179,19 @@
         Ok(row::Service {
             state,
             primary,
-            history: history(&self.history)?,
-            origins: origins_of(&self.origins)?,
+            history: decode_history(&self.history)?,
+            origins: decode_origins(&self.origins)?,
             losses,
         })
     }
 }
 
-fn starts(history: &History) -> BTreeMap<String, u64> {
+fn encode_history(history: &History) -> BTreeMap<String, u64> {
     let starts = history.starts();
     starts.map(|(t, start)| (t.to_string(), start)).collect()
 }
 
-fn history(starts: &BTreeMap<String, u64>) -> Result<History, Error> {
+fn decode_history(starts: &BTreeMap<String, u64>) -> Result<History, Error> {
     let mut history = History::default();
     for (term, start) in starts {
         history.open(term.parse()?, *start);
@@ -197,7 +199,7 @@
     Ok(history)
 }
 
-fn origins(origins: &BTreeMap<Term, row::Origin>) -> BTreeMap<String, Origin> {
+fn encode_origins(origins: &BTreeMap<Term, row::Origin>) -> BTreeMap<String, Origin> {
     let origin = |origin: &row::Origin| Origin {
         parent: origin.parent.map(|parent| parent.to_string()),
         start: origin.start,
@@ -208,7 +210,9 @@
         .collect()
 }
 
-fn origins_of(origins: &BTreeMap<String, Origin>) -> Result<BTreeMap<Term, row::Origin>, Error> {
+fn decode_origins(
+    origins: &BTreeMap<String, Origin>,
+) -> Result<BTreeMap<Term, row::Origin>, Error> {
     let mut decoded = BTreeMap::new();
     for (term, origin) in origins {
         let parent = match &origin.parent {
--- a/crates/wire/tests/row.rs
+++ b/crates/wire/tests/row.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a shard's row.
+//! Encoding and decoding of a shard's row.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,10 +53,11 @@
     }
 }
 
-/// A claim that took effect is never recognised, and nobody controls the shard: its answer was
-/// lost, and the row read back differs from the one written by something that the text left out.
+/// Guards against a shard without a controller: if the response to a claim is lost, and the row
+/// read back differs from the written one because the JSON omits a field, the claim is never
+/// recognised as successful.
 #[test]
-fn a_row_reads_back_as_it_was_written() {
+fn rows_round_trip_through_json() {
     let mut directory = Directory::default();
     let row = full(&mut directory);
     let body = serde_json::to_string(&row::Row::encode(&row, &directory).unwrap()).unwrap();
@@ -64,9 +65,9 @@
     assert_eq!(read.decode(&mut directory), Ok(row));
 }
 
-/// A process that has just started has other keys for the same names.
+/// Another process may have different keys for the same names.
 #[test]
-fn names_travel_and_keys_do_not() {
+fn encoding_uses_names_instead_of_keys() {
     let mut directory = Directory::default();
     let row = full(&mut directory);
     let message = row::Row::encode(&row, &directory).unwrap();
@@ -76,9 +77,9 @@
     assert_eq!(row::Row::encode(&decoded, &other), Ok(message));
 }
 
-/// A damaged row is taken for one without a primary, and another is promoted.
+/// Guards against a second promotion because a malformed row is taken for one without a primary.
 #[test]
-fn what_cannot_be_read_is_an_error() {
+fn malformed_rows_are_rejected() {
     let mut directory = Directory::default();
     let row = full(&mut directory);
     let message = row::Row::encode(&row, &directory).unwrap();
@@ -92,6 +93,6 @@
     assert!(damage(
         |service| service.losses[0].acknowledged = Some("2.1".to_owned())
     ));
-    let stranger = row::Row::encode(&row, &Directory::default());
-    assert_eq!(stranger, Err(row::Error::NoName));
+    let unknown = row::Row::encode(&row, &Directory::default());
+    assert_eq!(unknown, Err(row::Error::NoName));
 }
