--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use flamingopost_core::invariant::{self, Invariant};
-use flamingopost_core::once::keyed::{Directive as KeyedNext, Keyed};
+use flamingopost_core::once::keyed::{Directive as KeyedDirective, Keyed};
 use flamingopost_core::refusal::{Doubt, Ran, Refusal};
 use flamingopost_core::retry::{self, Failure};
 use flamingopost_core::route::TargetRole;
@@ -297,20 +297,20 @@
             held.release();
         }
         match (next, part) {
-            (KeyedNext::Done { .. }, TargetRole::Primary(term)) => {
+            (KeyedDirective::Done { .. }, TargetRole::Primary(term)) => {
                 self.commit_keyed(term, position, &progress, treatment)
                     .await?;
                 Ok(Outcome::Answered(By::Primary))
             }
-            (KeyedNext::AlreadyDone { tag }, _) => {
+            (KeyedDirective::AlreadyDone { tag }, _) => {
                 let key = key.to_owned();
                 Err(Stop::Refused(Refusal::AlreadyRan { key, tag }))
             }
-            (KeyedNext::Failed, _) => {
+            (KeyedDirective::Failed, _) => {
                 self.ready();
                 Ok(Outcome::Answered(By::Primary))
             }
-            (KeyedNext::Retry(refusal), _) if !progress.streamed && !late => {
+            (KeyedDirective::Retry(refusal), _) if !progress.streamed && !late => {
                 self.front.out.truncate(mark);
                 // The key makes another run from the start safe, whatever became of this one.
                 Ok(Outcome::Failed {
@@ -319,13 +319,13 @@
                     refusal,
                 })
             }
-            (KeyedNext::Retry(refusal) | KeyedNext::Refuse(refusal), _) => {
+            (KeyedDirective::Retry(refusal) | KeyedDirective::Refuse(refusal), _) => {
                 if !progress.streamed {
                     self.front.out.truncate(mark);
                 }
                 Err(Stop::Refused(refusal))
             }
-            (KeyedNext::Done { .. } | KeyedNext::Send(_), _) => {
+            (KeyedDirective::Done { .. } | KeyedDirective::Send(_), _) => {
                 let doubt = Doubt::CommitUnconfirmed;
                 Err(Stop::Refused(Refusal::OutcomeUnknown { doubt }))
             }
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/settle.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use flamingopost_core::history::Survival as Kept;
+use flamingopost_core::history::Survival;
 use flamingopost_core::invariant::{self, Invariant};
 use flamingopost_core::lease::Acknowledge;
 use flamingopost_core::position::Position;
@@ -325,7 +325,7 @@
     /// Whether `position` is part of the service's log as this host knows it.
     fn is_kept(&self, position: Position) -> bool {
         let service = &self.service;
-        service.with_table(|table, _| table.history().survival(position)) == Kept::Kept
+        service.with_table(|table, _| table.history().survival(position)) == Survival::Kept
     }
 
     fn reached(&self, position: Option<Position>, wanted: Position) -> bool {
--- a/crates/proxy/src/election.rs
+++ b/crates/proxy/src/election.rs
@@ -69,7 +69,7 @@
     platform: Rc<P>,
     socket: Rc<Socket>,
     services: RefCell<BTreeMap<String, Rc<RefCell<Succession>>>>,
-    reserve_grant: RefCell<Option<FencingToken>>,
+    reserved_token: RefCell<Option<FencingToken>>,
     /// Claims held by other hosts, and when this host first saw each of them.
     known_claims: RefCell<BTreeMap<(String, Revision), Duration>>,
     /// Changes of primaries that were claimed or ordered, by service and change number.
@@ -112,7 +112,7 @@
             platform,
             socket,
             services: RefCell::default(),
-            reserve_grant: RefCell::default(),
+            reserved_token: RefCell::default(),
             known_claims: RefCell::default(),
             changes: RefCell::default(),
             claimed_terms: RefCell::default(),
@@ -128,10 +128,10 @@
 
     /// Stores a fencing token that may be used for one promotion while the store is unavailable.
     pub fn reserve_token(&self, token: Token) {
-        let grant = FencingToken(token.0);
-        *self.reserve_grant.borrow_mut() = Some(grant);
+        let reserved_token = FencingToken(token.0);
+        *self.reserved_token.borrow_mut() = Some(reserved_token);
         for succession in self.services.borrow().values() {
-            succession.borrow_mut().reserve_token(grant);
+            succession.borrow_mut().reserve_token(reserved_token);
         }
     }
 
@@ -150,8 +150,8 @@
                 continue;
             }
             let mut succession = Succession::default();
-            if let Some(grant) = *self.reserve_grant.borrow() {
-                succession.reserve_token(grant);
+            if let Some(reserved_token) = *self.reserved_token.borrow() {
+                succession.reserve_token(reserved_token);
             }
             let succession = Rc::new(RefCell::new(succession));
             let mut services = self.services.borrow_mut();
@@ -324,8 +324,8 @@
         succession: &Rc<RefCell<Succession>>,
     ) {
         let synchronous = self.fleet.is_synchronous(&service.name);
-        for (target, standing) in service.targets() {
-            if standing != ServerState::Serving && !synchronous {
+        for (target, state) in service.targets() {
+            if state != ServerState::Serving && !synchronous {
                 continue;
             }
             let (election, service) = (Rc::clone(self), Rc::clone(service));
@@ -389,7 +389,7 @@
         service: Rc<Service<C>>,
         succession: Rc<RefCell<Succession>>,
         server: ServerKey,
-        grant: FencingToken,
+        token: FencingToken,
     ) {
         let id = service.name_of(Some(server));
         let serves = match self.trouble(&service) {
@@ -400,7 +400,7 @@
         let term = service.newest_term();
         if let Some(named) = service.to_peer_server(server) {
             let successor = (named, succession.borrow().successor_position());
-            let ended_term = EndedTerm::new(service.name.clone(), term, grant.0, successor, serves);
+            let ended_term = EndedTerm::new(service.name.clone(), term, token.0, successor, serves);
             service.end_term(&ended_term);
             for (_, peer) in self.fleet.peers() {
                 let ended_term = ended_term.clone();
@@ -412,7 +412,7 @@
             }
         }
         if succession.borrow().acts_without_claim()
-            && !self.has_highest_token(&service, grant).await
+            && !self.has_highest_token(&service, token).await
         {
             succession
                 .borrow_mut()
@@ -420,16 +420,17 @@
             self.site.log(&Event::TurnGivenUp {
                 service: service.name.clone(),
                 server: id,
-                token: grant.0,
+                token: token.0,
             });
             return;
         }
         let sent = self.site.now();
-        let token = Token(grant.0);
+        let platform_token = Token(token.0);
         let host = &self.site.host;
         let ordered = timeout(
             ORDER_TIMEOUT,
-            self.platform.promote(&service.name, &id, host, token),
+            self.platform
+                .promote(&service.name, &id, host, platform_token),
         );
         let order = match ordered.await {
             Ok(Ok(Promotion::Accepted)) => Order::Accepted,
@@ -455,7 +456,7 @@
         self.site.log(&Event::Ordered {
             service: service.name.clone(),
             server: id,
-            token: grant.0,
+            token: token.0,
             outcome: format!("{order:?}"),
             millis: now.saturating_sub(sent).as_millis(),
         });
@@ -467,9 +468,9 @@
     /// Guards against two hosts that both reach their turn while waiting for the leases of others
     /// to expire. On a platform that carries out every order, the one with the lower token would
     /// arrive second and undo the change made by the first.
-    async fn has_highest_token(&self, service: &Rc<Service<C>>, grant: FencingToken) -> bool {
+    async fn has_highest_token(&self, service: &Rc<Service<C>>, token: FencingToken) -> bool {
         tokio::time::sleep(ORDER_ANNOUNCEMENT_LEAD).await;
-        service.newest_order().is_none_or(|newest| newest <= grant)
+        service.newest_order().is_none_or(|newest| newest <= token)
     }
 
     /// Collects what this host knows of a service, as input of its state machine.
@@ -491,7 +492,7 @@
         // A leaving replica still receives the log and may be the only one that holds a commit.
         let candidates = targets
             .iter()
-            .filter(|(_, standing)| synchronous || *standing == ServerState::Serving);
+            .filter(|(_, state)| synchronous || *state == ServerState::Serving);
         View {
             leader: service.leader(),
             term: service.newest_term(),
@@ -513,7 +514,7 @@
             newest_position: service.newest_position(),
             required_positions: service.required_positions(),
             previous_starts: service.former_starts(),
-            distrusted: service.doubted(),
+            distrusted: service.distrusted(),
         }
     }
 
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -52,12 +52,12 @@
     ) {
         let (election, service) = (Rc::clone(self), Rc::clone(service));
         tokio::task::spawn_local(async move {
-            let mut effect = PromotionTimer::start(ordered);
+            let mut timer = PromotionTimer::start(ordered);
             let until = ordered + PROMOTION_TIMEOUT;
             while election.site.now() < until {
-                let seen = election.poll_until_leading(&service, &successor, term, &mut effect);
+                let seen = election.poll_until_leading(&service, &successor, term, &mut timer);
                 if let Ok(led) = seen.await {
-                    let took = effect.min_duration(election.site.now());
+                    let took = timer.min_duration(election.site.now());
                     election.announce_lead(&service, successor.server, led, took);
                     return;
                 }
@@ -73,7 +73,7 @@
         service: &Rc<Service<C>>,
         target: &Target,
         term: Term,
-        effect: &mut PromotionTimer,
+        timer: &mut PromotionTimer,
     ) -> Result<Term, server_connection::Error> {
         let timed_out = |_| server_connection::Error::Io(std::io::ErrorKind::TimedOut.into());
         let id = self.site.next_id();
@@ -91,7 +91,7 @@
             if status.role == Role::Primary && status.term > term {
                 return Ok(status.term);
             }
-            effect.record_replica(asked);
+            timer.record_replica(asked);
             tokio::time::sleep(ACTIVE_STEP_INTERVAL).await;
         }
     }
--- a/crates/proxy/src/election/messaging.rs
+++ b/crates/proxy/src/election/messaging.rs
@@ -131,7 +131,7 @@
                 service: service.name.clone(),
                 furthest: service.furthest_position().into(),
                 term_start: service.newest_term_start(),
-                doubted: service.doubted_servers(),
+                doubted: service.distrusted_servers(),
                 led: self.led_terms(service),
             })
             .collect();
@@ -176,7 +176,7 @@
                     .for_each(|it| service.record_term_start(it));
                 log.doubted
                     .iter()
-                    .for_each(|it| service.record_peer_doubt(it));
+                    .for_each(|it| service.record_peer_distrust(it));
                 self.apply_led_terms(&service, &log.led);
             }
         }
@@ -449,7 +449,7 @@
             return false;
         };
         match self.query_status(service, &target).await {
-            Probe::Status(_) => !service.is_doubted(server),
+            Probe::Status(_) => !service.is_distrusted(server),
             Probe::Alive => true,
             Probe::Refused => false,
             // A server too busy to answer a query in time may still answer statements.
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -72,8 +72,8 @@
 
 struct State<C: Codec> {
     dispatch: Dispatch,
-    vouch: FreshnessTracker,
-    extent: LogExtent,
+    freshness: FreshnessTracker,
+    log_extent: LogExtent,
     leader: LeaderTracker,
     /// Since when the service has had only one server.
     single_server_since: Option<Duration>,
@@ -85,7 +85,7 @@
     /// Last observed log position of the believed primary, while its check is incomplete.
     primary_position: Option<Position>,
     /// Whether a promotion may have been ordered without this host's knowledge.
-    orders: PriorOrders,
+    prior_orders: PriorOrders,
     no_primary_since: Option<Duration>,
     servers: BTreeMap<ServerKey, ServerEntry>,
     idle: BTreeMap<u64, ServerConnection<C>>,
@@ -149,15 +149,15 @@
             confirmation_notify: Notify::new(),
             state: RefCell::new(State {
                 dispatch: Dispatch::default(),
-                vouch: FreshnessTracker::default(),
-                extent: LogExtent::default(),
+                freshness: FreshnessTracker::default(),
+                log_extent: LogExtent::default(),
                 leader: LeaderTracker::default(),
                 single_server_since: None,
                 check: PrimaryCheck::default(),
                 check_hold: None,
                 proven_primary: None,
                 primary_position: None,
-                orders: PriorOrders::default(),
+                prior_orders: PriorOrders::default(),
                 no_primary_since: Some(Duration::ZERO),
                 servers: BTreeMap::new(),
                 idle: BTreeMap::new(),
@@ -228,15 +228,15 @@
         if state.can_check_now() {
             self.failover_notify.notify_one();
         }
-        let passed = state.vouch.passed_at(position);
+        let passed = state.freshness.passed_at(position);
         let proven = state.proven_position(server, position);
         if let Some(server) = state.dispatch.server_mut(server) {
             server.record_position(proven, passed, now);
         }
-        state.vouch.record_term(position.term);
+        state.freshness.record_term(position.term);
         state.leader.record_log_term(server, position.term);
-        if by_primary && !state.extent.lacks(position, sent) {
-            state.vouch.add_sample(position, sent);
+        if by_primary && !state.log_extent.lacks(position, sent) {
+            state.freshness.add_sample(position, sent);
             state.leader.record_term_led(server, position.term);
             self.sample_arrived();
         }
@@ -281,7 +281,7 @@
     pub fn newest_sample(&self) -> Option<(Position, Duration)> {
         let now = self.site.now();
         let state = self.state.borrow();
-        let (position, at) = state.vouch.last_sample()?;
+        let (position, at) = state.freshness.last_sample()?;
         Some((position, now.saturating_sub(at)))
     }
 
@@ -304,13 +304,16 @@
         // Samples this close together count as one. Otherwise each reply would trigger the next
         // request.
         let is_known = state
-            .vouch
+            .freshness
             .last_sample()
             .is_some_and(|(_, last)| at < last + SAMPLE_SPACING);
-        if is_known || position.term < state.vouch.term() || state.extent.lacks(position, at) {
+        if is_known
+            || position.term < state.freshness.term()
+            || state.log_extent.lacks(position, at)
+        {
             return;
         }
-        state.vouch.add_sample(position, at);
+        state.freshness.add_sample(position, at);
         drop(state);
         self.sample_arrived();
     }
@@ -327,11 +330,11 @@
     pub fn need(&self, since: Duration, seen: Position) -> Need {
         let now = self.site.now();
         let state = self.state.borrow();
-        let Some(floor) = state.vouch.required_position(since) else {
+        let Some(floor) = state.freshness.required_position(since) else {
             return Need::Leader;
         };
-        let position = floor.max(state.vouch.in_current_term(seen));
-        let at = state.vouch.reached_at(position).unwrap_or(now);
+        let position = floor.max(state.freshness.in_current_term(seen));
+        let at = state.freshness.reached_at(position).unwrap_or(now);
         Need::Position { position, at }
     }
 
@@ -345,7 +348,7 @@
             }
             state.leader.record_role(server, status.role, status.term);
             if status.role == Role::Primary {
-                state.vouch.record_term(status.term);
+                state.freshness.record_term(status.term);
             }
         }
         self.check_log(server, status.received, sent);
@@ -359,7 +362,7 @@
         };
         {
             let mut state = self.state.borrow_mut();
-            state.vouch.record_term(term);
+            state.freshness.record_term(term);
             state.leader.record_role(server, Role::Primary, term);
         }
         self.refresh_leader();
@@ -454,14 +457,14 @@
     /// Returns all servers with their addresses and whether they are leaving.
     pub fn targets(&self) -> Vec<(Target, ServerState)> {
         let state = self.state.borrow();
-        let standing = |key: &ServerKey| {
+        let server_state = |key: &ServerKey| {
             let server = state.dispatch.servers().get(key);
             server.map_or(ServerState::Leaving, |server| server.state)
         };
         state
             .servers
             .iter()
-            .map(|(key, entry)| (entry.target.clone(), standing(key)))
+            .map(|(key, entry)| (entry.target.clone(), server_state(key)))
             .collect()
     }
 
@@ -497,12 +500,12 @@
 
     /// Returns the newest position of a primary's log that this host knows of.
     pub fn newest_position(&self) -> Position {
-        self.state.borrow().vouch.newest()
+        self.state.borrow().freshness.newest()
     }
 
     /// Returns the newest term that is known to have begun.
     pub fn newest_term(&self) -> Term {
-        self.state.borrow().vouch.term()
+        self.state.borrow().freshness.term()
     }
 
     fn refresh_leader(self: &Rc<Self>) {
@@ -510,7 +513,7 @@
         let (change, succeeds) = {
             let mut state = self.state.borrow_mut();
             state.trust_only_server(now);
-            let newest = state.vouch.term();
+            let newest = state.freshness.term();
             state.leader.record_term_start(newest);
             let Some(change) = state.leader.refresh(now) else {
                 return;
--- a/crates/proxy/src/service/confirm.rs
+++ b/crates/proxy/src/service/confirm.rs
@@ -132,7 +132,7 @@
             let now = self.site.now();
             self.state
                 .borrow_mut()
-                .extent
+                .log_extent
                 .record_position(status.received, now);
         }
         follows
--- a/crates/proxy/src/service/hold.rs
+++ b/crates/proxy/src/service/hold.rs
@@ -145,7 +145,7 @@
         if state.successor_hold.is_some() {
             return;
         }
-        state.orders.record_complete();
+        state.prior_orders.record_complete();
         state.hold_for_successor(from, from + SUCCESSOR_HOLD, from);
     }
 
@@ -183,7 +183,8 @@
         state.record_term_start(&peer::TermStart::new(id, ended.term(), ended.received()));
         state.leader.record_order(ended.term(), successor);
         let leads = state.dispatch.leader();
-        let is_done = state.vouch.term() > ended.term() || leads.is_some() && leads == successor;
+        let is_done =
+            state.freshness.term() > ended.term() || leads.is_some() && leads == successor;
         if is_done {
             return true;
         }
@@ -249,7 +250,8 @@
         let replaced = replacement.is_some_and(|replacement| now >= replacement.ignore_from);
         let succeeded = state.has_successor(server);
         let led = state.leader.term_led(server);
-        state.leader.is_term_ended(server) && (replaced || succeeded || led < state.vouch.term())
+        state.leader.is_term_ended(server)
+            && (replaced || succeeded || led < state.freshness.term())
     }
 
     /// Logs the acknowledgement of a write if the primary is being replaced.
--- a/crates/proxy/src/service/listing.rs
+++ b/crates/proxy/src/service/listing.rs
@@ -57,8 +57,8 @@
                 Start::Known => None,
                 Start::Restarted(former_key) => Some(restart::RestartRecord {
                     former_key,
-                    log_extent: state.extent.furthest(),
-                    term: state.vouch.term(),
+                    log_extent: state.log_extent.furthest(),
+                    term: state.freshness.term(),
                 }),
             };
             let entry = state.servers.entry(key).or_insert_with(|| ServerEntry {
--- a/crates/proxy/src/service/log_loss.rs
+++ b/crates/proxy/src/service/log_loss.rs
@@ -36,9 +36,9 @@
         let lost = {
             let state = self.state.borrow();
             let led = state.leader.term_led(server);
-            let newest = position.term == led && led >= state.vouch.term();
+            let newest = position.term == led && led >= state.freshness.term();
             newest
-                && (state.extent.lacks(position, sent)
+                && (state.log_extent.lacks(position, sent)
                     || state.lacks_received_entries(server, position))
         };
         if lost {
@@ -49,9 +49,9 @@
     }
 
     /// Returns the servers whose claims to lead are not believed, in the form sent to other hosts.
-    pub fn doubted_servers(&self) -> Vec<peer::Server> {
-        let doubted = self.doubted().into_iter();
-        doubted
+    pub fn distrusted_servers(&self) -> Vec<peer::Server> {
+        let distrusted = self.distrusted().into_iter();
+        distrusted
             .filter_map(|server| self.to_peer_server(server))
             .collect()
     }
@@ -63,7 +63,7 @@
     /// start of the term. It answered reads from an empty log until the first write, for 340 ms,
     /// while three other hosts already knew. A primary that has its log shows it with its next
     /// write.
-    pub fn record_peer_doubt(self: &Rc<Self>, server: &peer::Server) {
+    pub fn record_peer_distrust(self: &Rc<Self>, server: &peer::Server) {
         let ResolvedServer::Listed(server) = self.resolve_server(server) else {
             return;
         };
@@ -88,7 +88,7 @@
                 return;
             }
             state.distrust(server, now);
-            state.extent.furthest()
+            state.log_extent.furthest()
         };
         self.site.log(&Event::LogLost {
             service: self.name.clone(),
@@ -124,7 +124,7 @@
             .servers
             .get(&server)
             .is_some_and(|entry| entry.connections_broke);
-        let shows_none = position.log == 0 && self.extent.is_written();
+        let shows_none = position.log == 0 && self.log_extent.is_written();
         broke && shows_none && !self.was_promoted_empty(server)
     }
 
--- a/crates/proxy/src/service/log_proof.rs
+++ b/crates/proxy/src/service/log_proof.rs
@@ -51,10 +51,10 @@
     /// one.
     pub fn record_orders_known(&self) {
         let mut state = self.state.borrow_mut();
-        if state.orders == PriorOrders::AllKnown {
+        if state.prior_orders == PriorOrders::AllKnown {
             return;
         }
-        state.orders.record_complete();
+        state.prior_orders.record_complete();
         state.recheck_leader(self.site.now());
         self.failover_notify.notify_one();
     }
@@ -62,24 +62,24 @@
     /// Records the newest term for which the store has a claim to replace the primary, if any.
     pub fn record_claims(&self, newest: Option<Term>) {
         let mut state = self.state.borrow_mut();
-        if state.orders != PriorOrders::Unknown {
+        if state.prior_orders != PriorOrders::Unknown {
             return;
         }
-        state.orders.record_claim(newest);
+        state.prior_orders.record_claim(newest);
         state.recheck_leader(self.site.now());
         self.failover_notify.notify_one();
     }
 
     /// Reports whether any server has shown a log entry.
     pub fn has_seen_entries(&self) -> bool {
-        self.state.borrow().extent.has_position()
+        self.state.borrow().log_extent.has_position()
     }
 
     /// Applies the store's record of whether anything was ever written to the service.
     pub fn apply_store_record(&self, is_written: bool) {
         let mut state = self.state.borrow_mut();
         match is_written {
-            true => state.extent.record_written(),
+            true => state.log_extent.record_written(),
             false => state.end_check_hold(),
         }
     }
@@ -123,7 +123,7 @@
         let is_seen = {
             let mut state = self.state.borrow_mut();
             state.distrust(server, self.site.now());
-            state.extent.has_position()
+            state.log_extent.has_position()
         };
         self.site.log(&Event::LogEmpty {
             service: self.name.clone(),
@@ -150,13 +150,13 @@
     /// received what the primary acknowledged in its last milliseconds.
     pub(super) fn missing_evidence(&self, position: Position) -> MissingEvidence {
         if self
-            .orders
-            .may_replace(self.vouch.term().max(position.term))
+            .prior_orders
+            .may_replace(self.freshness.term().max(position.term))
         {
             MissingEvidence::Orders
         } else if position.log > 0 {
             MissingEvidence::Nothing
-        } else if self.extent.is_written() {
+        } else if self.log_extent.is_written() {
             MissingEvidence::Proof
         } else if self.may_have_unseen_entries() {
             MissingEvidence::Record
--- a/crates/proxy/src/service/queue.rs
+++ b/crates/proxy/src/service/queue.rs
@@ -42,7 +42,7 @@
                     ticket,
                     server,
                     connection,
-                } => queue.extend(self.lend(ticket, server, connection)),
+                } => queue.extend(self.assign(ticket, server, connection)),
                 Action::Open { server } => self.open(server),
                 Action::Close { connection, .. } => {
                     self.state.borrow_mut().idle.remove(&connection);
@@ -58,7 +58,7 @@
         }
     }
 
-    fn lend(self: &Rc<Self>, ticket: u64, server: ServerKey, connection: u64) -> Vec<Action> {
+    fn assign(self: &Rc<Self>, ticket: u64, server: ServerKey, connection: u64) -> Vec<Action> {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
         let waiter = state.waiters.remove(&ticket);
--- a/crates/proxy/src/service/restart.rs
+++ b/crates/proxy/src/service/restart.rs
@@ -92,14 +92,14 @@
         {
             state.record_leader_position(position, self.site.now());
         }
-        let doubted = state.leader.is_distrusted(server);
+        let distrusted = state.leader.is_distrusted(server);
         let leads = state.leader.primary() == Some(server);
         let short = state.lacks_received_entries(server, position);
-        if doubted && state.extent.proves(position) && !short {
+        if distrusted && state.log_extent.proves(position) && !short {
             state.leader.trust(server);
         } else if leads
             && (short
-                || state.extent.lacks(position, sent)
+                || state.log_extent.lacks(position, sent)
                 || state.may_have_lost_log(server, position))
         {
             drop(state);
@@ -153,7 +153,7 @@
     }
 
     /// Returns the servers whose claims to lead are not believed.
-    pub fn doubted(&self) -> BTreeSet<ServerKey> {
+    pub fn distrusted(&self) -> BTreeSet<ServerKey> {
         let state = self.state.borrow();
         let keys = state.servers.keys().copied();
         keys.filter(|key| state.leader.is_distrusted(*key))
@@ -162,7 +162,7 @@
 
     /// Returns the furthest log position seen at any server.
     pub fn furthest_position(&self) -> Position {
-        self.state.borrow().extent.furthest()
+        self.state.borrow().log_extent.furthest()
     }
 
     /// Records that another host has seen the log reach `position`.
@@ -172,10 +172,10 @@
     pub fn record_peer_position(&self, position: Position) {
         let now = self.site.now();
         let mut state = self.state.borrow_mut();
-        let was_written = state.extent.is_written();
-        state.vouch.record_term(position.term);
-        state.extent.record_position(position, now);
-        if !was_written && state.extent.is_written() && state.dispatch.leader().is_some() {
+        let was_written = state.log_extent.is_written();
+        state.freshness.record_term(position.term);
+        state.log_extent.record_position(position, now);
+        if !was_written && state.log_extent.is_written() && state.dispatch.leader().is_some() {
             state.check = PrimaryCheck::Due(now);
             self.failover_notify.notify_one();
         }
@@ -204,7 +204,7 @@
     }
 
     /// Reports whether a server may lack entries of the service's log.
-    pub fn is_doubted(&self, server: ServerKey) -> bool {
+    pub fn is_distrusted(&self, server: ServerKey) -> bool {
         self.state.borrow().leader.is_distrusted(server)
     }
 }
@@ -228,7 +228,7 @@
     /// contains it, so a server that has lost its log would answer from an empty one.
     pub(super) fn proven_position(&self, server: ServerKey, position: Position) -> Position {
         let leads = self.dispatch.leader() == Some(server) && self.check_hold.is_none();
-        let whole = position.log > 0 || leads || !self.extent.is_written();
+        let whole = position.log > 0 || leads || !self.log_extent.is_written();
         match whole && !self.leader.is_distrusted(server) {
             true => position,
             false => Position::default(),
@@ -366,11 +366,14 @@
         {
             entry.found_empty = false;
         }
-        let was_seen = self.extent.has_position();
-        self.extent.record_position(position, now);
+        let was_seen = self.log_extent.has_position();
+        self.log_extent.record_position(position, now);
         let leader = self.dispatch.leader();
         let by_other = leader.is_some_and(|leader| leader != server);
-        if !was_seen && self.extent.has_position() && by_other && position.term < self.vouch.term()
+        if !was_seen
+            && self.log_extent.has_position()
+            && by_other
+            && position.term < self.freshness.term()
         {
             self.check = PrimaryCheck::Due(now);
         }
@@ -399,7 +402,7 @@
         };
         let entry = self.servers.get(&leader);
         let restart = entry.and_then(|entry| entry.restart);
-        restart.is_none_or(|restart| self.vouch.term() > restart.term)
+        restart.is_none_or(|restart| self.freshness.term() > restart.term)
     }
 
     /// Trusts the only remaining server of a service, which would never be replaced, after the time
