--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -7,6 +7,8 @@
 
 /// A position in a service's log: the term that wrote it and the log number.
 ///
+/// Callers carry it between entry hosts in its text form, `EPOCH.COUNT/LOG`.
+///
 /// ```
 /// use flamingopost_core::position::Position;
 ///
--- a/crates/proxy/src/election/handover.rs
+++ b/crates/proxy/src/election/handover.rs
@@ -66,7 +66,7 @@
         });
     }
 
-    /// Polls a server on one connection until it leads a term after `term`, and records in `effect`
+    /// Polls a server on one connection until it leads a term after `term`, and records in `timer`
     /// each time at which it did not lead yet.
     async fn poll_until_leading(
         &self,
