--- a/crates/trial/src/announce.rs
+++ b/crates/trial/src/announce.rs
@@ -7,25 +7,25 @@
 use crate::plan::Plan;
 use crate::stage::Stage;
 
-const INTERVAL: Duration = Duration::from_secs(5);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Lists all hosts and servers again and again.
 pub async fn run(stage: &Stage, plan: &Plan) {
     loop {
         for host in &plan.hosts {
-            let announced = Announcement {
+            let announcement = Announcement {
                 zone: host.zone.clone(),
                 address: host.callers.to_string(),
                 state: State::Live,
             };
-            stage.platform.announce(&host.name, announced);
+            stage.platform.announce(&host.name, announcement);
         }
         for server in &stage.servers {
             let faults = server.faults();
             if faults.dead {
                 continue;
             }
-            let announced = Announcement {
+            let announcement = Announcement {
                 zone: server.settings().zone.clone(),
                 address: server.address().to_string(),
                 state: if faults.leaving {
@@ -34,8 +34,10 @@
                     State::Live
                 },
             };
-            stage.platform.announce(&server.settings().name, announced);
+            stage
+                .platform
+                .announce(&server.settings().name, announcement);
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
--- a/crates/trial/src/error.rs
+++ b/crates/trial/src/error.rs
@@ -12,7 +12,7 @@
     /// {0}
     Io(io::Error),
     /// cannot read {0:?}: {1}
-    Fleet(PathBuf, io::Error),
+    ReadFleet(PathBuf, io::Error),
     /// {0}
     Config(flamingopost_core::config::Report),
     /// the fleet has no zones, so there is nowhere to put a host
@@ -26,7 +26,7 @@
     /// control daemon: {0}
     Control(flamingopost_control::error::Error),
     /// a daemon ended without telling why
-    Vanished,
+    UnexpectedExit,
 }
 
 impl From<io::Error> for Error {
--- a/crates/trial/src/host.rs
+++ b/crates/trial/src/host.rs
@@ -16,27 +16,27 @@
 use crate::plan::Host;
 
 /// How long sessions may go on after the first signal.
-const DRAIN: Duration = Duration::from_secs(5);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How often daemons read the fleet's rows. More often than in a fleet, because a trial shows
 /// itself from its first second on.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The ways to the remote calls of one host's daemons. They are open before any daemon starts, so
 /// that each daemon can be told of the others.
 #[derive(Debug)]
-pub struct Ways {
+pub struct Relays {
     entry: Relay,
     control: Relay,
 }
 
-impl Ways {
+impl Relays {
     /// Opens the ways to `host`, which cuts of its zone close.
     ///
     /// # Errors
     /// No port is free.
-    pub async fn open(host: &Host, cuts: &Cuts) -> Result<Ways, Error> {
-        Ok(Ways {
+    pub async fn open(host: &Host, cuts: &Cuts) -> Result<Relays, Error> {
+        Ok(Relays {
             entry: Relay::start(host.entry_rpc, &host.zone, cuts).await?,
             control: Relay::start(host.control_rpc, &host.zone, cuts).await?,
         })
@@ -50,7 +50,7 @@
 
 /// What all hosts of a trial are told.
 #[derive(Debug, Clone)]
-pub struct Common<'a> {
+pub struct SharedSettings<'a> {
     /// The platform.
     pub platform: SocketAddr,
     /// Remote calls of all control daemons.
@@ -67,21 +67,21 @@
 /// An address that is taken.
 pub fn start_entry(
     host: &Host,
-    ways: &Ways,
-    common: &Common<'_>,
+    relays: &Relays,
+    shared: &SharedSettings<'_>,
     stop: Stop,
 ) -> Result<JoinHandle<Result<(), Error>>, Error> {
     let mut settings = EntrySettings {
         callers: host.callers,
         admin: host.entry_admin,
         rpc: host.entry_rpc,
-        public_rpc: ways.entry.address(),
-        token: Token::new(common.token),
-        peers: common.peers.clone(),
-        drain: DRAIN,
-        ..EntrySettings::local(&host.name, &host.zone, common.platform)
+        public_rpc: relays.entry.address(),
+        token: Token::new(shared.token),
+        peers: shared.peers.clone(),
+        drain: DRAIN_TIMEOUT,
+        ..EntrySettings::local(&host.name, &host.zone, shared.platform)
     };
-    settings.platform.poll = POLL;
+    settings.platform.poll = POLL_INTERVAL;
     let bound = flamingopost_entry::host::Host::bind(settings)?;
     Ok(tokio::spawn(async move { Ok(bound.serve(stop).await?) }))
 }
@@ -93,29 +93,29 @@
 /// No thread can be had.
 pub fn start_control(
     host: &Host,
-    ways: &Ways,
-    common: &Common<'_>,
+    relays: &Relays,
+    shared: &SharedSettings<'_>,
     stop: Stop,
 ) -> Result<oneshot::Receiver<Result<(), Error>>, Error> {
-    let own = ways.control();
-    let peers = common.peers.iter().copied();
+    let own = relays.control();
+    let peers = shared.peers.iter().copied();
     let mut settings = ControlSettings {
         rpc: host.control_rpc,
         public_rpc: Some(own),
         admin: host.control_admin,
-        token: Token::new(common.token),
+        token: Token::new(shared.token),
         peers: peers.filter(|peer| *peer != own).collect(),
-        bootstrap: Some(common.fleet.to_owned()),
-        ..ControlSettings::local(&host.name, &host.zone, common.platform)
+        bootstrap: Some(shared.fleet.to_owned()),
+        ..ControlSettings::local(&host.name, &host.zone, shared.platform)
     };
-    settings.platform.poll = POLL;
-    let (ended, told) = oneshot::channel();
+    settings.platform.poll = POLL_INTERVAL;
+    let (sender, receiver) = oneshot::channel();
     let thread = std::thread::Builder::new().name(host.name.clone());
     thread.spawn(move || {
         let run = flamingopost_control::run(settings, stop);
         let result = actix_rt::System::new().block_on(run);
         // Nobody listens any more when the trial itself has ended.
-        let _ = ended.send(result.map_err(Error::from));
+        let _ = sender.send(result.map_err(Error::from));
     })?;
-    Ok(told)
+    Ok(receiver)
 }
--- a/crates/trial/src/overview.rs
+++ b/crates/trial/src/overview.rs
@@ -19,13 +19,13 @@
     /// The operators' token.
     pub token: &'a str,
     /// How long the start took.
-    pub took: Duration,
+    pub startup_time: Duration,
 }
 
 impl fmt::Display for Overview<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let plan = self.plan;
-        let millis = self.took.as_millis();
+        let millis = self.startup_time.as_millis();
         writeln!(f, "ready after {millis} ms; SIGTERM or ctrl-c ends it\n")?;
         writeln!(f, "callers (a database is a service)")?;
         let (user, service, password) = self.caller();
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -12,18 +12,18 @@
 /// Tesfa's example, for a trial without a fleet file.
 const EXAMPLE: &str = include_str!("../../../examples/tesfa.ini");
 
-const EXAMPLE_NAME: &str = "examples/tesfa.ini";
+const EXAMPLE_PATH: &str = "examples/tesfa.ini";
 
-const HOSTS: usize = 3;
+const HOST_COUNT: usize = 3;
 
 /// Where the ports of each kind begin, from the trial's first port on.
-const FAULTS: u16 = 0;
-const PLATFORM: u16 = 1;
-const CALLERS: u16 = 32;
-const ENTRY_ADMIN: u16 = 42;
-const CONTROL_ADMIN: u16 = 52;
-const ENTRY_RPC: u16 = 62;
-const CONTROL_RPC: u16 = 72;
+const FAULTS_OFFSET: u16 = 0;
+const PLATFORM_OFFSET: u16 = 1;
+const CALLERS_OFFSET: u16 = 32;
+const ENTRY_ADMIN_OFFSET: u16 = 42;
+const CONTROL_ADMIN_OFFSET: u16 = 52;
+const ENTRY_RPC_OFFSET: u16 = 62;
+const CONTROL_RPC_OFFSET: u16 = 72;
 
 /// What a trial consists of.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
     pub fn new(file: Option<&Path>, first_port: u16) -> Result<Plan, Error> {
         let (name, text) = match file {
             Some(path) => (path.to_owned(), read(path)?),
-            None => (PathBuf::from(EXAMPLE_NAME), EXAMPLE.to_owned()),
+            None => (PathBuf::from(EXAMPLE_PATH), EXAMPLE.to_owned()),
         };
         let mut names = Directory::default();
         let fleet =
@@ -82,18 +82,18 @@
             is_example: file.is_none(),
             fleet,
             names,
-            faults: local(first_port + FAULTS),
-            platform: local(first_port + PLATFORM),
+            faults: loopback(first_port + FAULTS_OFFSET),
+            platform: loopback(first_port + PLATFORM_OFFSET),
             hosts,
         })
     }
 }
 
 fn read(path: &Path) -> Result<String, Error> {
-    std::fs::read_to_string(path).map_err(|error| Error::Fleet(path.to_owned(), error))
+    std::fs::read_to_string(path).map_err(|error| Error::ReadFleet(path.to_owned(), error))
 }
 
-fn local(port: u16) -> SocketAddr {
+fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -113,12 +113,12 @@
         Host {
             name: format!("{zone}-entry-{}", number + 1),
             zone,
-            callers: local(port + CALLERS),
-            entry_admin: local(port + ENTRY_ADMIN),
-            control_admin: local(port + CONTROL_ADMIN),
-            entry_rpc: local(port + ENTRY_RPC),
-            control_rpc: local(port + CONTROL_RPC),
+            callers: loopback(port + CALLERS_OFFSET),
+            entry_admin: loopback(port + ENTRY_ADMIN_OFFSET),
+            control_admin: loopback(port + CONTROL_ADMIN_OFFSET),
+            entry_rpc: loopback(port + ENTRY_RPC_OFFSET),
+            control_rpc: loopback(port + CONTROL_RPC_OFFSET),
         }
     };
-    Ok((0..HOSTS).map(host).collect())
+    Ok((0..HOST_COUNT).map(host).collect())
 }
--- a/crates/trial/src/trial.rs
+++ b/crates/trial/src/trial.rs
@@ -11,7 +11,7 @@
 use crate::announce;
 use crate::error::Error;
 use crate::flags::FlamingopostTrial;
-use crate::host::{self, Common, Ways};
+use crate::host::{self, Relays, SharedSettings};
 use crate::overview::Overview;
 use crate::plan::Plan;
 use crate::stage::Stage;
@@ -22,7 +22,7 @@
 const TOKEN: &str = "trial";
 
 /// How often a daemon is asked whether it is ready.
-const ASK: Duration = Duration::from_millis(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Runs a trial until a signal ends it.
 ///
@@ -30,7 +30,7 @@
 /// A fleet file that is wrong, a port that is taken, or a daemon that failed.
 #[tokio::main]
 pub async fn run(flags: FlamingopostTrial) -> Result<(), Error> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let level = if flags.verbose {
         Level::Info
     } else {
@@ -48,28 +48,28 @@
     file.write_all(plan.text.as_bytes())?;
 
     let (entries, controls) = (Stop::default(), Stop::default());
-    let ways = open_ways(&plan, &stage).await?;
-    let mut daemons = start(&plan, &ways, file.path(), &entries, &controls)?;
-    let watched = entries.clone();
-    tokio::spawn(watched.on_signals());
+    let relays = open_relays(&plan, &stage).await?;
+    let mut daemons = start_daemons(&plan, &relays, file.path(), &entries, &controls)?;
+    let stop = entries.clone();
+    tokio::spawn(stop.on_signals());
     tokio::select! {
-        ready = ready(&plan) => ready?,
-        ended = daemons.entries.join_next() => return Err(first_end(ended)),
+        ready = wait_until_ready(&plan) => ready?,
+        ended = daemons.entries.join_next() => return Err(early_exit_error(ended)),
         () = entries.draining() => {}
     }
     let overview = Overview {
         plan: &plan,
         faults: stage.panel.address(),
         token: TOKEN,
-        took: begun.elapsed(),
+        startup_time: started_at.elapsed(),
     };
     println!("{overview}");
     tokio::select! {
         () = announce::run(&stage, &plan) => {}
         () = entries.draining() => {}
-        ended = daemons.entries.join_next() => return Err(first_end(ended)),
+        ended = daemons.entries.join_next() => return Err(early_exit_error(ended)),
     }
-    finish(daemons, &controls).await
+    shut_down(daemons, &controls).await
 }
 
 /// The daemons of all hosts.
@@ -78,24 +78,24 @@
     controls: Vec<oneshot::Receiver<Result<(), Error>>>,
 }
 
-async fn open_ways(plan: &Plan, stage: &Stage) -> Result<Vec<Ways>, Error> {
-    let mut ways = Vec::new();
+async fn open_relays(plan: &Plan, stage: &Stage) -> Result<Vec<Relays>, Error> {
+    let mut relays = Vec::new();
     for host in &plan.hosts {
-        ways.push(Ways::open(host, &stage.cuts).await?);
+        relays.push(Relays::open(host, &stage.cuts).await?);
     }
-    Ok(ways)
+    Ok(relays)
 }
 
-fn start(
+fn start_daemons(
     plan: &Plan,
-    ways: &[Ways],
+    relays: &[Relays],
     fleet: &std::path::Path,
     entries: &Stop,
     controls: &Stop,
 ) -> Result<Daemons, Error> {
-    let common = Common {
+    let shared = SharedSettings {
         platform: plan.platform,
-        peers: ways.iter().map(Ways::control).collect(),
+        peers: relays.iter().map(Relays::control).collect(),
         token: TOKEN,
         fleet,
     };
@@ -103,20 +103,20 @@
         entries: JoinSet::new(),
         controls: Vec::new(),
     };
-    for (planned, ways) in plan.hosts.iter().zip(ways) {
-        let control = host::start_control(planned, ways, &common, controls.clone())?;
+    for (host_plan, relays) in plan.hosts.iter().zip(relays) {
+        let control = host::start_control(host_plan, relays, &shared, controls.clone())?;
         daemons.controls.push(control);
     }
-    for (planned, ways) in plan.hosts.iter().zip(ways) {
-        let entry = host::start_entry(planned, ways, &common, entries.clone())?;
-        let joined = async move { entry.await.unwrap_or(Err(Error::Vanished)) };
+    for (host_plan, relays) in plan.hosts.iter().zip(relays) {
+        let entry = host::start_entry(host_plan, relays, &shared, entries.clone())?;
+        let joined = async move { entry.await.unwrap_or(Err(Error::UnexpectedExit)) };
         daemons.entries.spawn(joined);
     }
     Ok(daemons)
 }
 
 /// Returns when every daemon says that it is ready.
-async fn ready(plan: &Plan) -> Result<(), Error> {
+async fn wait_until_ready(plan: &Plan) -> Result<(), Error> {
     let http = reqwest::Client::builder().no_proxy().build();
     let http = http.map_err(std::io::Error::other)?;
     let addresses = plan
@@ -130,27 +130,27 @@
             if answer.is_ok_and(|answer| answer.status().is_success()) {
                 break;
             }
-            tokio::time::sleep(ASK).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
     Ok(())
 }
 
-fn first_end(ended: Option<Result<Result<(), Error>, tokio::task::JoinError>>) -> Error {
+fn early_exit_error(ended: Option<Result<Result<(), Error>, tokio::task::JoinError>>) -> Error {
     match ended {
         Some(Ok(Err(error))) => error,
-        _ => Error::Vanished,
+        _ => Error::UnexpectedExit,
     }
 }
 
 /// Entry daemons finish what runs, under controllers that still stand; then these stop too.
-async fn finish(mut daemons: Daemons, controls: &Stop) -> Result<(), Error> {
+async fn shut_down(mut daemons: Daemons, controls: &Stop) -> Result<(), Error> {
     while let Some(ended) = daemons.entries.join_next().await {
-        ended.unwrap_or(Err(Error::Vanished))?;
+        ended.unwrap_or(Err(Error::UnexpectedExit))?;
     }
     controls.stop();
     for control in daemons.controls {
-        control.await.unwrap_or(Err(Error::Vanished))?;
+        control.await.unwrap_or(Err(Error::UnexpectedExit))?;
     }
     Ok(())
 }
--- a/crates/trial/tests/trial.rs
+++ b/crates/trial/tests/trial.rs
@@ -9,19 +9,19 @@
 use tokio_postgres::{Client, NoTls};
 
 /// Ports that one trial may use, from its first one on.
-const PORTS: u16 = 100;
+const PORTS_PER_TRIAL: u16 = 100;
 
 /// How many of them go to database servers.
-const SERVERS: u16 = 10;
-const PATIENCE: Duration = Duration::from_secs(30);
+const SERVER_PORTS: u16 = 10;
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The first of a run of free ports, so that a test disturbs neither the other one nor a trial of
 /// a person.
 fn free_ports(from: u16) -> u16 {
     let is_free = |port: u16| TcpListener::bind(("127.0.0.1", port)).is_ok();
     (from..32_000)
-        .step_by(usize::from(PORTS))
-        .find(|first| (*first..first + PORTS).all(is_free))
+        .step_by(usize::from(PORTS_PER_TRIAL))
+        .find(|first| (*first..first + PORTS_PER_TRIAL).all(is_free))
         .expect("some run of ports should be free")
 }
 
@@ -40,9 +40,9 @@
         let fleet = tempfile::NamedTempFile::new().unwrap();
         let free = free_ports(from);
         // Servers on ports 7101 to 7109 move to the first nine free ones.
-        let servers = format!("127.0.0.1:{}", free / PORTS);
+        let servers = format!("127.0.0.1:{}", free / PORTS_PER_TRIAL);
         std::fs::write(fleet.path(), example.replace("127.0.0.1:71", &servers)).unwrap();
-        let first_port = free + SERVERS;
+        let first_port = free + SERVER_PORTS;
         let mut process = Command::new(env!("CARGO_BIN_EXE_flamingopost-trial"))
             .arg("--fleet")
             .arg(fleet.path())
@@ -94,7 +94,7 @@
     client
 }
 
-async fn faults(trial: &Trial, path: &str, change: Value) -> Value {
+async fn set_faults(trial: &Trial, path: &str, change: Value) -> Value {
     let url = format!("http://127.0.0.1:{}{path}/faults", trial.first_port);
     let http = reqwest::Client::builder().no_proxy().build().unwrap();
     let answer = http.post(url).json(&change).send().await.unwrap();
@@ -102,10 +102,10 @@
 }
 
 /// Repeats a write until it is acknowledged.
-async fn until_written(client: &Client, statement: &str) {
+async fn write_until_acknowledged(client: &Client, statement: &str) {
     let start = Instant::now();
     while let Err(error) = client.batch_execute(statement).await {
-        assert!(start.elapsed() < PATIENCE, "{statement}: {error}");
+        assert!(start.elapsed() < WRITE_TIMEOUT, "{statement}: {error}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -114,20 +114,20 @@
 /// the primary dies. The next writes are refused for a moment, until another server leads, and
 /// what was acknowledged before is still there.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_outlives_its_primary() {
+async fn acknowledged_writes_survive_a_primary_failure() {
     let trial = Trial::start(20_000);
     let callers = format!("127.0.0.1:{}/", trial.first_port + 32);
     assert!(trial.overview.contains(&callers));
     let writer = connect(&trial, 0).await;
-    until_written(&writer, "CREATE TABLE sales (lot bigint PRIMARY KEY)").await;
-    until_written(&writer, "INSERT INTO sales VALUES (1)").await;
+    write_until_acknowledged(&writer, "CREATE TABLE sales (lot bigint PRIMARY KEY)").await;
+    write_until_acknowledged(&writer, "INSERT INTO sales VALUES (1)").await;
     let reader = connect(&trial, 2).await;
     let rows = reader.query("SELECT lot FROM sales", &[]).await.unwrap();
     assert_eq!(rows.len(), 1);
 
-    let dead = faults(&trial, "/servers/auction-ledger-1", json!({"dead": true})).await;
+    let dead = set_faults(&trial, "/servers/auction-ledger-1", json!({"dead": true})).await;
     assert_eq!(dead["dead"], true);
-    until_written(
+    write_until_acknowledged(
         &writer,
         "INSERT INTO sales VALUES (2) ON CONFLICT (lot) DO NOTHING",
     )
@@ -146,14 +146,14 @@
 /// believes that it leads. Callers of other zones can write again once another server leads.
 /// Callers in the zone are refused, and nothing of theirs is in the data after the cut heals.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_zone_cut_moves_the_primary() {
+async fn partitioning_the_zone_of_a_primary_causes_failover() {
     let trial = Trial::start(26_000);
     let inside = connect(&trial, 0).await;
     let outside = connect(&trial, 1).await;
-    until_written(&outside, "CREATE TABLE sales (lot bigint PRIMARY KEY)").await;
+    write_until_acknowledged(&outside, "CREATE TABLE sales (lot bigint PRIMARY KEY)").await;
 
-    faults(&trial, "", json!({"zone": "bole-hall", "cut": true})).await;
-    until_written(
+    set_faults(&trial, "", json!({"zone": "bole-hall", "cut": true})).await;
+    write_until_acknowledged(
         &outside,
         "INSERT INTO sales VALUES (1) ON CONFLICT (lot) DO NOTHING",
     )
@@ -161,8 +161,8 @@
     let refused = inside.batch_execute("INSERT INTO sales VALUES (2)").await;
     assert!(refused.is_err());
 
-    faults(&trial, "", json!({"zone": "bole-hall", "cut": false})).await;
-    until_written(
+    set_faults(&trial, "", json!({"zone": "bole-hall", "cut": false})).await;
+    write_until_acknowledged(
         &inside,
         "INSERT INTO sales VALUES (3) ON CONFLICT (lot) DO NOTHING",
     )
