--- a/crates/trial/src/announce.rs
+++ b/crates/trial/src/announce.rs
@@ -1,4 +1,4 @@
-//! Keeps the platform's list of hosts, as a real platform does by itself.
+//! Announces the hosts and servers of a trial to the platform, as a real platform does by itself.
 
 use std::time::Duration;
 
@@ -7,9 +7,11 @@
 use crate::plan::Plan;
 use crate::stage::Stage;
 
+/// Pause between two rounds of announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lists all hosts and servers again and again.
+/// Announces all hosts, and all servers that are not dead, once every [`ANNOUNCE_INTERVAL`]. Never
+/// returns.
 pub async fn run(stage: &Stage, plan: &Plan) {
     loop {
         for host in &plan.hosts {
--- a/crates/trial/src/error.rs
+++ b/crates/trial/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the trial did not run.
+//! Errors of the trial.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use flamingopost_standin::backend::StartError;
 
-/// Why the trial did not run.
+/// An error that prevents a trial from starting or ends it early.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// {0}
@@ -15,17 +15,17 @@
     ReadFleet(PathBuf, io::Error),
     /// {0}
     Config(flamingopost_core::config::Report),
-    /// the fleet has no zones, so there is nowhere to put a host
+    /// the fleet has no availability zones, so no host can be placed
     NoZones,
     /// cannot listen on {0}: {1}
     Listen(SocketAddr, io::Error),
-    /// server {0} does not start: {1}
+    /// cannot start server {0}: {1}
     Server(String, StartError),
     /// entry host: {0}
     Entry(flamingopost_entry::Error),
     /// control daemon: {0}
     Control(flamingopost_control::error::Error),
-    /// a daemon ended without telling why
+    /// a daemon ended unexpectedly without reporting an error
     UnexpectedExit,
 }
 
--- a/crates/trial/src/host.rs
+++ b/crates/trial/src/host.rs
@@ -1,4 +1,4 @@
-//! One host of a trial: an entry daemon and a control daemon.
+//! Starts the two daemons of a host of a trial: an entry daemon and a control daemon.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,15 +15,15 @@
 use crate::error::Error;
 use crate::plan::Host;
 
-/// How long sessions may go on after the first signal.
+/// How long sessions may continue after the first stop signal.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How often daemons read the fleet's rows. More often than in a fleet, because a trial shows
-/// itself from its first second on.
+/// Interval at which daemons poll the fleet's rows. Shorter than in a real deployment, so that a
+/// trial is usable within its first second.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The ways to the remote calls of one host's daemons. They are open before any daemon starts, so
-/// that each daemon can be told of the others.
+/// Relays in front of the remote call (RPC) addresses of one host's daemons. They start before any
+/// daemon does, so that each daemon can be configured with the addresses of the others.
 #[derive(Debug)]
 pub struct Relays {
     entry: Relay,
@@ -31,10 +31,10 @@
 }
 
 impl Relays {
-    /// Opens the ways to `host`, which cuts of its zone close.
+    /// Starts the relays of `host`. They block traffic between zones that `cuts` divides.
     ///
     /// # Errors
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn open(host: &Host, cuts: &Cuts) -> Result<Relays, Error> {
         Ok(Relays {
             entry: Relay::start(host.entry_rpc, &host.zone, cuts).await?,
@@ -42,29 +42,29 @@
         })
     }
 
-    /// Where others reach the control daemon.
+    /// Returns the address at which other daemons reach the control daemon.
     pub fn control(&self) -> SocketAddr {
         self.control.address()
     }
 }
 
-/// What all hosts of a trial are told.
+/// Settings that all hosts of a trial share.
 #[derive(Debug, Clone)]
 pub struct SharedSettings<'a> {
-    /// The platform.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Remote calls of all control daemons.
+    /// RPC addresses of all control daemons.
     pub peers: Vec<SocketAddr>,
     /// The operators' token.
     pub token: &'a str,
-    /// The first configuration.
+    /// File with the first configuration.
     pub fleet: &'a Path,
 }
 
 /// Starts the entry daemon of `host`.
 ///
 /// # Errors
-/// An address that is taken.
+/// Returns an error if an address is already in use.
 pub fn start_entry(
     host: &Host,
     relays: &Relays,
@@ -86,11 +86,11 @@
     Ok(tokio::spawn(async move { Ok(bound.serve(stop).await?) }))
 }
 
-/// Starts the control daemon of `host` on a thread of its own, whose actix system carries its
-/// actors. The receiver tells how it ended.
+/// Starts the control daemon of `host` on its own thread, whose actix system runs the daemon's
+/// actors. The receiver yields the daemon's result when it ends.
 ///
 /// # Errors
-/// No thread can be had.
+/// Returns an error if the thread cannot be spawned.
 pub fn start_control(
     host: &Host,
     relays: &Relays,
@@ -114,7 +114,7 @@
     thread.spawn(move || {
         let run = flamingopost_control::run(settings, stop);
         let result = actix_rt::System::new().block_on(run);
-        // Nobody listens any more when the trial itself has ended.
+        // The receiver is already dropped if the trial itself has ended.
         let _ = sender.send(result.map_err(Error::from));
     })?;
     Ok(receiver)
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -1,5 +1,5 @@
-//! A whole small deployment in one process on loopback ports: three hosts, each with an entry and
-//! a control daemon, the database servers of a fleet file, and a platform.
+//! Runs a complete small deployment in one process on loopback ports: three hosts, each with an
+//! entry and a control daemon, the database servers of a fleet file, and a platform.
 
 mod announce;
 mod error;
--- a/crates/trial/src/overview.rs
+++ b/crates/trial/src/overview.rs
@@ -1,4 +1,4 @@
-//! What a trial prints: where to connect.
+//! The overview that a trial prints when it is ready: the addresses to connect to.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,19 +6,19 @@
 
 use crate::plan::Plan;
 
-/// Password of every caller in the built-in example. It is public, as the example is.
+/// Password of every caller in the built-in example. It is public, like the example itself.
 const EXAMPLE_PASSWORD: &str = "lot-view-demo";
 
-/// Where everything is.
+/// Addresses and credentials of a running trial.
 #[derive(Debug)]
 pub struct Overview<'a> {
-    /// The deployment.
+    /// The plan of the deployment.
     pub plan: &'a Plan,
-    /// Where faults are set.
+    /// Address of the panel that sets faults.
     pub faults: SocketAddr,
     /// The operators' token.
     pub token: &'a str,
-    /// How long the start took.
+    /// Time from the start of the process until all daemons were ready.
     pub startup_time: Duration,
 }
 
@@ -66,7 +66,8 @@
 }
 
 impl Overview<'_> {
-    /// A caller, a service that it may use, and its password where it is known.
+    /// Returns the name of the first caller, a service that it may use, and its password. A value
+    /// that is not known is a placeholder in capitals.
     fn caller(&self) -> (&str, &str, &str) {
         let plan = self.plan;
         let password = if plan.is_example {
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which ports a trial uses and which hosts it has.
+//! The plan of a trial: its configuration, hosts and ports.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,14 +9,16 @@
 
 use crate::error::Error;
 
-/// Tesfa's example, for a trial without a fleet file.
+/// Tesfa's example, the default configuration of a trial that is started without a fleet file.
 const EXAMPLE: &str = include_str!("../../../examples/tesfa.ini");
 
+/// Path of the example, as error messages show it.
 const EXAMPLE_PATH: &str = "examples/tesfa.ini";
 
+/// Number of hosts of a trial.
 const HOST_COUNT: usize = 3;
 
-/// Where the ports of each kind begin, from the trial's first port on.
+// Offsets of the first port of each kind from the trial's first port. Each host adds its number.
 const FAULTS_OFFSET: u16 = 0;
 const PLATFORM_OFFSET: u16 = 1;
 const CALLERS_OFFSET: u16 = 32;
@@ -25,49 +27,49 @@
 const ENTRY_RPC_OFFSET: u16 = 62;
 const CONTROL_RPC_OFFSET: u16 = 72;
 
-/// What a trial consists of.
+/// The configuration, addresses and hosts of a trial.
 #[derive(Debug)]
 pub struct Plan {
-    /// The configuration's text.
+    /// Text of the configuration.
     pub text: String,
-    /// Whether it is the built-in example, whose passwords are known.
+    /// Whether the configuration is the built-in example, whose passwords are known.
     pub is_example: bool,
-    /// The configuration.
+    /// The parsed configuration.
     pub fleet: Fleet,
-    /// Its names.
+    /// Names of the configuration's keys.
     pub names: Directory,
-    /// Where faults are set.
+    /// Address of the panel that sets faults.
     pub faults: SocketAddr,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Its hosts.
+    /// Hosts, spread over the availability zones.
     pub hosts: Vec<Host>,
 }
 
-/// One host with its two daemons.
+/// Names and addresses of one host and its two daemons.
 #[derive(Debug, Clone)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Operators' address of its entry daemon.
+    /// Operators' address of the entry daemon.
     pub entry_admin: SocketAddr,
-    /// Operators' address of its control daemon.
+    /// Operators' address of the control daemon.
     pub control_admin: SocketAddr,
-    /// Where its entry daemon takes remote calls, behind a relay.
+    /// RPC address of the entry daemon, behind a relay.
     pub entry_rpc: SocketAddr,
-    /// Where its control daemon takes remote calls, behind a relay.
+    /// RPC address of the control daemon, behind a relay.
     pub control_rpc: SocketAddr,
 }
 
 impl Plan {
-    /// A plan for the fleet in `file`, or for the built-in example.
+    /// Returns a plan for the fleet in `file`, or for the built-in example without a file.
     ///
     /// # Errors
-    /// A file that cannot be read, or that is wrong.
+    /// Returns an error if the file cannot be read, is not a valid configuration or has no zones.
     pub fn new(file: Option<&Path>, first_port: u16) -> Result<Plan, Error> {
         let (name, text) = match file {
             Some(path) => (path.to_owned(), read(path)?),
@@ -97,7 +99,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Hosts spread over the fleet's zones.
+/// Plans [`HOST_COUNT`] hosts, assigned to the fleet's zones in turn.
 fn hosts(fleet: &Fleet, names: &Directory, first_port: u16) -> Result<Vec<Host>, Error> {
     let zones: Vec<&str> = fleet
         .zones
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a trial: the database servers of the fleet, and the platform.
+//! The stand-ins of a trial: the database servers of the fleet and the platform.
 
 use flamingopost_core::fleet;
 use flamingopost_core::key::ServerKey;
@@ -10,16 +10,16 @@
 use crate::error::Error;
 use crate::plan::Plan;
 
-/// The stand-ins, running until they are dropped.
+/// The running stand-ins. They stop when they are dropped.
 #[derive(Debug)]
 pub struct Stage {
     /// Database servers.
     pub servers: Vec<Server>,
     /// The platform.
     pub platform: Service,
-    /// Where their faults are set.
+    /// HTTP interface that sets faults of the stand-ins.
     pub panel: Panel,
-    /// The zones that are cut off.
+    /// Availability zones that are cut off.
     pub cuts: Cuts,
 }
 
@@ -27,7 +27,7 @@
     /// Starts the stand-ins of `plan`.
     ///
     /// # Errors
-    /// An address that is taken.
+    /// Returns an error if an address is already in use or a server cannot start.
     pub async fn start(plan: &Plan) -> Result<Stage, Error> {
         let platform = platform::Settings {
             listen: plan.platform,
--- a/crates/trial/src/trial.rs
+++ b/crates/trial/src/trial.rs
@@ -1,4 +1,4 @@
-//! Runs a trial from its start to its end.
+//! Runs a trial: starts its parts, waits for a stop signal and shuts them down in order.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -16,18 +16,19 @@
 use crate::plan::Plan;
 use crate::stage::Stage;
 
+/// Default first port.
 const FIRST_PORT: u16 = 6400;
 
-/// The operators' token of every trial: it guards nothing but loopback ports.
+/// The operators' token of every trial. It can be public because it guards only loopback ports.
 const TOKEN: &str = "trial";
 
-/// How often a daemon is asked whether it is ready.
+/// Interval at which a daemon's readiness is polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Runs a trial until a signal ends it.
+/// Runs a trial until a stop signal arrives.
 ///
 /// # Errors
-/// A fleet file that is wrong, a port that is taken, or a daemon that failed.
+/// Returns an error if the fleet file is not valid, a port is already in use, or a daemon fails.
 #[tokio::main]
 pub async fn run(flags: FlamingopostTrial) -> Result<(), Error> {
     let started_at = Instant::now();
@@ -72,12 +73,13 @@
     shut_down(daemons, &controls).await
 }
 
-/// The daemons of all hosts.
+/// The running daemons of all hosts.
 struct Daemons {
     entries: JoinSet<Result<(), Error>>,
     controls: Vec<oneshot::Receiver<Result<(), Error>>>,
 }
 
+/// Starts the relays of all hosts, in the order of the hosts.
 async fn open_relays(plan: &Plan, stage: &Stage) -> Result<Vec<Relays>, Error> {
     let mut relays = Vec::new();
     for host in &plan.hosts {
@@ -86,6 +88,7 @@
     Ok(relays)
 }
 
+/// Starts the daemons of all hosts, controllers first.
 fn start_daemons(
     plan: &Plan,
     relays: &[Relays],
@@ -115,7 +118,7 @@
     Ok(daemons)
 }
 
-/// Returns when every daemon says that it is ready.
+/// Waits until every daemon reports that it is ready.
 async fn wait_until_ready(plan: &Plan) -> Result<(), Error> {
     let http = reqwest::Client::builder().no_proxy().build();
     let http = http.map_err(std::io::Error::other)?;
@@ -136,6 +139,7 @@
     Ok(())
 }
 
+/// Returns the error of an entry daemon that ended before a stop signal arrived.
 fn early_exit_error(ended: Option<Result<Result<(), Error>, tokio::task::JoinError>>) -> Error {
     match ended {
         Some(Ok(Err(error))) => error,
@@ -143,7 +147,8 @@
     }
 }
 
-/// Entry daemons finish what runs, under controllers that still stand; then these stop too.
+/// Waits for the entry daemons to drain while the controllers still run, then stops the
+/// controllers.
 async fn shut_down(mut daemons: Daemons, controls: &Stop) -> Result<(), Error> {
     while let Some(ended) = daemons.entries.join_next().await {
         ended.unwrap_or(Err(Error::UnexpectedExit))?;
