--- a/crates/capacity/src/command.rs
+++ b/crates/capacity/src/command.rs
@@ -13,9 +13,9 @@
 use crate::error::Error;
 
 /// The sizes in `list`, or `usual` where there is none.
-fn sizes(list: Option<String>, usual: &[usize]) -> Result<Vec<usize>, Error> {
+fn parse_sizes(list: Option<String>, default: &[usize]) -> Result<Vec<usize>, Error> {
     let Some(list) = list else {
-        return Ok(usual.to_vec());
+        return Ok(default.to_vec());
     };
     let sizes: Result<Vec<usize>, _> = list.split(',').map(|size| size.trim().parse()).collect();
     sizes.map_err(|_| Error::Sizes(list))
--- a/crates/capacity/src/command/configuration.rs
+++ b/crates/capacity/src/command/configuration.rs
@@ -9,14 +9,14 @@
 use flamingopost_core::rule::Index;
 use serde::Serialize;
 
-use super::{print, sizes};
+use super::{parse_sizes, print};
 use crate::error::Error;
 use crate::flags;
 use crate::fleet;
 use crate::slope::Line;
 use crate::usage;
 
-const SIZES: [usize; 3] = [10, 100, 1000];
+const DEFAULT_SIZES: [usize; 3] = [10, 100, 1000];
 
 /// Copies of a configuration that are held at once to weigh one.
 const COPIES: usize = 8;
@@ -39,12 +39,12 @@
 
 /// Runs the subcommand.
 pub fn run(flags: flags::Configuration) -> Result<(), Error> {
-    let sizes = sizes(flags.sizes, &SIZES)?;
+    let sizes = parse_sizes(flags.sizes, &DEFAULT_SIZES)?;
     let points = sizes
         .into_iter()
         .map(measure)
         .collect::<Result<Vec<_>, _>>()?;
-    let line = |cost: fn(&Point) -> f64| Line::of(&points, |point| point.services, cost);
+    let line = |cost: fn(&Point) -> f64| Line::fit_by(&points, |point| point.services, cost);
     let figures = Figures {
         bytes: line(|point| point.bytes as f64)?,
         adopt_microseconds: line(|point| point.adopt_microseconds)?,
@@ -55,9 +55,9 @@
 }
 
 fn measure(services: usize) -> Result<Point, Error> {
-    let text = fleet::text(services);
-    let memory_bytes = usage::bytes_held(COPIES, || adopt(services, &text))?;
-    let adopt_microseconds = usage::microseconds(|| adopt(services, &text))?;
+    let text = fleet::generate(services);
+    let memory_bytes = usage::memory_bytes_per_value(COPIES, || adopt(services, &text))?;
+    let adopt_microseconds = usage::processor_microseconds(|| adopt(services, &text))?;
     Ok(Point {
         services,
         bytes: text.len(),
--- a/crates/capacity/src/command/fleet.rs
+++ b/crates/capacity/src/command/fleet.rs
@@ -8,6 +8,6 @@
 
 /// Runs the subcommand.
 pub fn run(flags: flags::Fleet) -> Result<(), Error> {
-    print!("{}", fleet::text(flags.services));
+    print!("{}", fleet::generate(flags.services));
     Ok(())
 }
--- a/crates/capacity/src/command/lease.rs
+++ b/crates/capacity/src/command/lease.rs
@@ -21,29 +21,29 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use super::{print, sizes};
+use super::{parse_sizes, print};
 use crate::error::Error;
 use crate::flags;
 use crate::fleet::{self, ZONES};
 use crate::meter::Meter;
 use crate::slope::Line;
 
-const SIZES: [usize; 3] = [6, 80, 480];
-const SECONDS: u64 = 5;
-const HOMES: usize = 12;
+const DEFAULT_SIZES: [usize; 3] = [6, 80, 480];
+const DEFAULT_SECONDS: u64 = 5;
+const DEFAULT_HOMES: usize = 12;
 /// Connections that a host wants to each server of the services it serves.
-const CONNECTIONS: u16 = 2;
-const CALL: Duration = Duration::from_secs(5);
+const CONNECTIONS_PER_SERVER: u16 = 2;
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What is played.
-struct Play {
+struct Workload {
     pid: u32,
     token: Token,
     fleet: Fleet,
     directory: Directory,
     homes: usize,
     bundle: usize,
-    span: Duration,
+    duration: Duration,
 }
 
 #[derive(Debug, Serialize)]
@@ -71,28 +71,28 @@
 
 /// Runs the subcommand.
 pub fn run(flags: flags::Lease) -> Result<(), Error> {
-    let sizes = sizes(flags.sizes, &SIZES)?;
+    let sizes = parse_sizes(flags.sizes, &DEFAULT_SIZES)?;
     let text = std::fs::read_to_string(&flags.fleet)?;
     let mut directory = Directory::default();
     let fleet = fleet::parse(0, &text, &mut directory)?;
-    let play = Play {
+    let workload = Workload {
         pid: flags.pid,
         token: Token::load(&flags.token_file)?,
         fleet,
         directory,
-        homes: flags.homes.unwrap_or(HOMES),
+        homes: flags.homes.unwrap_or(DEFAULT_HOMES),
         bundle: flags.bundle.unwrap_or(1).max(1),
-        span: Duration::from_secs(flags.seconds.unwrap_or(SECONDS)),
+        duration: Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS)),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let points = runtime.block_on(measure_all(&play, flags.control, sizes))?;
-    let line = |cost: fn(&Point) -> f64| Line::of(&points, |point| point.hosts, cost);
+    let points = runtime.block_on(measure_all(&workload, flags.control, sizes))?;
+    let line = |cost: fn(&Point) -> f64| Line::fit_by(&points, |point| point.hosts, cost);
     let figures = Figures {
-        services: play.fleet.services.len(),
-        homes: play.homes,
-        bundle: play.bundle,
+        services: workload.fleet.services.len(),
+        homes: workload.homes,
+        bundle: workload.bundle,
         core_percent: line(|point| point.core_percent)?,
         bytes_a_second: line(|point| point.renewal_bytes * point.renewals_a_second)?,
         resident_bytes: line(|point| point.resident_bytes as f64)?,
@@ -102,36 +102,38 @@
 }
 
 async fn measure_all(
-    play: &Play,
+    workload: &Workload,
     control: SocketAddr,
     sizes: Vec<usize>,
 ) -> Result<Vec<Point>, Error> {
     let mut points = Vec::new();
     for hosts in sizes {
-        points.push(measure(play, control, hosts).await?);
+        points.push(measure(workload, control, hosts).await?);
     }
     Ok(points)
 }
 
-async fn measure(play: &Play, control: SocketAddr, hosts: usize) -> Result<Point, Error> {
+async fn measure(workload: &Workload, control: SocketAddr, hosts: usize) -> Result<Point, Error> {
     let meter = Meter::start(control).await?;
-    let mut callers = callers(play, meter.address(), hosts)?;
+    let mut clients = clients(workload, meter.address(), hosts)?;
     // The first round brings the views; only later ones are what a quiet fleet pays.
-    round(&mut callers).await?;
-    round(&mut callers).await?;
-    let (bytes, used) = (meter.bytes(), processor_time(play.pid)?);
+    renew_all(&mut clients).await?;
+    renew_all(&mut clients).await?;
+    let (bytes_before, used_before) = (meter.bytes(), processor_time(workload.pid)?);
     let start = Instant::now();
     let mut next = start;
     let (mut renewals, mut refused) = (0, 0);
-    while start.elapsed() < play.span {
-        let (sent, no) = round(&mut callers).await?;
-        renewals += sent;
-        refused += no;
+    while start.elapsed() < workload.duration {
+        let (sent_now, refused_now) = renew_all(&mut clients).await?;
+        renewals += sent_now;
+        refused += refused_now;
         next += timing::RENEWAL_INTERVAL;
         tokio::time::sleep_until(next).await;
     }
     let seconds = start.elapsed().as_secs_f64();
-    let used = processor_time(play.pid)?.saturating_sub(used).as_secs_f64();
+    let used = processor_time(workload.pid)?
+        .saturating_sub(used_before)
+        .as_secs_f64();
     let sent = renewals as f64;
     Ok(Point {
         hosts,
@@ -139,47 +141,53 @@
         renewals_a_second: sent / seconds,
         core_percent: used / seconds * 100.0,
         renewal_microseconds: used / sent * 1e6,
-        renewal_bytes: (meter.bytes() - bytes) as f64 / sent,
-        resident_bytes: resident(play.pid)?,
+        renewal_bytes: (meter.bytes() - bytes_before) as f64 / sent,
+        resident_bytes: resident(workload.pid)?,
     })
 }
 
 /// One connection and the renewals that go over it in one call.
-struct Caller {
+struct RenewalClient {
     client: remote::Client,
     renewals: Vec<Renewal>,
 }
 
-fn callers(play: &Play, address: SocketAddr, hosts: usize) -> Result<Vec<Caller>, Error> {
-    let each: Vec<Vec<Renewal>> = (0..hosts).map(|host| renewals(play, host, hosts)).collect();
-    let callers = each.chunks(play.bundle).map(|bundle| {
-        let client = remote::client(&address.to_string(), &play.token, CALL)?;
-        Ok(Caller {
+fn clients(
+    workload: &Workload,
+    address: SocketAddr,
+    hosts: usize,
+) -> Result<Vec<RenewalClient>, Error> {
+    let by_host: Vec<Vec<Renewal>> = (0..hosts)
+        .map(|host| host_renewals(workload, host, hosts))
+        .collect();
+    let clients = by_host.chunks(workload.bundle).map(|bundle| {
+        let client = remote::client(&address.to_string(), &workload.token, CALL_TIMEOUT)?;
+        Ok(RenewalClient {
             client,
             renewals: bundle.concat(),
         })
     });
-    callers.collect()
+    clients.collect()
 }
 
 /// The renewals of one of `hosts` hosts, which is well, for every shard that has services.
-fn renewals(play: &Play, host: usize, hosts: usize) -> Vec<Renewal> {
+fn host_renewals(workload: &Workload, host: usize, hosts: usize) -> Vec<Renewal> {
     let mut renewals = BTreeMap::new();
-    for (place, service) in play.fleet.services.values().enumerate() {
+    for (index, service) in workload.fleet.services.values().enumerate() {
         let shard = service.shard;
         let renewal = renewals
             .entry(shard)
-            .or_insert_with(|| renewal(host, shard));
-        let first = place * play.homes % hosts;
-        let is_home = (host + hosts - first) % hosts < play.homes;
+            .or_insert_with(|| empty_renewal(host, shard));
+        let first = index * workload.homes % hosts;
+        let is_home = (host + hosts - first) % hosts < workload.homes;
         if is_home {
             let names = service.servers.iter();
-            let names = names.filter_map(|key| play.directory.servers.name(*key));
+            let names = names.filter_map(|key| workload.directory.servers.name(*key));
             renewal
                 .demand
-                .extend(names.map(|name| (name.to_owned(), CONNECTIONS)));
+                .extend(names.map(|name| (name.to_owned(), CONNECTIONS_PER_SERVER)));
             // A primary that answers is reported, with nothing more to say.
-            let primary = play.directory.servers.name(service.first_primary);
+            let primary = workload.directory.servers.name(service.first_primary);
             let report = primary.map(|name| (name.to_owned(), Report::default()));
             renewal.reports.extend(report);
         }
@@ -187,7 +195,7 @@
     renewals.into_values().collect()
 }
 
-fn renewal(host: usize, shard: u16) -> Renewal {
+fn empty_renewal(host: usize, shard: u16) -> Renewal {
     Renewal {
         shard,
         host: format!("made-host-{host}"),
@@ -203,18 +211,18 @@
 }
 
 /// Every caller renews once; returns how many renewals were sent, and how many refused.
-async fn round(callers: &mut [Caller]) -> Result<(u64, u64), Error> {
-    let calls = callers.iter_mut().map(Caller::renew);
+async fn renew_all(clients: &mut [RenewalClient]) -> Result<(u64, u64), Error> {
+    let calls = clients.iter_mut().map(RenewalClient::renew);
     let (mut sent, mut refused) = (0, 0);
     for outcome in join_all(calls).await {
-        let (all, no) = outcome?;
-        sent += all;
-        refused += no;
+        let (sent_now, refused_now) = outcome?;
+        sent += sent_now;
+        refused += refused_now;
     }
     Ok((sent, refused))
 }
 
-impl Caller {
+impl RenewalClient {
     /// Returns how many renewals were sent, and how many of them brought no lease.
     async fn renew(&mut self) -> Result<(u64, u64), Error> {
         let replies = self.client.renew(self.renewals.clone()).await?;
--- a/crates/capacity/src/command/model.rs
+++ b/crates/capacity/src/command/model.rs
@@ -14,7 +14,7 @@
 use crate::flags;
 
 const MILLION: f64 = 1e6;
-const DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// One cost beside its budget.
 #[derive(Debug, Serialize)]
@@ -40,19 +40,19 @@
 /// Runs the subcommand.
 pub fn run(flags: flags::Model) -> Result<(), Error> {
     let plan = Plan::read(&flags.plan)?;
-    let mut costs = entry(&plan)?;
-    costs.extend(controller(&plan)?);
-    costs.extend(platform(&plan)?);
-    costs.extend(times(&plan)?);
+    let mut costs = entry_host_costs(&plan)?;
+    costs.extend(controller_costs(&plan)?);
+    costs.extend(table_service_costs(&plan)?);
+    costs.extend(duration_costs(&plan)?);
     print(&Figures { costs }, flags.json)
 }
 
 /// What control costs an entry host: leases of every shard, connections to the servers of the
 /// services it is a home of, new configurations, reads of the head row.
-fn entry(plan: &Plan) -> Result<Vec<Cost>, Error> {
+fn entry_host_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
     let services = plan.size("databases")? * plan.size("homes")? / plan.size("nodes")?;
     let servers = services * plan.slope("servers_a_service")?;
-    let changes = plan.size("changes_a_day")? / DAY;
+    let changes = plan.size("changes_a_day")? / SECONDS_PER_DAY;
     let configuration = plan.slope("configuration_bytes_a_service")? * plan.size("databases")?;
     let bytes = plan.slope("turn_bytes_a_second")?
         + plan.slope("shard_bytes_a_second")? * plan.size("shards")?
@@ -64,24 +64,30 @@
         + changes * adopt / MILLION * 100.0;
     let memory = plan.slope("control_fixed_bytes")?
         + plan.slope("configuration_memory_bytes_a_service")? * plan.size("databases")?;
-    node(plan, "entry host", percent, bytes, memory)
+    node_costs(plan, "entry host", percent, bytes, memory)
 }
 
 /// What leading one shard adds on its host, where every host renews with it as today, and where
 /// a relay holds one lease for all hosts of a rack, which is not built.
-fn controller(plan: &Plan) -> Result<Vec<Cost>, Error> {
+fn controller_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
     let hosts = plan.size("nodes")?;
     let racks = hosts / plan.size("hosts_a_rack")?;
-    let (often, seldom) = (
+    let (host_interval, rack_interval) = (
         plan.slope("renewal_interval_s")?,
         plan.slope("rack_renewal_interval_s")?,
     );
-    let mut costs = leading(plan, "controller of a shard, on top", hosts, often)?;
-    costs.extend(leading(plan, "the same by leases of racks", racks, seldom)?);
+    let mut costs =
+        shard_leader_costs(plan, "controller of a shard, on top", hosts, host_interval)?;
+    costs.extend(shard_leader_costs(
+        plan,
+        "the same by leases of racks",
+        racks,
+        rack_interval,
+    )?);
     Ok(costs)
 }
 
-fn leading(
+fn shard_leader_costs(
     plan: &Plan,
     role: &'static str,
     holders: f64,
@@ -94,11 +100,11 @@
     let bytes = renewals * plan.slope("controller_renewal_bytes")?
         + reads * plan.slope("row_bytes_a_service")? * services;
     let memory = holders * plan.slope("holder_memory_bytes")?;
-    node(plan, role, percent, bytes, memory)
+    node_costs(plan, role, percent, bytes, memory)
 }
 
 /// Reads and writes of the table service by the whole fleet.
-fn platform(plan: &Plan) -> Result<Vec<Cost>, Error> {
+fn table_service_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
     let processes = plan.size("nodes")? * plan.slope("processes_a_node")?;
     let polls = processes / plan.slope("row_poll_interval_s")?;
     let authority = plan.size("shards")? / plan.slope("authority_read_interval_s")?;
@@ -120,15 +126,19 @@
             polls + authority + standbys,
             plan.budget("table_reads")?,
         ),
-        cost("writes", changes / DAY, plan.budget("table_writes")?),
+        cost(
+            "writes",
+            changes / SECONDS_PER_DAY,
+            plan.budget("table_writes")?,
+        ),
     ])
 }
 
 /// Times of a promotion and of a configuration change, as sums of bounded steps.
-fn times(plan: &Plan) -> Result<Vec<Cost>, Error> {
-    let answered = plan.slope("suspicion_s")? + plan.slope("promotion_s")?;
-    let cut = answered + plan.slope("lease_lapse_s")?;
-    let lost = cut + plan.slope("authority_lapse_s")? + plan.slope("claim_s")?;
+fn duration_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
+    let reachable = plan.slope("suspicion_s")? + plan.slope("promotion_s")?;
+    let zone_cut = reachable + plan.slope("lease_lapse_s")?;
+    let controller_lost = zone_cut + plan.slope("authority_lapse_s")? + plan.slope("claim_s")?;
     let configuration = plan.slope("row_poll_interval_s")?
         + plan.slope("body_fetch_s")?
         + plan.slope("adopt_us_a_service")? * plan.size("databases")? / MILLION;
@@ -141,9 +151,13 @@
     };
     let promotion = plan.budget("promotion_s")?;
     Ok(vec![
-        cost("promotion, leases answered", answered, promotion),
-        cost("promotion, a zone of holders cut off", cut, promotion),
-        cost("promotion, controller lost with it", lost, promotion),
+        cost("promotion, leases answered", reachable, promotion),
+        cost("promotion, a zone of holders cut off", zone_cut, promotion),
+        cost(
+            "promotion, controller lost with it",
+            controller_lost,
+            promotion,
+        ),
         cost(
             "configuration in force",
             configuration,
@@ -152,7 +166,7 @@
     ])
 }
 
-fn node(
+fn node_costs(
     plan: &Plan,
     role: &'static str,
     percent: f64,
--- a/crates/capacity/src/command/view.rs
+++ b/crates/capacity/src/command/view.rs
@@ -10,16 +10,16 @@
 use flamingopost_wire::view as wire;
 use serde::Serialize;
 
-use super::{print, sizes};
+use super::{parse_sizes, print};
 use crate::error::Error;
 use crate::flags;
 use crate::slope::Line;
 use crate::usage;
 
-const SIZES: [usize; 3] = [4, 16, 64];
+const DEFAULT_SIZES: [usize; 3] = [4, 16, 64];
 
 /// Terms that a service's history names: a month of promotions of the most restless service.
-const TERMS: u32 = 4;
+const TERMS_PER_SERVICE: u32 = 4;
 
 #[derive(Debug, Serialize)]
 struct Point {
@@ -39,12 +39,12 @@
 
 /// Runs the subcommand.
 pub fn run(flags: flags::View) -> Result<(), Error> {
-    let sizes = sizes(flags.sizes, &SIZES)?;
+    let sizes = parse_sizes(flags.sizes, &DEFAULT_SIZES)?;
     let points = sizes
         .into_iter()
         .map(measure)
         .collect::<Result<Vec<_>, _>>()?;
-    let line = |cost: fn(&Point) -> f64| Line::of(&points, |point| point.services, cost);
+    let line = |cost: fn(&Point) -> f64| Line::fit_by(&points, |point| point.services, cost);
     let figures = Figures {
         bytes: line(|point| point.bytes as f64)?,
         write_microseconds: line(|point| point.write_microseconds)?,
@@ -56,14 +56,14 @@
 
 fn measure(services: usize) -> Result<Point, Error> {
     let mut directory = Directory::default();
-    let shard = made(services, &mut directory);
+    let shard = generate_shard(services, &mut directory);
     let text = serde_json::to_string(&wire::Shard::encode(&shard, &directory))?;
-    let write_microseconds = usage::microseconds(|| {
+    let write_microseconds = usage::processor_microseconds(|| {
         Ok(serde_json::to_string(&wire::Shard::encode(
             &shard, &directory,
         ))?)
     })?;
-    let read_microseconds = usage::microseconds(|| {
+    let read_microseconds = usage::processor_microseconds(|| {
         let message: wire::Shard = serde_json::from_str(&text)?;
         Ok(message.decode(&mut directory)?)
     })?;
@@ -75,7 +75,7 @@
     })
 }
 
-fn made(services: usize, directory: &mut Directory) -> Shard {
+fn generate_shard(services: usize, directory: &mut Directory) -> Shard {
     let version = Version {
         epoch: 7,
         change: 1_000,
@@ -84,23 +84,24 @@
         version,
         ..Shard::default()
     };
-    for place in 0..services {
+    for index in 0..services {
         let service = directory
             .services
-            .intern(&format!("consignment-ledger-{place}"));
+            .intern(&format!("consignment-ledger-{index}"));
         let primary = directory
             .servers
-            .intern(&format!("consignment-ledger-{place}-1"));
+            .intern(&format!("consignment-ledger-{index}-1"));
         let term = Term {
             epoch: 7,
-            count: TERMS - 1,
+            count: TERMS_PER_SERVICE - 1,
         };
-        let mut made = Service::new(State::Open { term, primary });
-        for count in 0..TERMS {
-            made.history
+        let mut generated = Service::new(State::Open { term, primary });
+        for count in 0..TERMS_PER_SERVICE {
+            generated
+                .history
                 .open(Term { epoch: 7, count }, u64::from(count) * 1_000_000);
         }
-        shard.services.insert(service, made);
+        shard.services.insert(service, generated);
     }
     shard
 }
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -11,7 +11,7 @@
     /// `{0}` is not a list of numbers divided by commas, for example 10,100,1000
     Sizes(String),
     /// a slope needs at least two different sizes
-    OneSize,
+    TooFewSizes,
     /// the configuration made for {services} services is not valid: {report}
     Configuration {
         /// Services asked for.
@@ -38,11 +38,11 @@
         key: &'static str,
     },
     /// {0}
-    Term(flamingopost_wire::view::Error),
+    View(flamingopost_wire::view::Error),
     /// the control process cannot be used: {0}
     Control(jsonrpsee::core::ClientError),
     /// {0}
-    System(std::io::Error),
+    Io(std::io::Error),
     /// cannot write JSON: {0}
     Encode(serde_json::Error),
 }
@@ -53,14 +53,14 @@
     /// 2 for wrong input, 1 for everything else.
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            Error::Sizes(_) | Error::OneSize | Error::Plan { .. } | Error::Number { .. } => {
+            Error::Sizes(_) | Error::TooFewSizes | Error::Plan { .. } | Error::Number { .. } => {
                 ExitCode::from(2)
             }
             Error::Configuration { .. }
             | Error::Process(_)
             | Error::Control(_)
-            | Error::System(_)
-            | Error::Term(_)
+            | Error::Io(_)
+            | Error::View(_)
             | Error::Encode(_) => ExitCode::FAILURE,
         }
     }
@@ -74,7 +74,7 @@
 
 impl From<flamingopost_wire::view::Error> for Error {
     fn from(error: flamingopost_wire::view::Error) -> Error {
-        Error::Term(error)
+        Error::View(error)
     }
 }
 
@@ -92,6 +92,6 @@
 
 impl From<std::io::Error> for Error {
     fn from(error: std::io::Error) -> Error {
-        Error::System(error)
+        Error::Io(error)
     }
 }
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -9,34 +9,38 @@
 use crate::error::Error;
 
 /// Backend servers of each service.
-const SERVERS: usize = 3;
+const SERVERS_PER_SERVICE: usize = 3;
 
 /// Availability zones.
 pub const ZONES: usize = 6;
 
 /// Services of one customer; they share its callers and rules.
-const SERVICES_OF_CUSTOMER: usize = 10;
+const SERVICES_PER_CUSTOMER: usize = 10;
 
 /// A SCRAM verifier; only its length matters here.
 const VERIFIER: &str = "SCRAM-SHA-256$4096:hFKnInoSdYW4yniZTY2UmQ==$mBvoG84KcVPnyHhI/pbKAtL31uontdpAJInLt6J3EqU=:GKE9PyduNqCFluQnVjw6AZUjimOZbEv3OV8jybu9afg=";
 
 /// The configuration of a fleet with `services` services: three servers each, spread over six
 /// zones, and for every ten services one customer with two callers and four rules.
-pub fn text(services: usize) -> String {
+pub fn generate(services: usize) -> String {
     let mut text = String::from("[fleet]\nshards = 16\ndefault_class = other\n");
     for zone in 0..ZONES {
         let _ = write!(text, "[zone zone-{zone}]\nregion = region-{}\n", zone % 2);
     }
     text.push_str("[class bid]\nweight = 100\ndeadline = 400ms\n");
     text.push_str("[class other]\nweight = 10\ndeadline = 1s\n");
-    for customer in 0..services.div_ceil(SERVICES_OF_CUSTOMER) {
-        let of_customer = customer * SERVICES_OF_CUSTOMER..services;
-        push_customer(&mut text, customer, of_customer.take(SERVICES_OF_CUSTOMER));
+    for customer in 0..services.div_ceil(SERVICES_PER_CUSTOMER) {
+        let customer_services = customer * SERVICES_PER_CUSTOMER..services;
+        push_customer(
+            &mut text,
+            customer,
+            customer_services.take(SERVICES_PER_CUSTOMER),
+        );
     }
     text
 }
 
-/// The fleet behind [`text`], with its names numbered in `directory`.
+/// The fleet behind [`generate`], with its names numbered in `directory`.
 ///
 /// # Errors
 /// When this tool and the configuration's format no longer fit together.
@@ -81,14 +85,14 @@
         "[service ledger-{service}]\ncustomer = customer-{customer}\nslots = 3\n\
          connections = 36\nconnect_cost = 30ms\n"
     );
-    for server in 0..SERVERS {
-        let place = service * SERVERS + server;
-        let (high, low) = (place / 250, place % 250 + 1);
+    for server in 0..SERVERS_PER_SERVICE {
+        let index = service * SERVERS_PER_SERVICE + server;
+        let (high, low) = (index / 250, index % 250 + 1);
         let _ = write!(
             text,
             "[server ledger-{service}-{server}]\nservice = ledger-{service}\nzone = zone-{}\n\
              address = 127.0.{high}.{low}:7000\n",
-            place % ZONES
+            index % ZONES
         );
     }
 }
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -9,7 +9,7 @@
 
 use crate::error::Error;
 
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// Passes connections on to another address and counts what they carry.
 #[derive(Debug, Clone)]
@@ -45,23 +45,23 @@
 }
 
 async fn accept(listener: TcpListener, target: SocketAddr, bytes: Arc<AtomicU64>) {
-    while let Ok((near, _)) = listener.accept().await {
-        let Ok(far) = TcpStream::connect(target).await else {
+    while let Ok((client, _)) = listener.accept().await {
+        let Ok(server) = TcpStream::connect(target).await else {
             continue;
         };
-        let (near_in, near_out) = near.into_split();
-        let (far_in, far_out) = far.into_split();
-        tokio::spawn(pass(near_in, far_out, bytes.clone()));
-        tokio::spawn(pass(far_in, near_out, bytes.clone()));
+        let (client_in, client_out) = client.into_split();
+        let (server_in, server_out) = server.into_split();
+        tokio::spawn(forward(client_in, server_out, bytes.clone()));
+        tokio::spawn(forward(server_in, client_out, bytes.clone()));
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     bytes: Arc<AtomicU64>,
 ) {
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
         bytes.fetch_add(read as u64, Ordering::Relaxed);
         if to.write_all(&buffer[..read]).await.is_err() {
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -22,18 +22,18 @@
         let count = points.len() as f64;
         let mean_size = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_cost = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread: f64 = points
+        let sum_of_squares: f64 = points
             .iter()
             .map(|point| (point.0 - mean_size).powi(2))
             .sum();
-        if points.len() < 2 || spread == 0.0 {
-            return Err(Error::OneSize);
+        if points.len() < 2 || sum_of_squares == 0.0 {
+            return Err(Error::TooFewSizes);
         }
-        let joint: f64 = points
+        let sum_of_products: f64 = points
             .iter()
             .map(|point| (point.0 - mean_size) * (point.1 - mean_cost))
             .sum();
-        let each = joint / spread;
+        let each = sum_of_products / sum_of_squares;
         Ok(Line {
             fixed: mean_cost - each * mean_size,
             each,
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// When there are not two different sizes.
-    pub fn of<P>(
+    pub fn fit_by<P>(
         points: &[P],
         size: impl Fn(&P) -> usize,
         cost: impl Fn(&P) -> f64,
--- a/crates/capacity/src/usage.rs
+++ b/crates/capacity/src/usage.rs
@@ -8,20 +8,20 @@
 use crate::error::Error;
 
 /// Work is repeated until it has used this much processor time: the system counts in steps of 10 ms.
-const LEAST: Duration = Duration::from_millis(300);
+const MIN_PROCESSOR_TIME: Duration = Duration::from_millis(300);
 
 /// Processor time of one run of `work`, in microseconds.
 ///
 /// # Errors
 /// When the system does not tell, or `work` fails.
-pub fn microseconds<T>(mut work: impl FnMut() -> Result<T, Error>) -> Result<f64, Error> {
+pub fn processor_microseconds<T>(mut work: impl FnMut() -> Result<T, Error>) -> Result<f64, Error> {
     let start = processor_time(process::id())?;
     let mut runs = 0_u32;
     loop {
         work()?;
         runs += 1;
         let used = processor_time(process::id())?.saturating_sub(start);
-        if used >= LEAST {
+        if used >= MIN_PROCESSOR_TIME {
             return Ok(used.as_secs_f64() * 1e6 / f64::from(runs));
         }
     }
@@ -32,14 +32,14 @@
 ///
 /// # Errors
 /// When the system does not tell, or `work` fails.
-pub fn bytes_held<T>(
+pub fn memory_bytes_per_value<T>(
     copies: usize,
     mut work: impl FnMut() -> Result<T, Error>,
 ) -> Result<f64, Error> {
     let before = resident(process::id())?;
-    let held = (0..copies)
+    let values = (0..copies)
         .map(|_| work())
         .collect::<Result<Vec<T>, Error>>()?;
     let after = resident(process::id())?;
-    Ok(after.saturating_sub(before) as f64 / held.len().max(1) as f64)
+    Ok(after.saturating_sub(before) as f64 / values.len().max(1) as f64)
 }
--- a/crates/capacity/tests/configuration.rs
+++ b/crates/capacity/tests/configuration.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_configuration_grows_with_its_services() {
+fn configuration_size_grows_with_services() {
     let figures = json(&["configuration", "--sizes", "2,20", "--json"]);
     let bytes = |point: usize| figures["points"][point]["bytes"].as_f64().expect("bytes");
     assert!(bytes(1) > bytes(0) * 3.0);
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn a_view_grows_with_its_services() {
+fn view_size_grows_with_services() {
     let figures = json(&["view", "--sizes", "2,20", "--json"]);
     let bytes = |point: usize| figures["points"][point]["bytes"].as_f64().expect("bytes");
     assert!(bytes(1) > bytes(0) * 5.0);
 }
 
 #[test]
-fn one_size_is_no_slope_and_words_are_no_sizes() {
+fn invalid_size_lists_are_rejected() {
     for sizes in ["5", "5,5", "few,many"] {
         let output = run(&["view", "--sizes", sizes]);
         assert_eq!(output.status.code(), Some(2), "{sizes}: {output:?}");
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn twice_the_hosts_read_the_table_nearly_twice_as_often() {
+fn doubling_the_hosts_nearly_doubles_table_reads() {
     let plan = fs::read_to_string(TARGET).expect("the example");
     let once = model(&plan);
     let twice = model(&plan.replace("nodes = 480", "nodes = 960"));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_missing_slope_is_named() {
+fn error_names_a_missing_slope() {
     let plan = fs::read_to_string(TARGET).expect("the example");
     let output = model(&plan.replace("renewal_interval_s", "renewal_intervall_s"));
     assert_eq!(output.status.code(), Some(2));
