--- a/crates/capacity/src/command.rs
+++ b/crates/capacity/src/command.rs
@@ -1,4 +1,4 @@
-//! Subcommands, one a file.
+//! Subcommands, one per file.
 
 pub mod configuration;
 pub mod fleet;
@@ -12,7 +12,7 @@
 
 use crate::error::Error;
 
-/// The sizes in `list`, or `usual` where there is none.
+/// Parses the comma-separated sizes in `list`, or returns `default` if there is no list.
 fn parse_sizes(list: Option<String>, default: &[usize]) -> Result<Vec<usize>, Error> {
     let Some(list) = list else {
         return Ok(default.to_vec());
@@ -21,7 +21,7 @@
     sizes.map_err(|_| Error::Sizes(list))
 }
 
-/// Prints `value` as one JSON object, or as text for people.
+/// Prints `value` as one JSON object if `json` is set, and as human-readable text otherwise.
 fn print<T: Serialize + Display>(value: &T, json: bool) -> Result<(), Error> {
     if json {
         println!("{}", serde_json::to_string(value)?);
--- a/crates/capacity/src/command/configuration.rs
+++ b/crates/capacity/src/command/configuration.rs
@@ -1,6 +1,7 @@
 //! `flamingopost-capacity configuration [--sizes 10,100,1000]`
 //!
-//! Bytes, checking time and memory of a configuration by number of services.
+//! Measures the size of a configuration in bytes, the processor time to adopt it and its memory, by
+//! number of services.
 
 use std::fmt;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 
 const DEFAULT_SIZES: [usize; 3] = [10, 100, 1000];
 
-/// Copies of a configuration that are held at once to weigh one.
+/// Number of copies that are kept in memory at once to measure the memory of one.
 const COPIES: usize = 8;
 
 #[derive(Debug, Serialize)]
@@ -54,6 +55,7 @@
     print(&figures, flags.json)
 }
 
+/// Measures a generated configuration with `services` services.
 fn measure(services: usize) -> Result<Point, Error> {
     let text = fleet::generate(services);
     let memory_bytes = usage::memory_bytes_per_value(COPIES, || adopt(services, &text))?;
@@ -66,7 +68,8 @@
     })
 }
 
-/// What an entry host does with a new configuration, and what it keeps of it.
+/// Parses and indexes a configuration as an entry host does when it adopts one. Returns what the
+/// host keeps in memory.
 fn adopt(services: usize, text: &str) -> Result<(Directory, Index, String), Error> {
     let mut directory = Directory::default();
     let fleet = fleet::parse(services, text, &mut directory)?;
--- a/crates/capacity/src/command/fleet.rs
+++ b/crates/capacity/src/command/fleet.rs
@@ -1,6 +1,6 @@
 //! `flamingopost-capacity fleet SERVICES`
 //!
-//! Prints a configuration made to a size.
+//! Prints a generated configuration of a given size.
 
 use crate::error::Error;
 use crate::flags;
--- a/crates/capacity/src/command/lease.rs
+++ b/crates/capacity/src/command/lease.rs
@@ -1,7 +1,7 @@
 //! `flamingopost-capacity lease CONTROL PID TOKEN_FILE FLEET.ini [--sizes 6,80,480] [--bundle 80]`
 //!
-//! Plays entry hosts that renew their leases at a running control process, and tells what a
-//! renewal costs that process and the network.
+//! Simulates entry hosts that renew their leases at a running control process, and measures the
+//! cost of a renewal for that process and the network.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -30,12 +30,13 @@
 
 const DEFAULT_SIZES: [usize; 3] = [6, 80, 480];
 const DEFAULT_SECONDS: u64 = 5;
+/// Number of hosts that serve each service.
 const DEFAULT_HOMES: usize = 12;
-/// Connections that a host wants to each server of the services it serves.
+/// Connections that a host demands to each server of the services it serves.
 const CONNECTIONS_PER_SERVER: u16 = 2;
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is played.
+/// The simulated hosts and the control process that they renew at.
 struct Workload {
     pid: u32,
     token: Token,
@@ -49,7 +50,7 @@
 #[derive(Debug, Serialize)]
 struct Point {
     hosts: usize,
-    /// Renewals that brought no lease: the process was late, or does not lead the shard.
+    /// Renewals that were not granted: the process answered late or does not lead the shard.
     refused: u64,
     renewals_a_second: f64,
     core_percent: f64,
@@ -113,10 +114,11 @@
     Ok(points)
 }
 
+/// Measures the renewals of `hosts` hosts.
 async fn measure(workload: &Workload, control: SocketAddr, hosts: usize) -> Result<Point, Error> {
     let meter = Meter::start(control).await?;
     let mut clients = clients(workload, meter.address(), hosts)?;
-    // The first round brings the views; only later ones are what a quiet fleet pays.
+    // The first renewals fetch the views. Only later ones represent the cost of an idle fleet.
     renew_all(&mut clients).await?;
     renew_all(&mut clients).await?;
     let (bytes_before, used_before) = (meter.bytes(), processor_time(workload.pid)?);
@@ -146,12 +148,13 @@
     })
 }
 
-/// One connection and the renewals that go over it in one call.
+/// A connection and the renewals that it sends in one call.
 struct RenewalClient {
     client: remote::Client,
     renewals: Vec<Renewal>,
 }
 
+/// Creates the clients of `hosts` hosts, one per bundle of hosts.
 fn clients(
     workload: &Workload,
     address: SocketAddr,
@@ -170,7 +173,8 @@
     clients.collect()
 }
 
-/// The renewals of one of `hosts` hosts, which is well, for every shard that has services.
+/// Returns the renewals of `host`, a healthy host out of `hosts`, for every shard that has
+/// services.
 fn host_renewals(workload: &Workload, host: usize, hosts: usize) -> Vec<Renewal> {
     let mut renewals = BTreeMap::new();
     for (index, service) in workload.fleet.services.values().enumerate() {
@@ -186,7 +190,7 @@
             renewal
                 .demand
                 .extend(names.map(|name| (name.to_owned(), CONNECTIONS_PER_SERVER)));
-            // A primary that answers is reported, with nothing more to say.
+            // A primary that answers is reported without further details.
             let primary = workload.directory.servers.name(service.first_primary);
             let report = primary.map(|name| (name.to_owned(), Report::default()));
             renewal.reports.extend(report);
@@ -195,6 +199,7 @@
     renewals.into_values().collect()
 }
 
+/// Returns a renewal of `host` for `shard` without reports or demand.
 fn empty_renewal(host: usize, shard: u16) -> Renewal {
     Renewal {
         shard,
@@ -210,7 +215,7 @@
     }
 }
 
-/// Every caller renews once; returns how many renewals were sent, and how many refused.
+/// Renews once through every client. Returns the numbers of renewals sent and refused.
 async fn renew_all(clients: &mut [RenewalClient]) -> Result<(u64, u64), Error> {
     let calls = clients.iter_mut().map(RenewalClient::renew);
     let (mut sent, mut refused) = (0, 0);
@@ -223,7 +228,7 @@
 }
 
 impl RenewalClient {
-    /// Returns how many renewals were sent, and how many of them brought no lease.
+    /// Sends all renewals of the client. Returns the numbers of renewals sent and refused.
     async fn renew(&mut self) -> Result<(u64, u64), Error> {
         let replies = self.client.renew(self.renewals.clone()).await?;
         let mut granted = 0;
--- a/crates/capacity/src/command/model.rs
+++ b/crates/capacity/src/command/model.rs
@@ -1,7 +1,7 @@
 //! `flamingopost-capacity model PLAN.ini`
 //!
-//! Works out what each role costs at a size, from slopes measured with the other subcommands, and
-//! holds it beside the budgets.
+//! Computes the cost of each role at a given size from slopes measured with the other subcommands,
+//! and compares it with the budgets.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 const MILLION: f64 = 1e6;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// One cost beside its budget.
+/// A computed cost and its budget.
 #[derive(Debug, Serialize)]
 struct Cost {
     role: &'static str,
@@ -31,7 +31,7 @@
     costs: Vec<Cost>,
 }
 
-/// The numbers of a plan.
+/// A plan file with its sizes, slopes and budgets.
 struct Plan {
     path: PathBuf,
     ini: Ini,
@@ -47,8 +47,8 @@
     print(&Figures { costs }, flags.json)
 }
 
-/// What control costs an entry host: leases of every shard, connections to the servers of the
-/// services it is a home of, new configurations, reads of the head row.
+/// Returns the cost of control for an entry host: leases of every shard, connections to the servers
+/// of the services that have it as a home, new configurations, and reads of the head row.
 fn entry_host_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
     let services = plan.size("databases")? * plan.size("homes")? / plan.size("nodes")?;
     let servers = services * plan.slope("servers_a_service")?;
@@ -67,8 +67,9 @@
     node_costs(plan, "entry host", percent, bytes, memory)
 }
 
-/// What leading one shard adds on its host, where every host renews with it as today, and where
-/// a relay holds one lease for all hosts of a rack, which is not built.
+/// Returns the cost that leading one shard adds on its host in two designs: every host renews its
+/// own lease, as implemented, or a relay holds one lease for all hosts of a rack, which is not
+/// implemented.
 fn controller_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
     let hosts = plan.size("nodes")?;
     let racks = hosts / plan.size("hosts_a_rack")?;
@@ -87,6 +88,8 @@
     Ok(costs)
 }
 
+/// Returns the cost of leading a shard with `holders` leases, each renewed every `interval`
+/// seconds.
 fn shard_leader_costs(
     plan: &Plan,
     role: &'static str,
@@ -103,7 +106,7 @@
     node_costs(plan, role, percent, bytes, memory)
 }
 
-/// Reads and writes of the table service by the whole fleet.
+/// Returns the rates of table service reads and writes by the whole fleet.
 fn table_service_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
     let processes = plan.size("nodes")? * plan.slope("processes_a_node")?;
     let polls = processes / plan.slope("row_poll_interval_s")?;
@@ -134,7 +137,7 @@
     ])
 }
 
-/// Times of a promotion and of a configuration change, as sums of bounded steps.
+/// Returns the durations of a promotion and of a configuration change, as sums of bounded steps.
 fn duration_costs(plan: &Plan) -> Result<Vec<Cost>, Error> {
     let reachable = plan.slope("suspicion_s")? + plan.slope("promotion_s")?;
     let zone_cut = reachable + plan.slope("lease_lapse_s")?;
@@ -166,6 +169,7 @@
     ])
 }
 
+/// Returns the processor, network and memory costs of `role` with their budgets.
 fn node_costs(
     plan: &Plan,
     role: &'static str,
--- a/crates/capacity/src/command/view.rs
+++ b/crates/capacity/src/command/view.rs
@@ -1,6 +1,7 @@
 //! `flamingopost-capacity view [--sizes 4,16,64]`
 //!
-//! Bytes of a shard's view on the wire, and time to write and read it, by number of services.
+//! Measures the size of a shard's encoded view in bytes, and the processor time to encode and
+//! decode it, by number of services.
 
 use std::fmt;
 
@@ -18,7 +19,8 @@
 
 const DEFAULT_SIZES: [usize; 3] = [4, 16, 64];
 
-/// Terms that a service's history names: a month of promotions of the most restless service.
+/// Number of terms in a service's history: a month of promotions of the service that is promoted
+/// most often.
 const TERMS_PER_SERVICE: u32 = 4;
 
 #[derive(Debug, Serialize)]
@@ -54,6 +56,7 @@
     print(&figures, flags.json)
 }
 
+/// Measures the view of a shard with `services` services.
 fn measure(services: usize) -> Result<Point, Error> {
     let mut directory = Directory::default();
     let shard = generate_shard(services, &mut directory);
@@ -75,6 +78,7 @@
     })
 }
 
+/// Generates a shard with `services` open services.
 fn generate_shard(services: usize, directory: &mut Directory) -> Shard {
     let version = Version {
         epoch: 7,
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,45 +1,45 @@
-//! What can go wrong, and the exit code of each.
+//! Errors of the tool and their exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use flamingopost_core::config::Report;
 
-/// A failure of the tool.
+/// An error of the tool.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// `{0}` is not a list of numbers divided by commas, for example 10,100,1000
+    /// `{0}` is not a comma-separated list of numbers, for example 10,100,1000
     Sizes(String),
     /// a slope needs at least two different sizes
     TooFewSizes,
-    /// the configuration made for {services} services is not valid: {report}
+    /// the configuration for {services} services is not valid: {report}
     Configuration {
-        /// Services asked for.
+        /// Number of services requested; 0 for a configuration read from a file.
         services: usize,
-        /// What is wrong with it.
+        /// Faults found in the configuration.
         report: Report,
     },
     /// {0}
     Process(flamingopost_load::error::Error),
     /// cannot read {path}: {source}
     Plan {
-        /// The file.
+        /// Path of the plan file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: ini::Error,
     },
-    /// {path}: [{section}] {key} has to be there and a number
+    /// {path}: [{section}] {key} is missing or not a number
     Number {
-        /// The file.
+        /// Path of the plan file.
         path: PathBuf,
         /// Section of the key.
         section: &'static str,
-        /// The key.
+        /// Key that is missing or not a number.
         key: &'static str,
     },
     /// {0}
     View(flamingopost_wire::view::Error),
-    /// the control process cannot be used: {0}
+    /// call to the control process failed: {0}
     Control(jsonrpsee::core::ClientError),
     /// {0}
     Io(std::io::Error),
@@ -50,7 +50,7 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// 2 for wrong input, 1 for everything else.
+    /// Returns exit code 2 for invalid input and 1 for every other error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Error::Sizes(_) | Error::TooFewSizes | Error::Plan { .. } | Error::Number { .. } => {
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets made to a size.
+//! Generates fleet configurations of a given size.
 
 use std::fmt::Write as _;
 
@@ -8,20 +8,20 @@
 
 use crate::error::Error;
 
-/// Backend servers of each service.
+/// Number of backend servers of each service.
 const SERVERS_PER_SERVICE: usize = 3;
 
-/// Availability zones.
+/// Number of availability zones.
 pub const ZONES: usize = 6;
 
-/// Services of one customer; they share its callers and rules.
+/// Number of services of one customer. They share the customer's callers and rules.
 const SERVICES_PER_CUSTOMER: usize = 10;
 
 /// A SCRAM verifier; only its length matters here.
 const VERIFIER: &str = "SCRAM-SHA-256$4096:hFKnInoSdYW4yniZTY2UmQ==$mBvoG84KcVPnyHhI/pbKAtL31uontdpAJInLt6J3EqU=:GKE9PyduNqCFluQnVjw6AZUjimOZbEv3OV8jybu9afg=";
 
-/// The configuration of a fleet with `services` services: three servers each, spread over six
-/// zones, and for every ten services one customer with two callers and four rules.
+/// Generates the configuration of a fleet with `services` services: three servers each, spread
+/// over six zones, and for every ten services one customer with two callers and four rules.
 pub fn generate(services: usize) -> String {
     let mut text = String::from("[fleet]\nshards = 16\ndefault_class = other\n");
     for zone in 0..ZONES {
@@ -40,10 +40,11 @@
     text
 }
 
-/// The fleet behind [`generate`], with its names numbered in `directory`.
+/// Parses a configuration, for example one from [`generate`], and adds its names to `directory`.
 ///
 /// # Errors
-/// When this tool and the configuration's format no longer fit together.
+/// Returns an error if `text` is not a valid configuration. For a generated one this means that
+/// [`generate`] no longer matches the format.
 pub fn parse(services: usize, text: &str, directory: &mut Directory) -> Result<Fleet, Error> {
     config::parse("made.ini", text, directory)
         .map_err(|report| Error::Configuration { services, report })
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,5 @@
-//! `flamingopost-capacity`: measures how cost grows with size, and works out the target size.
+//! `flamingopost-capacity`: measures how cost grows with size, and computes the cost at a
+//! target size.
 
 mod command;
 mod error;
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes between two sides of a connection.
+//! A TCP proxy that counts the bytes of the connections it forwards.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Passes connections on to another address and counts what they carry.
+/// Forwards connections to another address and counts their bytes.
 #[derive(Debug, Clone)]
 pub struct Meter {
     address: SocketAddr,
@@ -19,10 +19,10 @@
 }
 
 impl Meter {
-    /// Starts to pass connections on to `target`, from a loopback port of its own.
+    /// Starts to forward connections from a free loopback port to `target`.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// Returns an error if the port cannot be opened.
     pub async fn start(target: SocketAddr) -> Result<Meter, Error> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let meter = Meter {
@@ -33,12 +33,12 @@
         Ok(meter)
     }
 
-    /// Where to connect instead of the target.
+    /// Returns the address to connect to instead of the target.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes so far, both ways, headers included.
+    /// Returns the number of bytes forwarded so far, in both directions, including headers.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -56,6 +56,7 @@
     }
 }
 
+/// Copies bytes from `from` to `to` and adds their number to `bytes`, until either side closes.
 async fn forward(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -1,23 +1,23 @@
-//! A straight line through measured points.
+//! Linear regression of measured costs.
 
 use serde::Serialize;
 
 use crate::error::Error;
 
-/// Cost as `fixed + each * size`.
+/// A linear cost: `fixed + each * size`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Line {
     /// Cost at size zero.
     pub fixed: f64,
-    /// Cost of one more.
+    /// Additional cost per unit of size.
     pub each: f64,
 }
 
 impl Line {
-    /// The line that fits `points` (size, cost) best, by least squares.
+    /// Fits a line to `points` (size, cost) by least squares.
     ///
     /// # Errors
-    /// When there are not two different sizes.
+    /// Returns an error if there are fewer than two different sizes.
     fn fit(points: &[(f64, f64)]) -> Result<Line, Error> {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|point| point.0).sum::<f64>() / count;
@@ -40,10 +40,10 @@
         })
     }
 
-    /// The line of one cost of `points` by one size of them.
+    /// Fits a line to the size and cost that the two functions take from each of `points`.
     ///
     /// # Errors
-    /// When there are not two different sizes.
+    /// Returns an error if there are fewer than two different sizes.
     pub fn fit_by<P>(
         points: &[P],
         size: impl Fn(&P) -> usize,
--- a/crates/capacity/src/usage.rs
+++ b/crates/capacity/src/usage.rs
@@ -1,4 +1,4 @@
-//! What work costs this process.
+//! Measures the processor time and memory that work costs this process.
 
 use std::process;
 use std::time::Duration;
@@ -7,13 +7,14 @@
 
 use crate::error::Error;
 
-/// Work is repeated until it has used this much processor time: the system counts in steps of 10 ms.
+/// Processor time that repeated runs must use before they are averaged. The system counts it in
+/// steps of 10 ms, so a shorter measurement is inexact.
 const MIN_PROCESSOR_TIME: Duration = Duration::from_millis(300);
 
-/// Processor time of one run of `work`, in microseconds.
+/// Returns the mean processor time of one run of `work`, in microseconds.
 ///
 /// # Errors
-/// When the system does not tell, or `work` fails.
+/// Returns an error if the processor time cannot be read or `work` fails.
 pub fn processor_microseconds<T>(mut work: impl FnMut() -> Result<T, Error>) -> Result<f64, Error> {
     let start = processor_time(process::id())?;
     let mut runs = 0_u32;
@@ -27,11 +28,11 @@
     }
 }
 
-/// Growth of resident memory while `work` makes `copies` values and they are all held, in bytes a
-/// value.
+/// Returns the growth of resident memory per value, in bytes, when `work` creates `copies` values
+/// that are all alive at the same time.
 ///
 /// # Errors
-/// When the system does not tell, or `work` fails.
+/// Returns an error if the resident memory cannot be read or `work` fails.
 pub fn memory_bytes_per_value<T>(
     copies: usize,
     mut work: impl FnMut() -> Result<T, Error>,
--- a/crates/capacity/tests/configuration.rs
+++ b/crates/capacity/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! `flamingopost-capacity configuration` and `view`, by the real program.
+//! Tests `flamingopost-capacity configuration` and `view` through the real program.
 
 use std::process::{Command, Output};
 
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -1,9 +1,9 @@
-//! `flamingopost-capacity model`, by the real program.
+//! Tests `flamingopost-capacity model` through the real program.
 
 use std::fs;
 use std::process::{Command, Output};
 
-/// The plan of the target size.
+/// Path of the plan for the target size.
 const TARGET: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/target.ini");
 
 fn model(plan: &str) -> Output {
