--- a/crates/capacity/src/command/configuration.rs
+++ b/crates/capacity/src/command/configuration.rs
@@ -1,6 +1,7 @@
 //! `flamingopost-capacity configuration [--sizes 10,100,1000]`
 //!
-//! Bytes, checking time and memory of a configuration by number of services.
+//! Measures the size of a configuration in bytes, the processor time to adopt it and its memory, by
+//! number of services.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,16 +10,16 @@
 use flamingopost_core::rule::Index;
 use serde::Serialize;
 
-use super::{print, sizes};
+use super::{parse_sizes, print};
 use crate::error::Error;
 use crate::flags;
 use crate::fleet;
 use crate::slope::Line;
 use crate::usage;
 
-const SIZES: [usize; 3] = [10, 100, 1000];
+const DEFAULT_SIZES: [usize; 3] = [10, 100, 1000];
 
-/// Copies of a configuration that are held at once to weigh one.
+/// Number of copies that are kept in memory at once to measure the memory of one.
 const COPIES: usize = 8;
 
 #[derive(Debug, Serialize)]
@@ -39,12 +40,12 @@
 
 /// Runs the subcommand.
 pub fn run(flags: flags::Configuration) -> Result<(), Error> {
-    let sizes = sizes(flags.sizes, &SIZES)?;
+    let sizes = parse_sizes(flags.sizes, &DEFAULT_SIZES)?;
     let points = sizes
         .into_iter()
         .map(measure)
         .collect::<Result<Vec<_>, _>>()?;
-    let line = |cost: fn(&Point) -> f64| Line::of(&points, |point| point.services, cost);
+    let line = |cost: fn(&Point) -> f64| Line::fit_by(&points, |point| point.services, cost);
     let figures = Figures {
         bytes: line(|point| point.bytes as f64)?,
         adopt_microseconds: line(|point| point.adopt_microseconds)?,
@@ -54,10 +55,11 @@
     print(&figures, flags.json)
 }
 
+/// Measures a generated configuration with `services` services.
 fn measure(services: usize) -> Result<Point, Error> {
-    let text = fleet::text(services);
-    let memory_bytes = usage::bytes_held(COPIES, || adopt(services, &text))?;
-    let adopt_microseconds = usage::microseconds(|| adopt(services, &text))?;
+    let text = fleet::generate(services);
+    let memory_bytes = usage::memory_bytes_per_value(COPIES, || adopt(services, &text))?;
+    let adopt_microseconds = usage::processor_microseconds(|| adopt(services, &text))?;
     Ok(Point {
         services,
         bytes: text.len(),
@@ -66,7 +68,8 @@
     })
 }
 
-/// What an entry host does with a new configuration, and what it keeps of it.
+/// Parses and indexes a configuration as an entry host does when it adopts one. Returns what the
+/// host keeps in memory.
 fn adopt(services: usize, text: &str) -> Result<(Directory, Index, String), Error> {
     let mut directory = Directory::default();
     let fleet = fleet::parse(services, text, &mut directory)?;
--- a/crates/capacity/src/command/fleet.rs
+++ b/crates/capacity/src/command/fleet.rs
@@ -1,6 +1,6 @@
 //! `flamingopost-capacity fleet SERVICES`
 //!
-//! Prints a configuration made to a size.
+//! Prints a generated configuration of a given size.
 
 use crate::error::Error;
 use crate::flags;
@@ -8,6 +8,6 @@
 
 /// Runs the subcommand.
 pub fn run(flags: flags::Fleet) -> Result<(), Error> {
-    print!("{}", fleet::text(flags.services));
+    print!("{}", fleet::generate(flags.services));
     Ok(())
 }
--- a/crates/capacity/src/command/view.rs
+++ b/crates/capacity/src/command/view.rs
@@ -1,6 +1,7 @@
 //! `flamingopost-capacity view [--sizes 4,16,64]`
 //!
-//! Bytes of a shard's view on the wire, and time to write and read it, by number of services.
+//! Measures the size of a shard's encoded view in bytes, and the processor time to encode and
+//! decode it, by number of services.
 
 use std::fmt;
 
@@ -10,16 +11,17 @@
 use flamingopost_wire::view as wire;
 use serde::Serialize;
 
-use super::{print, sizes};
+use super::{parse_sizes, print};
 use crate::error::Error;
 use crate::flags;
 use crate::slope::Line;
 use crate::usage;
 
-const SIZES: [usize; 3] = [4, 16, 64];
+const DEFAULT_SIZES: [usize; 3] = [4, 16, 64];
 
-/// Terms that a service's history names: a month of promotions of the most restless service.
-const TERMS: u32 = 4;
+/// Number of terms in a service's history: a month of promotions of the service that is promoted
+/// most often.
+const TERMS_PER_SERVICE: u32 = 4;
 
 #[derive(Debug, Serialize)]
 struct Point {
@@ -39,12 +41,12 @@
 
 /// Runs the subcommand.
 pub fn run(flags: flags::View) -> Result<(), Error> {
-    let sizes = sizes(flags.sizes, &SIZES)?;
+    let sizes = parse_sizes(flags.sizes, &DEFAULT_SIZES)?;
     let points = sizes
         .into_iter()
         .map(measure)
         .collect::<Result<Vec<_>, _>>()?;
-    let line = |cost: fn(&Point) -> f64| Line::of(&points, |point| point.services, cost);
+    let line = |cost: fn(&Point) -> f64| Line::fit_by(&points, |point| point.services, cost);
     let figures = Figures {
         bytes: line(|point| point.bytes as f64)?,
         write_microseconds: line(|point| point.write_microseconds)?,
@@ -54,16 +56,17 @@
     print(&figures, flags.json)
 }
 
+/// Measures the view of a shard with `services` services.
 fn measure(services: usize) -> Result<Point, Error> {
     let mut directory = Directory::default();
-    let shard = made(services, &mut directory);
+    let shard = generate_shard(services, &mut directory);
     let text = serde_json::to_string(&wire::Shard::encode(&shard, &directory))?;
-    let write_microseconds = usage::microseconds(|| {
+    let write_microseconds = usage::processor_microseconds(|| {
         Ok(serde_json::to_string(&wire::Shard::encode(
             &shard, &directory,
         ))?)
     })?;
-    let read_microseconds = usage::microseconds(|| {
+    let read_microseconds = usage::processor_microseconds(|| {
         let message: wire::Shard = serde_json::from_str(&text)?;
         Ok(message.decode(&mut directory)?)
     })?;
@@ -75,7 +78,8 @@
     })
 }
 
-fn made(services: usize, directory: &mut Directory) -> Shard {
+/// Generates a shard with `services` open services.
+fn generate_shard(services: usize, directory: &mut Directory) -> Shard {
     let version = Version {
         epoch: 7,
         change: 1_000,
@@ -84,23 +88,24 @@
         version,
         ..Shard::default()
     };
-    for place in 0..services {
+    for index in 0..services {
         let service = directory
             .services
-            .intern(&format!("consignment-ledger-{place}"));
+            .intern(&format!("consignment-ledger-{index}"));
         let primary = directory
             .servers
-            .intern(&format!("consignment-ledger-{place}-1"));
+            .intern(&format!("consignment-ledger-{index}-1"));
         let term = Term {
             epoch: 7,
-            count: TERMS - 1,
+            count: TERMS_PER_SERVICE - 1,
         };
-        let mut made = Service::new(State::Open { term, primary });
-        for count in 0..TERMS {
-            made.history
+        let mut generated = Service::new(State::Open { term, primary });
+        for count in 0..TERMS_PER_SERVICE {
+            generated
+                .history
                 .open(Term { epoch: 7, count }, u64::from(count) * 1_000_000);
         }
-        shard.services.insert(service, made);
+        shard.services.insert(service, generated);
     }
     shard
 }
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes between two sides of a connection.
+//! A TCP proxy that counts the bytes of the connections it forwards.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 
 use crate::error::Error;
 
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Passes connections on to another address and counts what they carry.
+/// Forwards connections to another address and counts their bytes.
 #[derive(Debug, Clone)]
 pub struct Meter {
     address: SocketAddr,
@@ -19,10 +19,10 @@
 }
 
 impl Meter {
-    /// Starts to pass connections on to `target`, from a loopback port of its own.
+    /// Starts to forward connections from a free loopback port to `target`.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// Returns an error if the port cannot be opened.
     pub async fn start(target: SocketAddr) -> Result<Meter, Error> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let meter = Meter {
@@ -33,35 +33,36 @@
         Ok(meter)
     }
 
-    /// Where to connect instead of the target.
+    /// Returns the address to connect to instead of the target.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes so far, both ways, headers included.
+    /// Returns the number of bytes forwarded so far, in both directions, including headers.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
 async fn accept(listener: TcpListener, target: SocketAddr, bytes: Arc<AtomicU64>) {
-    while let Ok((near, _)) = listener.accept().await {
-        let Ok(far) = TcpStream::connect(target).await else {
+    while let Ok((client, _)) = listener.accept().await {
+        let Ok(server) = TcpStream::connect(target).await else {
             continue;
         };
-        let (near_in, near_out) = near.into_split();
-        let (far_in, far_out) = far.into_split();
-        tokio::spawn(pass(near_in, far_out, bytes.clone()));
-        tokio::spawn(pass(far_in, near_out, bytes.clone()));
+        let (client_in, client_out) = client.into_split();
+        let (server_in, server_out) = server.into_split();
+        tokio::spawn(forward(client_in, server_out, bytes.clone()));
+        tokio::spawn(forward(server_in, client_out, bytes.clone()));
     }
 }
 
-async fn pass(
+/// Copies bytes from `from` to `to` and adds their number to `bytes`, until either side closes.
+async fn forward(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     bytes: Arc<AtomicU64>,
 ) {
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
         bytes.fetch_add(read as u64, Ordering::Relaxed);
         if to.write_all(&buffer[..read]).await.is_err() {
--- a/crates/trial/src/host.rs
+++ b/crates/trial/src/host.rs
@@ -1,4 +1,4 @@
-//! One host of a trial: an entry daemon and a control daemon.
+//! Starts the two daemons of a host of a trial: an entry daemon and a control daemon.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,107 +15,107 @@
 use crate::error::Error;
 use crate::plan::Host;
 
-/// How long sessions may go on after the first signal.
-const DRAIN: Duration = Duration::from_secs(5);
+/// How long sessions may continue after the first stop signal.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How often daemons read the fleet's rows. More often than in a fleet, because a trial shows
-/// itself from its first second on.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which daemons poll the fleet's rows. Shorter than in a real deployment, so that a
+/// trial is usable within its first second.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The ways to the remote calls of one host's daemons. They are open before any daemon starts, so
-/// that each daemon can be told of the others.
+/// Relays in front of the remote call (RPC) addresses of one host's daemons. They start before any
+/// daemon does, so that each daemon can be configured with the addresses of the others.
 #[derive(Debug)]
-pub struct Ways {
+pub struct Relays {
     entry: Relay,
     control: Relay,
 }
 
-impl Ways {
-    /// Opens the ways to `host`, which cuts of its zone close.
+impl Relays {
+    /// Starts the relays of `host`. They block traffic between zones that `cuts` divides.
     ///
     /// # Errors
-    /// No port is free.
-    pub async fn open(host: &Host, cuts: &Cuts) -> Result<Ways, Error> {
-        Ok(Ways {
+    /// Returns an error if no port is free.
+    pub async fn open(host: &Host, cuts: &Cuts) -> Result<Relays, Error> {
+        Ok(Relays {
             entry: Relay::start(host.entry_rpc, &host.zone, cuts).await?,
             control: Relay::start(host.control_rpc, &host.zone, cuts).await?,
         })
     }
 
-    /// Where others reach the control daemon.
+    /// Returns the address at which other daemons reach the control daemon.
     pub fn control(&self) -> SocketAddr {
         self.control.address()
     }
 }
 
-/// What all hosts of a trial are told.
+/// Settings that all hosts of a trial share.
 #[derive(Debug, Clone)]
-pub struct Common<'a> {
-    /// The platform.
+pub struct SharedSettings<'a> {
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Remote calls of all control daemons.
+    /// RPC addresses of all control daemons.
     pub peers: Vec<SocketAddr>,
     /// The operators' token.
     pub token: &'a str,
-    /// The first configuration.
+    /// File with the first configuration.
     pub fleet: &'a Path,
 }
 
 /// Starts the entry daemon of `host`.
 ///
 /// # Errors
-/// An address that is taken.
+/// Returns an error if an address is already in use.
 pub fn start_entry(
     host: &Host,
-    ways: &Ways,
-    common: &Common<'_>,
+    relays: &Relays,
+    shared: &SharedSettings<'_>,
     stop: Stop,
 ) -> Result<JoinHandle<Result<(), Error>>, Error> {
     let mut settings = EntrySettings {
         callers: host.callers,
         admin: host.entry_admin,
         rpc: host.entry_rpc,
-        public_rpc: ways.entry.address(),
-        token: Token::new(common.token),
-        peers: common.peers.clone(),
-        drain: DRAIN,
-        ..EntrySettings::local(&host.name, &host.zone, common.platform)
+        public_rpc: relays.entry.address(),
+        token: Token::new(shared.token),
+        peers: shared.peers.clone(),
+        drain: DRAIN_TIMEOUT,
+        ..EntrySettings::local(&host.name, &host.zone, shared.platform)
     };
-    settings.platform.poll = POLL;
+    settings.platform.poll = POLL_INTERVAL;
     let bound = flamingopost_entry::host::Host::bind(settings)?;
     Ok(tokio::spawn(async move { Ok(bound.serve(stop).await?) }))
 }
 
-/// Starts the control daemon of `host` on a thread of its own, whose actix system carries its
-/// actors. The receiver tells how it ended.
+/// Starts the control daemon of `host` on its own thread, whose actix system runs the daemon's
+/// actors. The receiver yields the daemon's result when it ends.
 ///
 /// # Errors
-/// No thread can be had.
+/// Returns an error if the thread cannot be spawned.
 pub fn start_control(
     host: &Host,
-    ways: &Ways,
-    common: &Common<'_>,
+    relays: &Relays,
+    shared: &SharedSettings<'_>,
     stop: Stop,
 ) -> Result<oneshot::Receiver<Result<(), Error>>, Error> {
-    let own = ways.control();
-    let peers = common.peers.iter().copied();
+    let own = relays.control();
+    let peers = shared.peers.iter().copied();
     let mut settings = ControlSettings {
         rpc: host.control_rpc,
         public_rpc: Some(own),
         admin: host.control_admin,
-        token: Token::new(common.token),
+        token: Token::new(shared.token),
         peers: peers.filter(|peer| *peer != own).collect(),
-        bootstrap: Some(common.fleet.to_owned()),
-        ..ControlSettings::local(&host.name, &host.zone, common.platform)
+        bootstrap: Some(shared.fleet.to_owned()),
+        ..ControlSettings::local(&host.name, &host.zone, shared.platform)
     };
-    settings.platform.poll = POLL;
-    let (ended, told) = oneshot::channel();
+    settings.platform.poll = POLL_INTERVAL;
+    let (sender, receiver) = oneshot::channel();
     let thread = std::thread::Builder::new().name(host.name.clone());
     thread.spawn(move || {
         let run = flamingopost_control::run(settings, stop);
         let result = actix_rt::System::new().block_on(run);
-        // Nobody listens any more when the trial itself has ended.
-        let _ = ended.send(result.map_err(Error::from));
+        // The receiver is already dropped if the trial itself has ended.
+        let _ = sender.send(result.map_err(Error::from));
     })?;
-    Ok(told)
+    Ok(receiver)
 }
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which ports a trial uses and which hosts it has.
+//! The plan of a trial: its configuration, hosts and ports.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,69 +9,71 @@
 
 use crate::error::Error;
 
-/// Tesfa's example, for a trial without a fleet file.
+/// Tesfa's example, the default configuration of a trial that is started without a fleet file.
 const EXAMPLE: &str = include_str!("../../../examples/tesfa.ini");
 
-const EXAMPLE_NAME: &str = "examples/tesfa.ini";
+/// Path of the example, as error messages show it.
+const EXAMPLE_PATH: &str = "examples/tesfa.ini";
 
-const HOSTS: usize = 3;
+/// Number of hosts of a trial.
+const HOST_COUNT: usize = 3;
 
-/// Where the ports of each kind begin, from the trial's first port on.
-const FAULTS: u16 = 0;
-const PLATFORM: u16 = 1;
-const CALLERS: u16 = 32;
-const ENTRY_ADMIN: u16 = 42;
-const CONTROL_ADMIN: u16 = 52;
-const ENTRY_RPC: u16 = 62;
-const CONTROL_RPC: u16 = 72;
+// Offsets of the first port of each kind from the trial's first port. Each host adds its number.
+const FAULTS_OFFSET: u16 = 0;
+const PLATFORM_OFFSET: u16 = 1;
+const CALLERS_OFFSET: u16 = 32;
+const ENTRY_ADMIN_OFFSET: u16 = 42;
+const CONTROL_ADMIN_OFFSET: u16 = 52;
+const ENTRY_RPC_OFFSET: u16 = 62;
+const CONTROL_RPC_OFFSET: u16 = 72;
 
-/// What a trial consists of.
+/// The configuration, addresses and hosts of a trial.
 #[derive(Debug)]
 pub struct Plan {
-    /// The configuration's text.
+    /// Text of the configuration.
     pub text: String,
-    /// Whether it is the built-in example, whose passwords are known.
+    /// Whether the configuration is the built-in example, whose passwords are known.
     pub is_example: bool,
-    /// The configuration.
+    /// The parsed configuration.
     pub fleet: Fleet,
-    /// Its names.
+    /// Names of the configuration's keys.
     pub names: Directory,
-    /// Where faults are set.
+    /// Address of the panel that sets faults.
     pub faults: SocketAddr,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Its hosts.
+    /// Hosts, spread over the availability zones.
     pub hosts: Vec<Host>,
 }
 
-/// One host with its two daemons.
+/// Names and addresses of one host and its two daemons.
 #[derive(Debug, Clone)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Operators' address of its entry daemon.
+    /// Operators' address of the entry daemon.
     pub entry_admin: SocketAddr,
-    /// Operators' address of its control daemon.
+    /// Operators' address of the control daemon.
     pub control_admin: SocketAddr,
-    /// Where its entry daemon takes remote calls, behind a relay.
+    /// RPC address of the entry daemon, behind a relay.
     pub entry_rpc: SocketAddr,
-    /// Where its control daemon takes remote calls, behind a relay.
+    /// RPC address of the control daemon, behind a relay.
     pub control_rpc: SocketAddr,
 }
 
 impl Plan {
-    /// A plan for the fleet in `file`, or for the built-in example.
+    /// Returns a plan for the fleet in `file`, or for the built-in example without a file.
     ///
     /// # Errors
-    /// A file that cannot be read, or that is wrong.
+    /// Returns an error if the file cannot be read, is not a valid configuration or has no zones.
     pub fn new(file: Option<&Path>, first_port: u16) -> Result<Plan, Error> {
         let (name, text) = match file {
             Some(path) => (path.to_owned(), read(path)?),
-            None => (PathBuf::from(EXAMPLE_NAME), EXAMPLE.to_owned()),
+            None => (PathBuf::from(EXAMPLE_PATH), EXAMPLE.to_owned()),
         };
         let mut names = Directory::default();
         let fleet =
@@ -82,22 +84,22 @@
             is_example: file.is_none(),
             fleet,
             names,
-            faults: local(first_port + FAULTS),
-            platform: local(first_port + PLATFORM),
+            faults: loopback(first_port + FAULTS_OFFSET),
+            platform: loopback(first_port + PLATFORM_OFFSET),
             hosts,
         })
     }
 }
 
 fn read(path: &Path) -> Result<String, Error> {
-    std::fs::read_to_string(path).map_err(|error| Error::Fleet(path.to_owned(), error))
+    std::fs::read_to_string(path).map_err(|error| Error::ReadFleet(path.to_owned(), error))
 }
 
-fn local(port: u16) -> SocketAddr {
+fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Hosts spread over the fleet's zones.
+/// Plans [`HOST_COUNT`] hosts, assigned to the fleet's zones in turn.
 fn hosts(fleet: &Fleet, names: &Directory, first_port: u16) -> Result<Vec<Host>, Error> {
     let zones: Vec<&str> = fleet
         .zones
@@ -113,12 +115,12 @@
         Host {
             name: format!("{zone}-entry-{}", number + 1),
             zone,
-            callers: local(port + CALLERS),
-            entry_admin: local(port + ENTRY_ADMIN),
-            control_admin: local(port + CONTROL_ADMIN),
-            entry_rpc: local(port + ENTRY_RPC),
-            control_rpc: local(port + CONTROL_RPC),
+            callers: loopback(port + CALLERS_OFFSET),
+            entry_admin: loopback(port + ENTRY_ADMIN_OFFSET),
+            control_admin: loopback(port + CONTROL_ADMIN_OFFSET),
+            entry_rpc: loopback(port + ENTRY_RPC_OFFSET),
+            control_rpc: loopback(port + CONTROL_RPC_OFFSET),
         }
     };
-    Ok((0..HOSTS).map(host).collect())
+    Ok((0..HOST_COUNT).map(host).collect())
 }
