--- a/crates/core/src/authority.rs
+++ b/crates/core/src/authority.rs
@@ -4,7 +4,8 @@
 //! becomes the controller only by a compare-and-set of that row. A controller relies on one of two
 //! proofs that the row still names it:
 //!
-//! - a read of the row, valid for [`timing::AUTHORITY_DURATION`] from the moment the read was *sent*;
+//! - a read of the row, valid for [`timing::AUTHORITY_DURATION`] from the moment the read was
+//!   *sent*;
 //! - while the table service is unavailable, promises of *all* named standbys not to claim the
 //!   shard, each valid for [`timing::PROMISE_DURATION`] from the moment its heartbeat was *sent*.
 //!
@@ -13,15 +14,16 @@
 //! earlier process was still running when the heartbeat was sent.
 //!
 //! A named standby claims only after its own promise has lapsed, which invalidates the second
-//! proof. After its compare-and-set it waits [`timing::AUTHORITY_DURATION`], which invalidates the first. A
-//! host that the row does not name claims only once the row has been unchanged for
-//! [`timing::ORPHAN_TIMEOUT`], which is also the longest time that a controller relies on promises alone.
+//! proof. After its compare-and-set it waits [`timing::AUTHORITY_DURATION`], which invalidates the
+//! first. A host that the row does not name claims only once the row has been unchanged for
+//! [`timing::ORPHAN_TIMEOUT`], which is also the longest time that a controller relies on promises
+//! alone.
 //!
 //! A *witness* of an epoch is a process that knows every decision made under that epoch.
 //!
-//! [`timing::AUTHORITY`]: crate::timing::AUTHORITY
-//! [`timing::ORPHAN`]: crate::timing::ORPHAN
-//! [`timing::PROMISE`]: crate::timing::PROMISE
+//! [`timing::AUTHORITY_DURATION`]: crate::timing::AUTHORITY_DURATION
+//! [`timing::ORPHAN_TIMEOUT`]: crate::timing::ORPHAN_TIMEOUT
+//! [`timing::PROMISE_DURATION`]: crate::timing::PROMISE_DURATION
 
 #[path = "authority_holder.rs"]
 mod holder;
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! For each shard, an entry host does the following:
 //!
-//! 1. every [`timing::RENEWAL`], take a [`Ticket`] with
+//! 1. every [`timing::RENEWAL_INTERVAL`], take a [`Ticket`] with
 //!    [`LeaseHolder::renewal_sent`] *before* the renewal is sent;
 //! 2. pass the controller's answer to [`LeaseHolder::on_granted`] with that ticket;
 //! 3. pass a revocation to [`LeaseHolder::close`] and send back what it returns;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// Stops logging and flushes queued lines, for at most [`FLUSH_TIMEOUT`]. Later events are
+/// Stops logging and flushes queued lines, for at most `FLUSH_TIMEOUT`. Later events are
 /// discarded.
 ///
 /// Guards against a process that hangs at exit: the logging library joins the thread that writes to
